--- a/saffronlane/engines/errors.py
+++ b/saffronlane/engines/errors.py
@@ -9,6 +9,5 @@
     """No connection came up in time: nothing was sent."""
 
     remedy = (
-        "See whether the engine runs and listens where the engine list says; attempts go "
-        "elsewhere meanwhile."
+        "See whether the engine runs and listens where the engine list says; attempts go elsewhere meanwhile."
     )
--- a/saffronlane/lab/fleet/play.py
+++ b/saffronlane/lab/fleet/play.py
@@ -92,5 +92,3 @@
         measures = measure(record, shape, sampler.watch, schedule, fleet.relay.passed, connections)
         share = busy / max(1e-9, whole)
         return Played(schedule, findings, measures, lag.most, share, record.events, logs)
-
-
--- a/saffronlane/lab/fleet/virtual.py
+++ b/saffronlane/lab/fleet/virtual.py
@@ -103,9 +103,7 @@
         while self._events and self._events[0][0] <= end:
             self.now, _, what = heapq.heappop(self._events)
             what()
-        return measure(
-            self.record, self.shape, self.watch, self.schedule, self.messages, len(self._met)
-        )
+        return measure(self.record, self.shape, self.watch, self.schedule, self.messages, len(self._met))
 
     def _look(self) -> None:
         if self.now < self.schedule.seconds:
--- a/tests/test_fleet_lab.py
+++ b/tests/test_fleet_lab.py
@@ -179,4 +179,3 @@
                 await asyncio.sleep(0.002)
 
     asyncio.run(run())
-
