--- a/saffronlane/knowledge/export.py
+++ b/saffronlane/knowledge/export.py
@@ -96,7 +96,7 @@
 def orders(gateway: Gateway) -> dict[bytes, OrderKept]:
     """Ordering keys with an attempt out, or at rest."""
     found = {}
-    for job in {a.job for a in gateway.own.attempts.values()}:
+    for job in dict.fromkeys(attempt.job for attempt in gateway.own.attempts.values()):
         if job.cls.ordered and job.key:
             found[order_name(job.key)] = OrderKept(True, 0.0)
     for key, until in gateway.owed.turns.rests.items():
--- a/saffronlane/knowledge/keeper.py
+++ b/saffronlane/knowledge/keeper.py
@@ -43,7 +43,7 @@
         self._recall = Recall(settings, memory) if memory is not None else None
         self._written: dict[bytes, Entry] = {}
         # Keys that fade when nothing speaks for them; requests are told by the ledger, and may be many.
-        self._fading: set[bytes] = set()
+        self._fading: dict[bytes, None] = {}  # in order, so that a replay writes alike
         if memory is not None and keeping:
             self._hold(memory)
         self._scatters = [Scatter() for _ in settings.classes]
@@ -79,7 +79,7 @@
     def _hold(self, memory: Memory) -> None:
         """What a folder holds is what has been written."""
         self._written = {key: entry for key, entry in memory.entries if key != k.RUN}
-        self._fading = {key for key in self._written if k.kind_of(key) in FADING}
+        self._fading = dict.fromkeys(key for key in self._written if k.kind_of(key) in FADING)
 
     @property
     def recalled(self) -> str:
@@ -170,7 +170,7 @@
         recall.attach(gateway, self.ledger)
         self._try_out(recall)
         self._counts.clear()
-        self.ledger.changed.update(self.ledger.identities())
+        self.ledger.changed.update(dict.fromkeys(self.ledger.identities()))
         return self._differing({**recall.rebased, **self._all(gateway)})
 
     def changes(self, gateway: Gateway) -> list[Change]:
@@ -255,10 +255,10 @@
                 continue  # not ours to remove: a later version may come back to it
             if made.entry is None:
                 self._written.pop(key, None)
-                self._fading.discard(key)
+                self._fading.pop(key, None)
             else:
                 self._written[key] = made.entry
                 if k.kind_of(key) in FADING:
-                    self._fading.add(key)
+                    self._fading[key] = None
             found.append(made)
         return found
--- a/saffronlane/knowledge/ledger.py
+++ b/saffronlane/knowledge/ledger.py
@@ -29,7 +29,7 @@
     def __init__(self) -> None:
         self._lines: dict[bytes, _Line] = {}
         self._ends: list[tuple[float, bytes]] = []  # heap
-        self.changed: set[bytes] = set()  # identities to be written
+        self.changed: dict[bytes, None] = {}  # identities to be written, in order
 
     def __len__(self) -> int:
         return len(self._lines)
@@ -43,7 +43,7 @@
 
     def recall(self, identity: bytes, kept: SentKept) -> None:
         """Take an entry of an earlier run in, as of this run's clock."""
-        self.changed.add(identity)
+        self.changed[identity] = None
         line = self._lines.get(identity)
         if line is not None:  # asked here too since: the earlier attempt is the one that counts
             line.kept, line.certain = (kept if kept.at < line.kept.at else line.kept), False
@@ -68,7 +68,7 @@
             kept = SentKept(cls.name, now, entry.engine, entry.zone, entry.kind, entry.cell, until)
             line = self._lines[identity] = _Line(kept, certain=True)
             heapq.heappush(self._ends, (until, identity))
-            self.changed.add(identity)
+            self.changed[identity] = None
             while len(self._lines) > MOST:
                 self._forget_first()
         line.out += 1
@@ -95,4 +95,4 @@
 
     def _drop(self, identity: bytes) -> None:
         del self._lines[identity]
-        self.changed.add(identity)
+        self.changed[identity] = None
