--- a/saffronlane/cli.py
+++ b/saffronlane/cli.py
@@ -105,7 +105,7 @@
 def replay(record: Path) -> None:
     """Play a record of a gateway's core through the library, and compare what it does."""
     from .dispatch.errors import JournalError
-    from .dispatch.journal import replay as play
+    from .dispatch.recording import replay as play
 
     steps = 0
     try:
--- a/saffronlane/daemon.py
+++ b/saffronlane/daemon.py
@@ -13,7 +13,7 @@
 
 from . import dispatch as d
 from .config import Config, EngineRecord
-from .dispatch.journal import Journal
+from .dispatch.recording import Journal
 from .engines import Executor
 from .engines.flight import ExecutorLimits, FlightLinks
 from .engines.pool import PoolLimits
--- a/saffronlane/dispatch/core.py
+++ b/saffronlane/dispatch/core.py
@@ -57,7 +57,7 @@
     Args:
         settings: as `policy.Gateway` takes them.
         seed: of every random draw.
-        record: is told each step's time, inputs and effects (see `dispatch.journal`).
+        record: is told each step's time, inputs and effects (see `dispatch.recording`).
         memory: what an earlier run left in a folder; None: nothing is known.
         keeping: whether what is learned is to be written (by `effects.Keep`).
         most_owed: requests at once; one more is refused. Guards against a flood of arrivals: each held
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -20,7 +20,7 @@
 from test_flight import SERVICE, Raw, fails
 
 from saffronlane.cli import main
-from saffronlane.dispatch.journal import replay
+from saffronlane.dispatch.recording import replay
 from saffronlane.lab.up import write_list
 
 ROOT = Path(__file__).parent.parent
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -13,7 +13,7 @@
 
 from saffronlane import dispatch as d
 from saffronlane import interface as api
-from saffronlane.dispatch.journal import Journal, JournalError, replay
+from saffronlane.dispatch.recording import Journal, JournalError, replay
 from saffronlane.interface import Effect, EngineState, Outcome
 
 ANSWERS = (d.Serve, d.RefuseRequest, d.FailRequest)
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -18,7 +18,7 @@
 from saffronlane import dispatch as d
 from saffronlane import interface as api
 from saffronlane import messages
-from saffronlane.dispatch.journal import Journal, replay
+from saffronlane.dispatch.recording import Journal, replay
 from saffronlane.interface import Effect, EngineState, Outcome
 from saffronlane.knowledge import Ledger, Memory, Moment, Recall, What, between, weigh
 from saffronlane.knowledge import kept as k
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from saffronlane.dispatch.journal import replay
+from saffronlane.dispatch.recording import replay
 
 RECORDINGS = sorted(Path(__file__).parent.glob("fixtures/recordings/*.record"))
 EFFECTS_RECORDED = {
