--- a/saffronlane/cli.py
+++ b/saffronlane/cli.py
@@ -104,17 +104,18 @@
 @click.argument("record", type=FILE)
 def replay(record: Path) -> None:
     """Play a record of a gateway's core through the library, and compare what it does."""
-    from .dispatch.errors import JournalError
+    from .dispatch.errors import RecordingError
     from .dispatch.recording import replay as play
 
     steps = 0
     try:
-        for now, recorded, made in play(record):
-            if recorded != made:
-                click.echo(f"step {steps} at {now:.6f} differs:\n recorded {recorded}\n made     {made}")
+        for step in play(record):
+            if not step.is_equal:
+                click.echo(f"step {steps} at {step.time:.6f} differs:")
+                click.echo(f" recorded {step.recorded}\n made     {step.replayed}")
                 sys.exit(1)
             steps += 1
-    except (JournalError, OSError) as error:
+    except (RecordingError, OSError) as error:
         click.echo(f"{record}: {error}", err=True)
         sys.exit(2)
     click.echo(f"{steps} steps, all the same")
--- a/saffronlane/daemon.py
+++ b/saffronlane/daemon.py
@@ -13,7 +13,7 @@
 
 from . import dispatch as d
 from .config import Config, EngineRecord
-from .dispatch.recording import Journal
+from .dispatch.recording import RecordingWriter
 from .engines import Executor
 from .engines.flight import ExecutorLimits, FlightLinks
 from .engines.pool import PoolLimits
@@ -40,16 +40,16 @@
         self.folder = None if config.knowledge is None else Folder(config, self._loop)
         memory = self.folder.memory if self.folder is not None else None
         self._record: BinaryIO | None = None
-        journal = None
+        recording = None
         if config.record is not None:
             path = config.record
             if share_port:
                 path = path.with_name(f"{path.name}.{config.settings.position}")
             self._record = path.open("wb")
-            journal = Journal(self._record, config.settings, seed, config.most_owed, memory)
+            recording = RecordingWriter(self._record, config.settings, seed, config.most_owed, memory)
         self.view = View(self._loop.time, time.time)
         self.dispatcher = d.Dispatcher(
-            config.settings, seed, journal, config.most_owed, memory, keeping=memory is not None
+            config.settings, seed, recording, config.most_owed, memory, keeping=memory is not None
         )
         http = ConnectionLimits(max_streams=config.max_streams, keepalive_after=config.keepalive)
         limits = ExecutorLimits(
--- a/saffronlane/dispatch/recording.py
+++ b/saffronlane/dispatch/recording.py
@@ -1,8 +1,14 @@
-"""The record of what a dispatcher was told and what it did, and playing it again through the library."""
+"""Recordings of a dispatcher: every input with its time, the effects it led to, and their replay.
+
+A recording is a sequence of MessagePack values, each behind its length in four bytes, big-endian. The first
+holds settings, seed, the limit on pending requests, the learned state read at the start (or nil) and, since
+version 0.3, the version of the form. Each later one is a step: time, inputs, described effects.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any, BinaryIO
 
@@ -12,14 +18,15 @@
 from ..knowledge import Memory
 from .core import MOST_OWED, Dispatcher
 from .effects import Effect
-from .errors import JournalError
-from .inputs import INPUT_TYPES, Input
+from .errors import RecordingError
+from .inputs import Input
+from .recording_schema import VERSION, decode, decode_input, describe, encode, encode_input, without_log_texts
 
 _ENCODER = msgspec.msgpack.Encoder()
-_BY_NAME: dict[str, type[Input]] = {kind.__name__: kind for kind in INPUT_TYPES}
+_LENGTH_BYTES = 4
 
 
-class Journal:
+class RecordingWriter:
     """Writes one length-prefixed record a step. The first record holds settings and seed."""
 
     def __init__(
@@ -27,55 +34,76 @@
         sink: BinaryIO,
         settings: api.Settings,
         seed: int,
-        most_owed: int = MOST_OWED,
+        max_pending: int = MOST_OWED,
         memory: Memory | None = None,
     ) -> None:
         self._sink = sink
-        plain = msgspec.to_builtins(settings, builtin_types=(bytes,))
-        self._write([plain, seed, most_owed, memory])
+        self._write([encode(settings), seed, max_pending, encode(memory), VERSION])
 
     def _write(self, record: object) -> None:
         data = _ENCODER.encode(record)
-        self._sink.write(len(data).to_bytes(4, "big") + data)
+        self._sink.write(len(data).to_bytes(_LENGTH_BYTES, "big") + data)
 
     def __call__(self, now: float, inputs: list[Input], effects: list[Effect]) -> None:
-        plain = [[type(i).__name__, i] for i in inputs]
-        self._write([now, plain, [describe(e) for e in effects]])
+        """Write one step."""
+        self._write([now, [encode_input(i) for i in inputs], [describe(e) for e in effects]])
+
+
+@dataclass(frozen=True, slots=True)
+class ReplayedStep:
+    """One step of a recording: the effects recorded and those that the present code has, as text."""
 
+    time: float
+    recorded: list[str]
+    replayed: list[str]
 
-def describe(effect: Effect) -> str:
-    """An effect as text; equal effects read alike."""
-    return repr(effect)
+    @property
+    def is_equal(self) -> bool:
+        """Whether both did the same; log lines count by their presence, not by their text."""
+        return without_log_texts(self.recorded) == without_log_texts(self.replayed)
 
 
 def _records(source: BinaryIO) -> Iterator[Any]:
     number = 0
-    while head := source.read(4):
-        data = source.read(int.from_bytes(head, "big"))
-        if len(head) < 4 or len(data) < int.from_bytes(head, "big"):
+    while head := source.read(_LENGTH_BYTES):
+        length = int.from_bytes(head, "big")
+        data = source.read(length)
+        if len(head) < _LENGTH_BYTES or len(data) < length:
             return  # the process was killed while it wrote: the whole records before count
         try:
             yield msgspec.msgpack.decode(data)
         except msgspec.DecodeError as error:
-            raise JournalError(f"step {number} does not decode: {error}") from None
+            raise RecordingError(f"step {number} does not decode: {error}") from error
         number += 1
 
 
-def replay(path: Path) -> Iterator[tuple[float, list[str], list[str]]]:
-    """Each step's time, the effects recorded and those that the library has now. JournalError as above."""
+def replay(path: Path) -> Iterator[ReplayedStep]:
+    """Play a recording through a new dispatcher, step by step.
+
+    Raises:
+        RecordingError: the file is no recording, is of a newer version, or a step cannot be read.
+        OSError: the file cannot be read.
+    """
     with path.open("rb") as source:
         records = _records(source)
-        try:
-            raw, seed, most_owed, *rest = next(records)
-            memory = msgspec.convert(rest[0], Memory) if rest and rest[0] is not None else None
-            settings = msgspec.convert(raw, api.Settings)
-        except (StopIteration, ValueError, TypeError, msgspec.ValidationError) as error:
-            raise JournalError(f"{path} has no settings at its start: {error}") from None
-        keeping = memory is not None
-        dispatcher = Dispatcher(settings, seed, most_owed=most_owed, memory=memory, keeping=keeping)
+        dispatcher = _recorded_dispatcher(path, next(records, None))
         for number, (now, plain, recorded) in enumerate(records):
             try:
-                inputs = [msgspec.convert(fields, _BY_NAME[name]) for name, fields in plain]
+                inputs = [decode_input(name, fields) for name, fields in plain]
             except (KeyError, msgspec.ValidationError) as error:
-                raise JournalError(f"step {number} has an input that is not known: {error}") from None
-            yield now, recorded, [describe(e) for e in dispatcher.step(now, inputs)]
+                raise RecordingError(f"step {number} has an input that is not known: {error}") from error
+            yield ReplayedStep(now, recorded, [describe(e) for e in dispatcher.step(now, inputs)])
+
+
+def _recorded_dispatcher(path: Path, header: Any) -> Dispatcher:
+    """Build the dispatcher that a recording's first record describes."""
+    try:
+        plain, seed, max_pending, *optional = header
+        memory = decode(optional[0], Memory) if optional and optional[0] is not None else None
+        settings = decode(plain, api.Settings)
+    except (ValueError, TypeError, msgspec.ValidationError) as error:
+        raise RecordingError(f"{path} has no settings at its start: {error}") from error
+    version = optional[1] if len(optional) > 1 else VERSION
+    if version != VERSION:
+        raise RecordingError(f"{path} is a recording of version {version}; this program reads {VERSION}")
+    return Dispatcher(settings, seed, most_owed=max_pending, memory=memory, keeping=memory is not None)
--- /dev/null
+++ b/saffronlane/dispatch/recording_forms.py
@@ -0,0 +1,168 @@
+"""Names under which a recording keeps settings, inputs and effects.
+
+They are constants apart from the names in the code: renaming a class or a field leaves the disk as it is.
+Each form lists the names of a class's fields in the order of the class. A field that is added at the end of a
+class needs a name here; one that is added elsewhere, or removed, needs a new version of the recording.
+"""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from .. import interface as api
+from ..knowledge import Memory, Moment
+from ..storage import Change, Entry
+from . import effects as fx
+from . import inputs as inp
+
+
+class RecordForm(NamedTuple):
+    """The name of a class on disk, and those of its fields in order."""
+
+    name: str
+    fields: tuple[str, ...]
+
+
+_SETTINGS = {
+    api.ClassSettings: RecordForm(
+        "ClassSettings",
+        (
+            "name",
+            "aim",
+            "deadline",
+            "value",
+            "late_value",
+            "aim_stretch",
+            "threads",
+            "effect",
+            "group",
+            "key_ttl",
+            "ordered",
+            "stream",
+            "is_load",
+            "waits_for_loads",
+            "zones_only",
+            "kinds_only",
+        ),
+    ),
+    api.KindSettings: RecordForm("KindSettings", ("name", "cores", "memory_mb")),
+    api.TenantSettings: RecordForm("TenantSettings", ("name", "allowance", "share")),
+    api.Guarantees: RecordForm(
+        "Guarantees",
+        (
+            "answer_slack",
+            "drain_grace",
+            "fall_multiple",
+            "fall_window",
+            "cold_share",
+            "cold_time",
+            "order_settle",
+            "budget_free",
+            "budget_ratio",
+            "budget_window",
+            "ask_within",
+        ),
+    ),
+    api.Limits: RecordForm(
+        "Limits",
+        (
+            "cancel",
+            "second_copies",
+            "probing",
+            "probe_price",
+            "peers",
+            "retry_after",
+            "max_attempts",
+            "max_retry_after",
+            "connect_timeout",
+            "max_streams",
+        ),
+    ),
+    api.Settings: RecordForm(
+        "Settings",
+        (
+            "classes",
+            "kinds",
+            "gateways",
+            "position",
+            "zone",
+            "zones",
+            "tenants",
+            "guarantees",
+            "limits",
+            "grants_heeded",
+            "priorities_heeded",
+            "largest_grant_share",
+            "memory_short",
+            "note_period",
+            "work_told",
+            "over_share_worth",
+            "ask_for_list",
+            "report_columns",
+            "zone_price",
+            "tick",
+        ),
+    ),
+}
+_STORED = {
+    Change: RecordForm("Change", ("key", "entry")),
+    Entry: RecordForm("Entry", ("version", "value")),
+    Memory: RecordForm("Memory", ("entries", "now")),
+    Moment: RecordForm("Moment", ("mono", "wall", "boot", "place")),
+}
+_INPUTS = {
+    inp.Submit: RecordForm(
+        "Submit",
+        (
+            "request",
+            "cls",
+            "remaining",
+            "tenant",
+            "key",
+            "cost",
+            "memory_mb",
+            "tables",
+            "repeat",
+            "write",
+            "identity",
+        ),
+    ),
+    inp.ResultReady: RecordForm("ResultReady", ("request", "attempt")),
+    inp.AttemptDone: RecordForm(
+        "AttemptDone", ("request", "attempt", "outcome", "elapsed", "work", "memory_mb", "report", "fault")
+    ),
+    inp.AttemptNote: RecordForm("AttemptNote", ("request", "attempt", "kind", "amount")),
+    inp.ClientLeft: RecordForm("ClientLeft", ("request",)),
+    inp.Attach: RecordForm("Attach", ("memory",)),
+    inp.Forget: RecordForm("Forget", ("what",)),
+    inp.StopTaking: RecordForm("StopTaking", ("grace",)),
+    inp.StopNow: RecordForm("StopNow", ()),
+    api.EngineEntry: RecordForm(
+        "EngineEntry", ("engine", "state", "started", "zone", "kind", "cell", "weight")
+    ),
+    api.ListUpdate: RecordForm("ListUpdate", ("mode", "version", "entries")),
+    api.ProbeResult: RecordForm("ProbeResult", ("engine", "outcome", "elapsed", "report")),
+    api.PeerMessage: RecordForm("PeerMessage", ("sender", "data")),
+}
+_EFFECTS = {
+    fx.StartAttempt: RecordForm(
+        "StartAttempt", ("request", "attempt", "engine", "timeout", "grant_mb", "priority", "ahead")
+    ),
+    fx.Keep: RecordForm("Keep", ("changes", "ahead")),
+    fx.CancelAttempt: RecordForm("CancelAttempt", ("request", "attempt")),
+    fx.DiscardAttempt: RecordForm("DiscardAttempt", ("request", "attempt")),
+    fx.RecallAttempt: RecordForm("RecallAttempt", ("request", "attempt")),
+    fx.Commit: RecordForm("Commit", ("request", "attempt")),
+    fx.Serve: RecordForm("Serve", ("request", "attempt", "fault")),
+    fx.RefuseRequest: RecordForm("RefuseRequest", ("request", "retry_after", "why")),
+    fx.FailRequest: RecordForm("FailRequest", ("request", "why")),
+    api.Probe: RecordForm("Probe", ("engine",)),
+    api.CloseIdle: RecordForm("CloseIdle", ("engine",)),
+    api.Tell: RecordForm("Tell", ("peer", "data")),
+    api.FetchList: RecordForm("FetchList", ()),
+    api.Subscribe: RecordForm("Subscribe", ("on",)),
+    api.Log: RecordForm("Log", ("text",)),
+}
+
+FORMS: dict[type, RecordForm] = {**_SETTINGS, **_STORED, **_INPUTS, **_EFFECTS}
+INPUT_BY_NAME: dict[str, type] = {form.name: kind for kind, form in _INPUTS.items()}
