--- a/saffronlane/dispatch/recording_schema.py
+++ b/saffronlane/dispatch/recording_schema.py
@@ -28,7 +28,7 @@
 
 
 _FIELD_NAMES: dict[type, tuple[str, ...]] = {kind: _names_in_code(kind) for kind in FORMS}
-_TYPE_HINTS: dict[type, dict[str, Any]] = {kind: typing.get_TYPE_HINTS[kind] for kind in FORMS}
+_TYPE_HINTS: dict[type, dict[str, Any]] = {kind: typing.get_type_hints(kind) for kind in FORMS}
 
 
 def encode(value: object) -> object:
@@ -104,5 +104,8 @@
     if not isinstance(plain, dict):
         return plain
     code_names: dict[str, str] = dict(zip(FORMS[kind].fields, names, strict=True))
-    renamed = {code_names[name] if name in code_names else name: part for name, part in plain.items()}
-    return {name: _renamed(part, hints.get(name)) for name, part in renamed.items()}
+    renamed: dict[str, Any] = {}
+    for name, part in plain.items():
+        code_name: str = code_names.get(name, name)
+        renamed[code_name] = _renamed(part, hints.get(code_name))
+    return renamed
