--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -88,10 +88,10 @@
         return (time.process_time() - began) / count
 
     first, again = queries(200, 200), queries(2000, 50)
-    engine = messages.engine_mark(b"s-00000001")
+    engine = messages.engine_digest(b"s-00000001")
     began = time.process_time()
     for n in range(4000):
-        message = messages.Message(n % 256, 3, False, 7, 2.0, 0.01, engine)
+        message = messages.GossipMessage(n % 256, 3, False, 7, 2.0, 0.01, engine)
         core.step(now, [api.PeerMessage(n % 900 + 10, messages.encode(message))])
     message_cost = (time.process_time() - began) / 4000
     grown = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0 - base
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -37,17 +37,28 @@
 SPANS = (5.0, 15.0, 30.0)
 SETTINGS = api.Settings(
     classes=(
-        api.ClassSettings("lookup", aim=0.6, deadline=3.0, aim_stretch=2.0),
+        api.ClassSettings("lookup", latency_objective=0.6, deadline=3.0, latency_objective_per_work=2.0),
         api.ClassSettings(
-            "report", aim=1.5, deadline=8.0, value=5.0, late_value=0.3, aim_stretch=2.5, threads=2
+            "report",
+            latency_objective=1.5,
+            deadline=8.0,
+            priority_weight=5.0,
+            late_priority_weight=0.3,
+            latency_objective_per_work=2.5,
+            threads=2,
         ),
     ),
-    kinds=(api.KindSettings("std", CORES, 4096.0),),
-    gateways=GATEWAYS,
-    guarantees=api.Guarantees(fall_multiple=3.0, fall_window=2.0, cold_share=0.4, cold_time=8.0),
-    limits=api.Limits(cancel=True, max_attempts=3, retry_after=True, max_retry_after=2.0),
-    note_period=NOTES,
-    work_told=True,
+    machine_types=(api.MachineType("std", CORES, 4096.0),),
+    gateway_count=GATEWAYS,
+    guarantees=api.Guarantees(
+        slow_start_overload_factor=3.0,
+        slow_start_overload_window=2.0,
+        slow_start_initial_ratio=0.4,
+        slow_start_duration=8.0,
+    ),
+    limits=api.Limits(can_cancel=True, max_attempts=3, sends_retry_after=True, max_retry_after=2.0),
+    progress_interval=NOTES,
+    reports_work=True,
     report_columns=("active",),
 )
 WORKS = ((0.05, 0.6), (0.8, 0.7))  # mean work in seconds, and its deviation as a logarithm
@@ -127,7 +138,7 @@
             self.tell_list()
 
         def gone() -> None:
-            engine.state = api.EngineState.GONE
+            engine.state = api.EngineState.REMOVED
             for one in list(engine.running.values()):
                 self.end(one, api.Outcome.RESET)
             self.tell_list()
@@ -145,12 +156,12 @@
         return tuple(
             api.EngineEntry(b"e%d" % n, e.state, e.started)
             for n, e in enumerate(self.engines)
-            if e.state is not api.EngineState.GONE
+            if e.state is not api.EngineState.REMOVED
         )
 
     def tell_list(self) -> None:
         for inputs in self.inputs:
-            inputs.append(api.ListUpdate(api.ListMode.FULL, 1, self.entries()))
+            inputs.append(api.EndpointListUpdate(api.EndpointListMode.FULL, 1, self.entries()))
 
     def look_at(self, number: int) -> None:
         """Ask again when the engine's next run ends."""
@@ -168,7 +179,7 @@
         engine = self.engines[number]
         engine.machine.advance(self.now)
         for one in engine.running.values():
-            note = d.AttemptNote(one.request, one.attempt, api.NoteKind.PROGRESS, one.run.progress)
+            note = d.AttemptNote(one.request, one.attempt, api.ProgressKind.PROGRESS, one.run.progress)
             self.inputs[one.gateway].append(note)
         self.look_at(number)
         self.at(self.now + NOTES, lambda: self.note(number))
@@ -192,11 +203,11 @@
 
     def start(self, number: int, folder: Folder, wall: float) -> None:
         memory = Memory(tuple(folder.items()), Moment(self.now, wall, "boot", "place"))
-        settings = replace(SETTINGS, position=number)
+        settings = replace(SETTINGS, gateway_index=number)
         core = self.cores[number] = d.Dispatcher(settings, self.seed, memory=memory, keeping=True)
         self.folders[number] = folder
         self.write(number, core.first_changes)
-        self.inputs[number] = [api.ListUpdate(api.ListMode.FULL, 1, self.entries())]
+        self.inputs[number] = [api.EndpointListUpdate(api.EndpointListMode.FULL, 1, self.entries())]
 
     def write(self, number: int, changes: object) -> None:
         for change in changes:  # type: ignore[attr-defined]
@@ -224,7 +235,7 @@
             return  # it is down for all conditions alike
         request = core.new_request()
         self.asked[gateway, request] = (self.now, cls, work)
-        self.worth.append((self.now, settings.value, 0.0))
+        self.worth.append((self.now, settings.priority_weight, 0.0))
         self.inputs[gateway].append(d.Submit(request, cls, settings.deadline, tables=tables))
 
     def answer(self, gateway: int, request: int, served: bool) -> None:
@@ -233,9 +244,9 @@
             return
         at, cls, work = asked
         settings = SETTINGS.classes[cls]
-        wanted = settings.aim + settings.aim_stretch * work / settings.threads
-        share = 1.0 if self.now - at <= wanted else settings.late_value
-        self.worth.append((at, 0.0, share * settings.value))
+        wanted = settings.latency_objective + settings.latency_objective_per_work * work / settings.threads
+        share = 1.0 if self.now - at <= wanted else settings.late_priority_weight
+        self.worth.append((at, 0.0, share * settings.priority_weight))
 
     def step(self, number: int) -> None:
         core = self.cores[number]
@@ -262,7 +273,7 @@
         one = Running(number, effect.request, effect.attempt, target, run, self.now)
         self.out[number, effect.request, effect.attempt] = one
         broken = target == 1 and self.random.random() < 0.6
-        if engine.state is api.EngineState.GONE or broken:
+        if engine.state is api.EngineState.REMOVED or broken:
             one.ended = True
             del self.out[number, effect.request, effect.attempt]
             done = d.AttemptDone(effect.request, effect.attempt, api.Outcome.RESET, 0.01)
@@ -273,7 +284,7 @@
             for other in list(engine.running.values()):
                 self.end(other, api.Outcome.RESET)
             engine.machine = Machine(engine.machine.shape, self.now + 1e6)
-            engine.state = api.EngineState.GONE
+            engine.state = api.EngineState.REMOVED
             self.tell_list()
         self.at(self.now + effect.timeout, lambda: self.end(one, api.Outcome.TIMEOUT))
         self.look_at(target)
--- a/benchmarks/step.py
+++ b/benchmarks/step.py
@@ -17,17 +17,17 @@
 def fleet(engines: int, gateways: int) -> d.Dispatcher:
     settings = api.Settings(
         classes=(api.ClassSettings("lookup", 1.0, 30.0), api.ClassSettings("report", 3.0, 60.0, threads=4)),
-        kinds=(api.KindSettings("any", 8.0, 32_768.0),),
-        gateways=gateways,
-        limits=api.Limits(cancel=True, max_attempts=3, retry_after=True, max_retry_after=2.0),
-        guarantees=api.Guarantees(budget_free=3.0, budget_ratio=0.2, budget_window=10.0),
+        machine_types=(api.MachineType("any", 8.0, 32_768.0),),
+        gateway_count=gateways,
+        limits=api.Limits(can_cancel=True, max_attempts=3, sends_retry_after=True, max_retry_after=2.0),
+        guarantees=api.Guarantees(retry_budget_base=3.0, retry_budget_ratio=0.2, retry_budget_window=10.0),
         report_columns=("active",),
-        work_told=True,
-        note_period=1.0,
+        reports_work=True,
+        progress_interval=1.0,
     )
     core = d.Dispatcher(settings, 1)
     entries = tuple(api.EngineEntry(b"e%d" % n, api.EngineState.READY) for n in range(engines))
-    core.step(0.0, [api.ListUpdate(api.ListMode.FULL, 1, entries)])
+    core.step(0.0, [api.EndpointListUpdate(api.EndpointListMode.FULL, 1, entries)])
     return core
 
 
--- a/saffronlane/config/engines.py
+++ b/saffronlane/config/engines.py
@@ -31,7 +31,7 @@
     problems = problems_of(value, "engines")
     if problems:
         raise ConfigError(source, problems)
-    kinds = [kind.name for kind in config.settings.kinds]
+    kinds = [kind.name for kind in config.settings.machine_types]
     zones = list(config.settings.zones)
     records: list[EngineRecord] = []
     seen: dict[str, int] = {}
--- a/saffronlane/daemon.py
+++ b/saffronlane/daemon.py
@@ -44,7 +44,7 @@
         if config.record is not None:
             path = config.record
             if share_port:
-                path = path.with_name(f"{path.name}.{config.settings.position}")
+                path = path.with_name(f"{path.name}.{config.settings.gateway_index}")
             self._record = path.open("wb")
             recording = RecordingWriter(self._record, config.settings, seed, config.most_owed, memory)
         self.view = View(self._loop.time, time.time)
@@ -60,9 +60,9 @@
         self.peers = None
         if config.peer_listen is not None:
             self.peers = Peers(
-                config.peer_listen, config.peer_addresses, config.settings.position, self._on_peer
+                config.peer_listen, config.peer_addresses, config.settings.gateway_index, self._on_peer
             )
-        self.links = FlightLinks(limits, self.view.address, str(config.settings.position))
+        self.links = FlightLinks(limits, self.view.address, str(config.settings.gateway_index))
         self.executor = Executor(
             self.dispatcher,
             self.links,
@@ -110,7 +110,7 @@
             flight_sql=f"grpc://{self.config.host}:{self.port}",
             host=self.config.host,
             port=self.port,
-            position=self.config.settings.position,
+            position=self.config.settings.gateway_index,
         )
 
     def stop(self) -> None:
--- a/saffronlane/dispatch/core.py
+++ b/saffronlane/dispatch/core.py
@@ -105,15 +105,15 @@
             inp.Attach: self._on_attach,
             inp.StopTaking: self._on_stop_taking,
             inp.StopNow: self._on_stop_now,
-            api.ListUpdate: self._on_list,
+            api.EndpointListUpdate: self._on_list,
             api.ProbeResult: lambda event: [event],
             api.PeerMessage: lambda event: [event],
         }
         self._doers: dict[type, Callable[[Any], None]] = {
-            api.Send: self._send,
-            api.SetTerms: self._set_terms,
+            api.Dispatch: self._send,
+            api.SetResourceGrant: self._set_terms,
             api.Cancel: self._cancel,
-            api.Refuse: self._refuse,
+            api.Reject: self._refuse,
             api.Fail: self._fail,
             api.SetTimer: self._set_timer,
         }
@@ -150,7 +150,7 @@
     @property
     def held(self) -> int:
         """Requests that wait for an engine."""
-        return len(self.gateway.owed.held)
+        return len(self.gateway.owed.queued)
 
     def step(self, now: float, inputs: list[inp.Input]) -> list[fx.Effect]:
         """Take in all that happened up to `now`, in order; return what to do, in order.
@@ -213,7 +213,11 @@
     def _first_list(self, events: list[api.Event]) -> tuple[api.EngineEntry, ...]:
         """The engines of the list that is the first to name any."""
         for event in events if not self._listed else ():
-            if isinstance(event, api.ListUpdate) and event.mode is not api.ListMode.FAILED and event.entries:
+            if (
+                isinstance(event, api.EndpointListUpdate)
+                and event.mode is not api.EndpointListMode.FAILED
+                and event.entries
+            ):
                 return event.entries
         return ()
 
@@ -221,7 +225,7 @@
         """Answers tell whether what was recalled holds, and so does their absence."""
         for event in events:
             if isinstance(event, api.Arrival):
-                self.keeper.asked(self.gateway, event.cls)
+                self.keeper.asked(self.gateway, event.class_index)
             elif isinstance(event, api.AttemptEnded) and event.outcome is api.Outcome.OK:
                 request = self._requests[event.request]
                 said = self.keeper.answered(
@@ -255,7 +259,9 @@
         self._listed = bool(entries)
         if entries:
             self.keeper.before_list(self.gateway, entries)
-            actions = self.gateway.step(now, [api.ListUpdate(api.ListMode.FULL, self._version, entries)])
+            actions = self.gateway.step(
+                now, [api.EndpointListUpdate(api.EndpointListMode.FULL, self._version, entries)]
+            )
             self.keeper.after_list(self.gateway)
             for action in actions:
                 if isinstance(action, api.SetTimer):
@@ -273,7 +279,7 @@
             wait = min(max(0.0, self._stop_at - self._now), self.settings.limits.max_retry_after)
             return self._turn_away(request, wait, "the gateway is stopping")
         if self._owed > self.most_owed:
-            wait = self.settings.limits.max_retry_after if self.settings.limits.retry_after else 0.0
+            wait = self.settings.limits.max_retry_after if self.settings.limits.sends_retry_after else 0.0
             return self._turn_away(request, wait, f"{self.most_owed} requests wait already")
         earlier = self.keeper.ledger.earlier(event.identity, self._now) if event.identity else None
         request.repeated = earlier is not None
@@ -356,21 +362,21 @@
         request, attempt = self._find(event.request, event.attempt)
         if request is None or attempt is None or attempt.done:
             return []
-        return [api.Note(request.id, attempt.n, attempt.engine, event.kind, event.amount)]
+        return [api.ProgressReport(request.id, attempt.n, attempt.engine, event.kind, event.amount)]
 
     def _on_left(self, event: inp.ClientLeft) -> list[api.Event]:
         request = self._requests.get(event.request)
         if request is None or request.ended:
             return []
         self._end(request, None)
-        return [api.ClientGone(event.request)]
+        return [api.ClientDisconnected(event.request)]
 
-    def _on_list(self, event: api.ListUpdate) -> list[api.Event]:
-        if event.mode is not api.ListMode.FAILED:
-            if event.mode is not api.ListMode.DELTA:
+    def _on_list(self, event: api.EndpointListUpdate) -> list[api.Event]:
+        if event.mode is not api.EndpointListMode.FAILED:
+            if event.mode is not api.EndpointListMode.DELTA:
                 self._engines.clear()
             for entry in event.entries:  # in order: one may be named twice
-                if entry.state is api.EngineState.GONE:  # nothing of it stays: new ones come for ever
+                if entry.state is api.EngineState.REMOVED:  # nothing of it stays: new ones come for ever
                     self._engines.pop(entry.engine, None)
                 else:
                     self._engines[entry.engine] = entry
@@ -403,11 +409,11 @@
 
     def _on_stop_now(self, event: inp.StopNow) -> list[api.Event]:
         self._stop_at = min(self._now, self._stop_at or self._now)
-        return [api.Stop()]
+        return [api.Shutdown()]
 
     # --- what was decided ---
 
-    def _send(self, action: api.Send) -> None:
+    def _send(self, action: api.Dispatch) -> None:
         request = self._requests.get(action.request)
         if request is None or request.ended:
             self._effects.append(api.Log(f"send for request {action.request}, which has ended, was dropped"))
@@ -424,9 +430,9 @@
             fx.StartAttempt(request.id, attempt.n, action.engine, action.timeout, grant, priority, wait)
         )
 
-    def _set_terms(self, action: api.SetTerms) -> None:
+    def _set_terms(self, action: api.SetResourceGrant) -> None:
         if action.request in self._requests:
-            self._requests[action.request].terms = (action.grant_mb, action.priority)
+            self._requests[action.request].terms = (action.memory_mb, action.priority)
 
     def _cancel(self, action: api.Cancel) -> None:
         request, attempt = self._find(action.request, action.attempt)
@@ -438,11 +444,11 @@
         if attempt.done or attempt.cancelled:
             return
         attempt.cancelled = True
-        may = self.settings.limits.cancel
+        may = self.settings.limits.can_cancel
         kind = fx.CancelAttempt if may else fx.DiscardAttempt
         self._effects.append(kind(request.id, attempt.n))
 
-    def _refuse(self, action: api.Refuse) -> None:
+    def _refuse(self, action: api.Reject) -> None:
         why = "no engine can serve it in time"
         self._answer(action.request, fx.RefuseRequest(action.request, action.retry_after, why))
 
@@ -474,4 +480,4 @@
             self._closing.discard(request.id)
 
     def _set_timer(self, action: api.SetTimer) -> None:
-        heapq.heappush(self._timers, (action.at, action.token))
+        heapq.heappush(self._timers, (action.deadline, action.token))
--- a/saffronlane/dispatch/effects.py
+++ b/saffronlane/dispatch/effects.py
@@ -97,10 +97,10 @@
     | Serve
     | RefuseRequest
     | FailRequest
-    | api.Probe
-    | api.CloseIdle
-    | api.Tell
-    | api.FetchList
+    | api.ProbeLoad
+    | api.CloseIdleConnections
+    | api.SendGossip
+    | api.PollEndpoints
     | api.Subscribe
     | api.Log
 )
--- a/saffronlane/dispatch/inputs.py
+++ b/saffronlane/dispatch/inputs.py
@@ -51,7 +51,7 @@
 class AttemptNote:
     request: int
     attempt: int
-    kind: api.NoteKind
+    kind: api.ProgressKind
     amount: float
 
 
@@ -96,7 +96,7 @@
     | Attach
     | StopTaking
     | StopNow
-    | api.ListUpdate
+    | api.EndpointListUpdate
     | api.ProbeResult
     | api.PeerMessage
 )
@@ -110,7 +110,7 @@
     Forget,
     StopTaking,
     StopNow,
-    api.ListUpdate,
+    api.EndpointListUpdate,
     api.ProbeResult,
     api.PeerMessage,
 )
--- a/saffronlane/dispatch/recording_forms.py
+++ b/saffronlane/dispatch/recording_forms.py
@@ -45,7 +45,7 @@
             "kinds_only",
         ),
     ),
-    api.KindSettings: RecordForm("KindSettings", ("name", "cores", "memory_mb")),
+    api.MachineType: RecordForm("KindSettings", ("name", "cores", "memory_mb")),
     api.TenantSettings: RecordForm("TenantSettings", ("name", "allowance", "share")),
     api.Guarantees: RecordForm(
         "Guarantees",
@@ -140,7 +140,7 @@
     api.EngineEntry: RecordForm(
         "EngineEntry", ("engine", "state", "started", "zone", "kind", "cell", "weight")
     ),
-    api.ListUpdate: RecordForm("ListUpdate", ("mode", "version", "entries")),
+    api.EndpointListUpdate: RecordForm("ListUpdate", ("mode", "version", "entries")),
     api.ProbeResult: RecordForm("ProbeResult", ("engine", "outcome", "elapsed", "report")),
     api.PeerMessage: RecordForm("PeerMessage", ("sender", "data")),
 }
@@ -156,10 +156,10 @@
     fx.Serve: RecordForm("Serve", ("request", "attempt", "fault")),
     fx.RefuseRequest: RecordForm("RefuseRequest", ("request", "retry_after", "why")),
     fx.FailRequest: RecordForm("FailRequest", ("request", "why")),
-    api.Probe: RecordForm("Probe", ("engine",)),
-    api.CloseIdle: RecordForm("CloseIdle", ("engine",)),
-    api.Tell: RecordForm("Tell", ("peer", "data")),
-    api.FetchList: RecordForm("FetchList", ()),
+    api.ProbeLoad: RecordForm("Probe", ("engine",)),
+    api.CloseIdleConnections: RecordForm("CloseIdle", ("engine",)),
+    api.SendGossip: RecordForm("Tell", ("peer", "data")),
+    api.PollEndpoints: RecordForm("FetchList", ()),
     api.Subscribe: RecordForm("Subscribe", ("on",)),
     api.Log: RecordForm("Log", ("text",)),
 }
--- a/saffronlane/engines/executor.py
+++ b/saffronlane/engines/executor.py
@@ -143,9 +143,9 @@
             d.Serve: self._serve,
             d.RefuseRequest: self._refuse,
             d.FailRequest: self._fail,
-            api.Probe: self._probe,
-            api.CloseIdle: self._close_idle,
-            api.Tell: self._tell,
+            api.ProbeLoad: self._probe,
+            api.CloseIdleConnections: self._close_idle,
+            api.SendGossip: self._tell,
             api.Log: self._say,
         }
         transport.bind(self)
@@ -203,7 +203,7 @@
                 self._never_left(effect)
 
     def _never_left(self, effect: d.StartAttempt) -> None:
-        self.feed(d.AttemptDone(effect.request, effect.attempt, api.Outcome.MOOT, 0.0))
+        self.feed(d.AttemptDone(effect.request, effect.attempt, api.Outcome.NOT_SENT, 0.0))
 
     def _set_timer(self) -> None:
         at = self.dispatcher.next_wake
@@ -289,13 +289,13 @@
         if request.answered and not request.running:
             self._requests.pop(request.id, None)
 
-    def _probe(self, effect: api.Probe) -> None:
+    def _probe(self, effect: api.ProbeLoad) -> None:
         self.transport.probe(effect.engine)
 
-    def _close_idle(self, effect: api.CloseIdle) -> None:
+    def _close_idle(self, effect: api.CloseIdleConnections) -> None:
         self.transport.close_idle(effect.engine)
 
-    def _tell(self, effect: api.Tell) -> None:
+    def _tell(self, effect: api.SendGossip) -> None:
         if self._send_peer is not None:
             self._send_peer(effect.peer, effect.data)
 
--- a/saffronlane/engines/flight.py
+++ b/saffronlane/engines/flight.py
@@ -70,7 +70,7 @@
     def end(self, status: Status) -> None:
         """The final answer. Called once."""
 
-    def note(self, kind: api.NoteKind, amount: float) -> None: ...
+    def note(self, kind: api.ProgressKind, amount: float) -> None: ...
 
 
 @dataclass(slots=True, eq=False)
@@ -133,7 +133,7 @@
         running = attempt
         running.task = self._spawn(self._run(running))
         # Guards against a cancel before the task's first turn: its body never runs then, and tells nothing.
-        running.task.add_done_callback(lambda _: self._done(running, Verdict(api.Outcome.MOOT)))
+        running.task.add_done_callback(lambda _: self._done(running, Verdict(api.Outcome.NOT_SENT)))
 
     def _spawn(self, work: object) -> asyncio.Task[None]:
         task: asyncio.Task[None] = self._loop.create_task(work)  # type: ignore[arg-type]
@@ -239,12 +239,12 @@
             verdict = Verdict(api.Outcome.RESET if running.left else api.Outcome.CONNECT_FAILED)
         except (DecodeError, RpcError) as error:
             running.request.last_error = str(error)
-            verdict = Verdict(api.Outcome.ERROR if running.left else api.Outcome.MOOT)
+            verdict = Verdict(api.Outcome.ERROR if running.left else api.Outcome.NOT_SENT)
         except Exception as error:
             log.exception("attempt failed", request=running.request.id, attempt=running.n)
             running.request.last_error = repr(error)
             await self._stopped(running, api.Outcome.RESET)
-            verdict = Verdict(api.Outcome.RESET if running.left else api.Outcome.MOOT)
+            verdict = Verdict(api.Outcome.RESET if running.left else api.Outcome.NOT_SENT)
         self._done(running, verdict)
 
     def _done(self, running: _Running, verdict: Verdict) -> None:
@@ -279,7 +279,7 @@
             elif channel is not None and not running.passing:
                 with contextlib.suppress(asyncio.CancelledError):  # cancelled once more: it stays as it is
                     await channel.ping(self._limits.cancel_wait)
-        return Verdict(outcome if running.left else api.Outcome.MOOT)
+        return Verdict(outcome if running.left else api.Outcome.NOT_SENT)
 
     async def _talk(self, running: _Running) -> Verdict:
         """The whole exchange of an attempt with its engine."""
--- a/saffronlane/engines/orca.py
+++ b/saffronlane/engines/orca.py
@@ -13,13 +13,17 @@
 import msgspec
 from google.protobuf.message import DecodeError
 
-from ..interface import NoteKind
+from ..interface import ProgressKind
 from ..proto.orca_pb2 import OrcaLoadReport
 from ..rpc.metadata import Metadata
 
 TRAILER = "endpoint-load-metrics-bin"
 NOTE_TAG = 0x1A  # field 3 of FlightData, app_metadata
-KINDS = {"progress": NoteKind.PROGRESS, "spilling": NoteKind.SPILLING, "waiting": NoteKind.WAITING}
+KINDS = {
+    "progress": ProgressKind.PROGRESS,
+    "spilling": ProgressKind.SPILLING,
+    "waiting": ProgressKind.WAITING,
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,7 +69,7 @@
 _DECODER = msgspec.json.Decoder(_Note)
 
 
-def read_note(message: bytes) -> tuple[NoteKind, float] | None:
+def read_note(message: bytes) -> tuple[ProgressKind, float] | None:
     """The note in a FlightData message that has nothing but `app_metadata`; None: it is data."""
     if len(message) < 2 or message[0] != NOTE_TAG or message[1] != len(message) - 2 or message[1] > 127:
         return None  # a note is under 128 bytes, so that its length is one byte
--- a/saffronlane/flight/identity.py
+++ b/saffronlane/flight/identity.py
@@ -12,7 +12,7 @@
 from hashlib import blake2b
 
 from ..config import Config
-from ..interface import Effect
+from ..interface import Idempotency
 from ..rpc import Code, Metadata
 from ..rpc.status import error
 from .sessions import Option, Session
@@ -87,10 +87,10 @@
         index = cls or 0
         known = self._config.settings.classes[index]
         key = said.get("key", "")
-        if known.effect is Effect.KEYED and not key:
+        if known.idempotency is Idempotency.KEYED and not key:
             text = f"class {known.name} is keyed: header {PREFIX}key or session option key is needed"
             raise error(Code.INVALID_ARGUMENT, text, "KEY_NEEDED")
-        if statement.writes and known.effect is Effect.SAFE:
+        if statement.writes and known.idempotency is Idempotency.SAFE:
             # Guards against an effect done twice: a class whose queries may be repeated is no place for one.
             text = f"the statement writes, and class {known.name} may repeat it: use a keyed or unsafe class"
             raise error(Code.FAILED_PRECONDITION, text, "WRITE_IN_SAFE_CLASS")
--- a/saffronlane/flight/sinks.py
+++ b/saffronlane/flight/sinks.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections import deque
 
-from ..interface import NoteKind
+from ..interface import ProgressKind
 from ..rpc import ServerCall, Status
 
 
@@ -27,7 +27,7 @@
         if not self.over.done():
             self.over.set_result(None)
 
-    def note(self, kind: NoteKind, amount: float) -> None:
+    def note(self, kind: ProgressKind, amount: float) -> None:
         return None
 
 
@@ -64,8 +64,8 @@
         self.ready.set()
         self._more.set()
 
-    def note(self, kind: NoteKind, amount: float) -> None:
-        if kind is NoteKind.PROGRESS:
+    def note(self, kind: ProgressKind, amount: float) -> None:
+        if kind is ProgressKind.PROGRESS:
             self.progress = max(self.progress, min(1.0, amount))
 
     async def pour(self, call: ServerCall) -> Status:
--- a/saffronlane/http2/connection.py
+++ b/saffronlane/http2/connection.py
@@ -18,7 +18,7 @@
 import hpack
 from hpack.hpack import encode_integer
 
-from ..state import Bucket
+from ..state import TokenBucket
 from . import frames
 from .errors import ErrorCode, ProtocolError, StreamError
 from .events import (
@@ -113,7 +113,7 @@
         self._peer_frame = frames.DEFAULT_FRAME_SIZE
         self._receive_window = self.limits.connection_window
         self._owed = 0
-        self._resets, self._idles = Bucket(), Bucket()
+        self._resets, self._idles = TokenBucket(), TokenBucket()
         self._born = self._heard_at = now
         self._pinged_at: float | None = None
         self._goaway_sent: int | None = None
@@ -195,7 +195,7 @@
             self._close_stream(error.stream_id, error.code)
 
     def _idle(self, what: str) -> None:
-        if self._idles.passes(self._now, self.limits.idle_rate, self.limits.idle_depth):
+        if self._idles.overflows(self._now, self.limits.idle_rate, self.limits.idle_depth):
             raise ProtocolError(f"too many {what}", ErrorCode.ENHANCE_YOUR_CALM)
 
     def _on_data(self, received: Frame) -> None:
@@ -329,7 +329,7 @@
     def _on_reset(self, received: Frame) -> None:
         code = frames.read_long(received.payload, "RST_STREAM")
         self._known(received.stream_id, "RST_STREAM")
-        if not self.client and self._resets.passes(
+        if not self.client and self._resets.overflows(
             self._now, self.limits.reset_rate, self.limits.reset_depth
         ):
             raise ProtocolError("too many resets", ErrorCode.ENHANCE_YOUR_CALM)
--- a/saffronlane/interface.py
+++ b/saffronlane/interface.py
@@ -21,35 +21,35 @@
     CONNECT_FAILED = 5  # certainly never ran
     RESET = 6
     CANCELLED = 7
-    MOOT = 8  # never sent; certainly never ran
+    NOT_SENT = 8  # never sent; certainly never ran
 
 
 class EngineState(IntEnum):
-    GONE = 0
+    REMOVED = 0
     READY = 1
     DRAINING = 2
 
 
-class ListMode(IntEnum):
+class EndpointListMode(IntEnum):
     DELTA = 0
     FULL = 2
     CACHED = 3
     FAILED = 4
 
 
-class NoteKind(IntEnum):
+class ProgressKind(IntEnum):
     PROGRESS = 1
     SPILLING = 2
     WAITING = 3
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     SAFE = "safe"
     KEYED = "keyed"
     UNSAFE = "unsafe"
 
 
-class MemoryShort(Enum):
+class MemoryOvercommit(Enum):
     """What an engine does when the grants pass its memory."""
 
     WAIT = "wait"  # the query waits in a line
@@ -57,7 +57,7 @@
     PAGE = "page"  # it is let in, and all slow down once memory in use passes what there is
 
 
-class Group(Enum):
+class DeduplicationScope(Enum):
     """Which engines discard the repeat of a keyed request."""
 
     ALL = "all"
@@ -71,25 +71,25 @@
 @dataclass(frozen=True, slots=True)
 class ClassSettings:
     name: str
-    aim: float  # an answer inside aim + aim_stretch x work / threads earns the full worth
+    latency_objective: float  # an answer inside aim + aim_stretch x work / threads earns the full worth
     deadline: float
-    value: float = 1.0
-    late_value: float = 0.0
-    aim_stretch: float = 0.0
+    priority_weight: float = 1.0
+    late_priority_weight: float = 0.0
+    latency_objective_per_work: float = 0.0
     threads: int = 1
-    effect: Effect = Effect.SAFE
-    group: Group = Group.ALL
-    key_ttl: float = 0.0
-    ordered: bool = False
-    stream: bool = False
-    is_load: bool = False  # holds its table group on its engine while it runs
-    waits_for_loads: bool = False
-    zones_only: tuple[int, ...] | None = None
-    kinds_only: tuple[int, ...] | None = None
+    idempotency: Idempotency = Idempotency.SAFE
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    idempotency_ttl: float = 0.0
+    is_ordered: bool = False
+    is_streaming: bool = False
+    is_bulk_load: bool = False  # holds its table group on its engine while it runs
+    waits_for_bulk_loads: bool = False
+    allowed_zones: tuple[int, ...] | None = None
+    allowed_machine_types: tuple[int, ...] | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class KindSettings:
+class MachineType:
     name: str
     cores: float
     memory_mb: float = 0.0
@@ -98,72 +98,72 @@
 @dataclass(frozen=True, slots=True)
 class TenantSettings:
     name: str
-    allowance: float = 0.0  # requests a second over all gateways
-    share: float = 0.0
+    rate_limit: float = 0.0  # requests a second over all gateways
+    quota: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Guarantees:
-    answer_slack: float = 0.02
-    drain_grace: float = 0.0
-    fall_multiple: float = 0.0  # 0: engines do not fall over
-    fall_window: float = 0.0
-    cold_share: float = 1.0
-    cold_time: float = 0.0
-    order_settle: float = 0.0
-    budget_free: float | None = None  # None: further attempts are not rationed
-    budget_ratio: float = 0.0
-    budget_window: float = 0.0
-    ask_within: float = 0.0
+    response_slack: float = 0.02
+    drain_grace_period: float = 0.0
+    slow_start_overload_factor: float = 0.0  # 0: engines do not fall over
+    slow_start_overload_window: float = 0.0
+    slow_start_initial_ratio: float = 1.0
+    slow_start_duration: float = 0.0
+    ordering_cooldown: float = 0.0
+    retry_budget_base: float | None = None  # None: further attempts are not rationed
+    retry_budget_ratio: float = 0.0
+    retry_budget_window: float = 0.0
+    subscribe_deadline: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    cancel: bool = False
-    second_copies: bool = False
-    probing: bool = False
-    probe_price: float = 0.0  # points of service for one probe a query
-    peers: bool = False
-    retry_after: bool = False
+    can_cancel: bool = False
+    hedged_requests: bool = False
+    load_probes: bool = False
+    load_probe_price: float = 0.0  # points of service for one probe a query
+    gossip: bool = False
+    sends_retry_after: bool = False
     max_attempts: int = 1
     max_retry_after: float = 0.0
     connect_timeout: float = 0.0
-    max_streams: int = 0
+    max_concurrent_streams: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
     classes: tuple[ClassSettings, ...]
-    kinds: tuple[KindSettings, ...]
-    gateways: int = 1
-    position: int = 0
+    machine_types: tuple[MachineType, ...]
+    gateway_count: int = 1
+    gateway_index: int = 0
     zone: int = 0
     zones: tuple[str, ...] = ()
     tenants: tuple[TenantSettings, ...] = ()
     guarantees: Guarantees = field(default_factory=Guarantees)
     limits: Limits = field(default_factory=Limits)
-    grants_heeded: bool = False
-    priorities_heeded: bool = False
-    largest_grant_share: float = 1.0
-    memory_short: MemoryShort = MemoryShort.WAIT
-    note_period: float = 0.0  # 0: no notes of progress
-    work_told: bool = False  # answers tell work and memory
-    over_share_worth: float = 1.0
-    ask_for_list: bool = False  # the engine list must be subscribed to
+    memory_grants_enabled: bool = False
+    priorities_enabled: bool = False
+    max_memory_grant_ratio: float = 1.0
+    memory_overcommit: MemoryOvercommit = MemoryOvercommit.WAIT
+    progress_interval: float = 0.0  # 0: no notes of progress
+    reports_work: bool = False  # answers tell work and memory
+    over_quota_weight: float = 1.0
+    subscribes_to_endpoints: bool = False  # the engine list must be subscribed to
     report_columns: tuple[str, ...] = ()
-    zone_price: float = 0.0  # points of service for each query crossing zones once
-    tick: float = 0.0  # least time between two batches
+    cross_zone_price: float = 0.0  # points of service for each query crossing zones once
+    min_step_interval: float = 0.0  # least time between two batches
 
     def __post_init__(self) -> None:
-        if not self.classes or not self.kinds or self.gateways < 1:
+        if not self.classes or not self.machine_types or self.gateway_count < 1:
             raise ValueError("settings need at least one class, one machine kind and one gateway")
-        if any(kind.cores <= 0 for kind in self.kinds) or any(c.threads < 1 for c in self.classes):
+        if any(kind.cores <= 0 for kind in self.machine_types) or any(c.threads < 1 for c in self.classes):
             raise ValueError("every kind needs cores and every class at least one thread")
 
     @property
-    def largest_grant(self) -> float:
+    def max_memory_grant(self) -> float:
         """Memory that one query gets at most; 0: not known."""
-        return max(kind.memory_mb for kind in self.kinds) * self.largest_grant_share
+        return max(kind.memory_mb for kind in self.machine_types) * self.max_memory_grant_ratio
 
 
 # --- events ---------------------------------------------------------------------------------------
@@ -173,44 +173,44 @@
 class EngineEntry:
     engine: bytes
     state: EngineState
-    started: float = 0.0  # 0: long ago
+    started_at: float = 0.0  # 0: long ago
     zone: int = 0
-    kind: int = 0
+    machine_type: int = 0
     cell: int = 0
     weight: float = 1.0
 
 
 @dataclass(frozen=True, slots=True)
-class ListUpdate:
-    mode: ListMode
+class EndpointListUpdate:
+    mode: EndpointListMode
     version: int = 0
     entries: tuple[EngineEntry, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Earlier:
+class PreviousAttempt:
     """An attempt of the same request that may have run, from before it arrived here (again)."""
 
     engine: bytes
-    sent: float
+    sent_at: float
     zone: int = 0
-    kind: int = 0
+    machine_type: int = 0
     cell: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
     request: int
-    cls: int
-    remaining: float  # until the client gives up this try
+    class_index: int
+    timeout: float  # until the client gives up this try
     tenant: int = 0
-    key: int = 0
-    cost: float = 0.0  # told estimate of the work; 0: none
-    memory_mb: float = 0.0  # told estimate of the memory; 0: none
-    tables: float = 0.0
-    repeat: bool = False
-    write: bool = False
-    earlier: Earlier | None = None
+    ordering_key: int = 0
+    estimated_cost: float = 0.0  # told estimate of the work; 0: none
+    estimated_memory_mb: float = 0.0  # told estimate of the memory; 0: none
+    table_group: float = 0.0
+    is_retry: bool = False
+    is_write: bool = False
+    previous_attempt: PreviousAttempt | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -228,23 +228,23 @@
     engine: bytes
     outcome: Outcome
     elapsed: float
-    final: bool = False  # the request is over; nothing is owed any more
+    is_final: bool = False  # the request is over; nothing is owed any more
     work: float = 0.0  # seconds; 0: not told
     memory_mb: float = 0.0
-    report: tuple[float, ...] = ()
+    load_report: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class ClientGone:
+class ClientDisconnected:
     request: int
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class ProgressReport:
     request: int
     attempt: int
     engine: bytes
-    kind: NoteKind
+    kind: ProgressKind
     amount: float
 
 
@@ -254,7 +254,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stop:
+class Shutdown:
     """The gateway ends now: everything that it owes gets its final answer."""
 
 
@@ -263,7 +263,7 @@
     engine: bytes
     outcome: Outcome
     elapsed: float
-    report: tuple[float, ...] = ()
+    load_report: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -273,16 +273,16 @@
 
 
 Event = (
-    ListUpdate
+    EndpointListUpdate
     | Arrival
     | StreamStarted
     | AttemptEnded
-    | ClientGone
-    | Note
+    | ClientDisconnected
+    | ProgressReport
     | TimerFired
     | ProbeResult
     | PeerMessage
-    | Stop
+    | Shutdown
 )
 
 
@@ -290,7 +290,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class Dispatch:
     """Start an attempt; those of a request are numbered 0, 1, 2 ... in the order sent."""
 
     request: int
@@ -299,11 +299,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SetTerms:
+class SetResourceGrant:
     """Grant (0: the engine's choice) and priority (0 to 3) of the request's next send."""
 
     request: int
-    grant_mb: float
+    memory_mb: float
     priority: int
 
 
@@ -314,7 +314,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class Reject:
     """Final answer: not done, safe to try again after the advised wait."""
 
     request: int
@@ -331,21 +331,21 @@
 @dataclass(frozen=True, slots=True)
 class SetTimer:
     token: int
-    at: float
+    deadline: float
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
+class ProbeLoad:
     engine: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class CloseIdle:
+class CloseIdleConnections:
     engine: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendGossip:
     """Send at most 256 bytes to the gateway at a position; None: to all."""
 
     peer: int | None
@@ -354,11 +354,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    on: bool
+    is_enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
-class FetchList:
+class PollEndpoints:
     pass
 
 
@@ -368,16 +368,16 @@
 
 
 Action = (
-    Send
-    | SetTerms
+    Dispatch
+    | SetResourceGrant
     | Cancel
-    | Refuse
+    | Reject
     | Fail
     | SetTimer
-    | Probe
-    | CloseIdle
-    | Tell
+    | ProbeLoad
+    | CloseIdleConnections
+    | SendGossip
     | Subscribe
-    | FetchList
+    | PollEndpoints
     | Log
 )
--- a/saffronlane/lab/audit.py
+++ b/saffronlane/lab/audit.py
@@ -124,7 +124,7 @@
 
     def one_answer(self) -> None:
         """Rule 1: exactly one final answer, in the client's time, and nothing sent after it."""
-        slack = self.settings.guarantees.answer_slack + CLOCK_SLACK
+        slack = self.settings.guarantees.response_slack + CLOCK_SLACK
         for query, asked in self.asked.items():
             answers = self.answers[query]
             finals = [a for a in answers if a["kind"] == "answer"]
@@ -152,17 +152,17 @@
             cls, runs = self._class(query), self.runs[query]
             if cls is None:
                 continue
-            if cls.effect is not api.Effect.SAFE and len(runs) > 1:
+            if cls.idempotency is not api.Idempotency.SAFE and len(runs) > 1:
                 self.breach(
-                    2, runs[1]["at"], f"query {query} ({cls.effect.value}) took effect {len(runs)} times"
+                    2, runs[1]["at"], f"query {query} ({cls.idempotency.value}) took effect {len(runs)} times"
                 )
             refused = [a for a in self.answers[query] if a.get("code") in REFUSALS and a.get("promise")]
-            if refused and runs and cls.effect is api.Effect.UNSAFE:
+            if refused and runs and cls.idempotency is api.Idempotency.UNSAFE:
                 self.breach(
                     2, refused[0]["at"], f"unsafe query {query} ran and was refused as safe to try again"
                 )
             self._repeats(query, cls, asked)
-        if not self.settings.limits.second_copies:
+        if not self.settings.limits.hedged_requests:
             for query in self.asked:
                 self._overlaps(query)
 
@@ -170,10 +170,10 @@
         certain = True  # that no earlier attempt ran
         first: Event | None = None
         for sent in self.sends[query]:
-            if not certain and cls.effect is api.Effect.UNSAFE:
+            if not certain and cls.idempotency is api.Idempotency.UNSAFE:
                 self.breach(2, sent["at"], f"unsafe query {query} was sent again, though it may have run")
-            keyed = cls.effect is api.Effect.KEYED and first is not None
-            if keyed and first is not None and sent["at"] - first["at"] > cls.key_ttl:
+            keyed = cls.idempotency is api.Idempotency.KEYED and first is not None
+            if keyed and first is not None and sent["at"] - first["at"] > cls.idempotency_ttl:
                 self.breach(2, sent["at"], f"keyed query {query} was sent again outside its window")
             if (query, sent["attempt"], sent["engine"]) not in self.turned_away:
                 certain, first = False, first or sent
@@ -191,7 +191,7 @@
 
     def drains(self) -> None:
         """Rule 3: nothing new after a gateway has been told, past the grace."""
-        grace = self.settings.guarantees.drain_grace + CLOCK_SLACK
+        grace = self.settings.guarantees.drain_grace_period + CLOCK_SLACK
         since: dict[tuple[str, str], float] = {}
         for event in self.record:
             if event["kind"] == "list":
@@ -245,9 +245,9 @@
         lines: dict[tuple[str, str], list[str]] = defaultdict(list)
         for query, asked in self.asked.items():
             cls = self._class(query)
-            if cls is not None and cls.ordered and asked.get("key"):
+            if cls is not None and cls.is_ordered and asked.get("key"):
                 lines[asked["gateway"], asked["key"]].append(query)
-        settle = self.settings.guarantees.order_settle
+        settle = self.settings.guarantees.ordering_cooldown
         for (_, key), queries in lines.items():
             queries.sort(key=lambda q: self.asked[q]["at"])
             for index, query in enumerate(queries):
@@ -284,7 +284,7 @@
 
     def placement(self) -> None:
         """Rule 6: bound classes reach only their zones and kinds."""
-        zones, kinds = list(self.settings.zones), [k.name for k in self.settings.kinds]
+        zones, kinds = list(self.settings.zones), [k.name for k in self.settings.machine_types]
         places = {e["engine"]: e for e in self.record if e["kind"] == "place"}
         for query in self.asked:
             cls = self._class(query)
@@ -292,15 +292,17 @@
                 place = places.get(sent["engine"])
                 if cls is None or place is None:
                     continue
-                in_zone = cls.zones_only is None or place["zone"] in [zones[z] for z in cls.zones_only]
-                in_kind = cls.kinds_only is None or place["kind"] in [kinds[k] for k in cls.kinds_only]
+                in_zone = cls.allowed_zones is None or place["zone"] in [zones[z] for z in cls.allowed_zones]
+                in_kind = cls.allowed_machine_types is None or place["kind"] in [
+                    kinds[k] for k in cls.allowed_machine_types
+                ]
                 if not (in_zone and in_kind):
                     self.breach(6, sent["at"], f"query {query} of {cls.name} went to engine {sent['engine']}")
 
     def budget(self) -> None:
         """Rule 7: further attempts of a gateway in any window."""
         rules = self.settings.guarantees
-        if rules.budget_free is None:
+        if rules.retry_budget_base is None:
             return
         taken: dict[str, list[float]] = defaultdict(list)
         extras: dict[str, list[float]] = defaultdict(list)
@@ -312,12 +314,12 @@
         for gateway, times in extras.items():
             born = float("-inf") if self.lasting else self.killed.get(gateway, float("-inf"))
             for at in times:
-                since = at - rules.budget_window
+                since = at - rules.retry_budget_window
                 if since < born < at:
                     since = born  # a new process counts from its start
                 made = sum(since < t <= at for t in times)
                 had = sum(since - CLOCK_SLACK < t <= at + CLOCK_SLACK for t in taken[gateway])
-                allowed = rules.budget_free + rules.budget_ratio * had
+                allowed = rules.retry_budget_base + rules.retry_budget_ratio * had
                 if made > allowed:
                     text = f"gateway {gateway} made {made} further attempts where {allowed:.1f} were allowed"
                     self.breach(7, at, text)
@@ -339,7 +341,10 @@
                 took = answers[0]["at"] - asked["at"]
                 row.latencies.append(took)
                 cls = self.classes[asked["cls"]]
-                wanted = cls.aim + cls.aim_stretch * asked.get("work", 0.0) / cls.threads
+                wanted = (
+                    cls.latency_objective
+                    + cls.latency_objective_per_work * asked.get("work", 0.0) / cls.threads
+                )
                 row.in_time += took <= wanted
                 row.late += took > wanted
             elif answers[0]["code"] in REFUSALS and answers[0].get("promise"):
--- a/saffronlane/lab/day.py
+++ b/saffronlane/lab/day.py
@@ -119,7 +119,7 @@
             rest = {k: one[k] for k in ("key_ttl", "note_period") if k in one}
             config = EngineConfig(name, shape, seed=day.raw.get("seed", 0), **rest)
             self.engines[name] = StandIn(config, record, self._keys)
-            kind = one.get("kind", day.config.settings.kinds[0].name)
+            kind = one.get("kind", day.config.settings.machine_types[0].name)
             zone = one.get("zone", (day.config.settings.zones or ("",))[0])
             self.places[name] = {"kind": kind, "zone": zone}
             self.states[name] = "ready"
--- a/saffronlane/lab/fleet/cold.py
+++ b/saffronlane/lab/fleet/cold.py
@@ -17,8 +17,15 @@
 from ...policy import Gateway
 
 CLASSES = (
-    api.ClassSettings("small", aim=0.75, deadline=4.0, value=1.0, threads=1),
-    api.ClassSettings("large", aim=2.0, deadline=20.0, value=10.0, late_value=0.4, threads=3),
+    api.ClassSettings("small", latency_objective=0.75, deadline=4.0, priority_weight=1.0, threads=1),
+    api.ClassSettings(
+        "large",
+        latency_objective=2.0,
+        deadline=20.0,
+        priority_weight=10.0,
+        late_priority_weight=0.4,
+        threads=3,
+    ),
 )
 WORKS, SHARES = (0.13, 3.5), (15.0, 2.3)  # core seconds of a class's mean query, and its part of the traffic
 MEAN = sum(work * share for work, share in zip(WORKS, SHARES, strict=True)) / sum(SHARES)
@@ -93,21 +100,33 @@
     def _place(self, position: int) -> _Place:
         settings = api.Settings(
             classes=CLASSES,
-            kinds=(api.KindSettings("std", CORES, 16384.0),),
-            gateways=self.day.dispatchers,
-            position=position,
+            machine_types=(api.MachineType("std", CORES, 16384.0),),
+            gateway_count=self.day.dispatchers,
+            gateway_index=position,
             limits=api.Limits(
-                cancel=True, second_copies=True, retry_after=True, max_attempts=3, max_retry_after=0.5,
-                peers=True, connect_timeout=0.25, max_streams=32,
+                can_cancel=True,
+                hedged_requests=True,
+                sends_retry_after=True,
+                max_attempts=3,
+                max_retry_after=0.5,
+                gossip=True,
+                connect_timeout=0.25,
+                max_concurrent_streams=32,
             ),
             guarantees=api.Guarantees(
-                answer_slack=0.05, drain_grace=0.5, fall_multiple=MULTIPLE, fall_window=WINDOW,
-                cold_share=COLD_SHARE, cold_time=COLD_TIME, budget_free=3.0, budget_ratio=0.2,
-                budget_window=10.0,
+                response_slack=0.05,
+                drain_grace_period=0.5,
+                slow_start_overload_factor=MULTIPLE,
+                slow_start_overload_window=WINDOW,
+                slow_start_initial_ratio=COLD_SHARE,
+                slow_start_duration=COLD_TIME,
+                retry_budget_base=3.0,
+                retry_budget_ratio=0.2,
+                retry_budget_window=10.0,
             ),
-            work_told=True,
-            grants_heeded=True,
-        )  # fmt: skip
+            reports_work=True,
+            memory_grants_enabled=True,
+        )
         return _Place(Gateway(settings, self.random.randrange(2**32)), self.now)
 
     def at(self, time: float, what: Callable[[], None]) -> None:
@@ -117,7 +136,7 @@
     def run(self) -> ColdSum:
         day, random = self.day, self.random
         for n in range(day.dispatchers):
-            self.step(n, api.ListUpdate(api.ListMode.FULL, 1, tuple(self.warm)))
+            self.step(n, api.EndpointListUpdate(api.EndpointListMode.FULL, 1, tuple(self.warm)))
         weights = [random.choice((1, 1, 1, 1, 3)) for _ in self.places]
         time, end = 0.0, LEARNING + COLD_TIME
         while (time := time + random.expovariate(day.load * day.nodes * CORES / MEAN)) < end:
@@ -133,12 +152,12 @@
 
     def begin(self) -> None:
         for n in range(len(self.places)):
-            self.step(n, api.ListUpdate(api.ListMode.DELTA, 2, tuple(self.cold)))
+            self.step(n, api.EndpointListUpdate(api.EndpointListMode.DELTA, 2, tuple(self.cold)))
 
     def restart(self) -> None:
         n = self.random.randrange(len(self.places))
         self.places[n] = self._place(n)
-        self.step(n, api.ListUpdate(api.ListMode.FULL, 2, (*self.warm, *self.cold)))
+        self.step(n, api.EndpointListUpdate(api.EndpointListMode.FULL, 2, (*self.warm, *self.cold)))
 
     def ask(self, n: int) -> None:
         random = self.random
@@ -150,19 +169,29 @@
         self.requests += 1
         self.works[self.requests] = work, cls
         deadline, tables = CLASSES[cls].deadline, float(random.randrange(60))
-        self.step(n, api.Arrival(self.requests, cls, deadline, cost=cost, memory_mb=100.0, tables=tables))
+        self.step(
+            n,
+            api.Arrival(
+                self.requests,
+                cls,
+                deadline,
+                estimated_cost=cost,
+                estimated_memory_mb=100.0,
+                table_group=tables,
+            ),
+        )
 
     def step(self, n: int, event: api.Event) -> None:
         place = self.places[n]
         for action in place.gateway.step(self.now, [event]):
             if isinstance(action, api.SetTimer):
                 fired = api.TimerFired(action.token)
-                self.at(max(action.at, self.now), partial(self.later, n, place, fired))
-            elif isinstance(action, api.Send):
+                self.at(max(action.deadline, self.now), partial(self.later, n, place, fired))
+            elif isinstance(action, api.Dispatch):
                 self.send(n, place, action)
             elif isinstance(action, api.Cancel):
                 self.end(n, place, action.request, action.attempt, b"", api.Outcome.CANCELLED, 0.0, 0.001)
-            elif isinstance(action, api.Tell):
+            elif isinstance(action, api.SendGossip):
                 self.tell(n, action.data)
 
     def later(self, n: int, place: _Place, event: api.Event) -> None:
@@ -175,7 +204,7 @@
             if n != sender and self.random.random() > LOST:
                 self.at(self.now + 0.03, partial(self.step, n, message))
 
-    def send(self, n: int, place: _Place, action: api.Send) -> None:
+    def send(self, n: int, place: _Place, action: api.Dispatch) -> None:
         work, cls = self.works[action.request]
         attempt = place.attempts.get(action.request, 0)
         place.attempts[action.request] = attempt + 1
@@ -193,9 +222,16 @@
         self.end(n, place, action.request, attempt, action.engine, outcome, work, lasts)
 
     def end(
-        self, n: int, place: _Place, request: int, attempt: int, engine: bytes, outcome: api.Outcome,
-        work: float, lasts: float,
-    ) -> None:  # fmt: skip
+        self,
+        n: int,
+        place: _Place,
+        request: int,
+        attempt: int,
+        engine: bytes,
+        outcome: api.Outcome,
+        work: float,
+        lasts: float,
+    ) -> None:
         def ends() -> None:
             if (n, request, attempt) not in self.ended:
                 self.ended.add((n, request, attempt))
--- a/saffronlane/lab/fleet/virtual.py
+++ b/saffronlane/lab/fleet/virtual.py
@@ -93,7 +93,7 @@
     def play(self) -> Measures:
         """The whole day, and what came of it."""
         entries = [self._add(f"s-{n:05d}".encode(), cold=False) for n in range(self.shape.nodes)]
-        self.tell_list(entries, api.ListMode.FULL)
+        self.tell_list(entries, api.EndpointListMode.FULL)
         for asking in draw_traffic(self.shape, self.schedule.seconds):
             self.at(asking.at, lambda asking=asking: self._ask(asking))  # type: ignore[misc]
         for fault in self.schedule.faults:
@@ -165,7 +165,7 @@
         elif isinstance(effect, (d.Serve, d.RefuseRequest, d.FailRequest)):
             codes = {d.Serve: "OK", d.RefuseRequest: "UNAVAILABLE", d.FailRequest: "ABORTED"}
             self._answer(self._askings[place, effect.request], codes[type(effect)])
-        elif isinstance(effect, api.Tell):
+        elif isinstance(effect, api.SendGossip):
             for other in range(len(self.cores)):
                 if other != place and other not in self.deaf and self.random.random() > LOSS:
                     self.messages += 1
@@ -185,9 +185,11 @@
         self.nodes[name] = VirtualNode(name, shape, Machine(shape, self.now if cold else -1e9))
         return api.EngineEntry(name, api.EngineState.READY, self.now if cold else 0.0)
 
-    def tell_list(self, entries: list[api.EngineEntry], mode: api.ListMode = api.ListMode.DELTA) -> None:
+    def tell_list(
+        self, entries: list[api.EngineEntry], mode: api.EndpointListMode = api.EndpointListMode.DELTA
+    ) -> None:
         for place in range(len(self.cores)):
-            self._step(place, api.ListUpdate(mode, 1, tuple(entries)))
+            self._step(place, api.EndpointListUpdate(mode, 1, tuple(entries)))
 
     def _send(self, asking: Asking, place: int, request: int, attempt: int, engine: bytes) -> None:
         node = self.nodes[engine]
@@ -276,7 +278,7 @@
 
     def _lose(self, struck: list[VirtualNode], end: float, drained: bool) -> None:
         """They go, and come back cold under ids that are new; drained: each as its successor comes."""
-        gone = [api.EngineEntry(node.name, api.EngineState.GONE) for node in struck]
+        gone = [api.EngineEntry(node.name, api.EngineState.REMOVED) for node in struck]
         if drained:
             self.drained |= {node.name for node in struck}
             self.tell_list([api.EngineEntry(n.name, api.EngineState.DRAINING) for n in struck])
--- a/saffronlane/learned_state/checkpointer.py
+++ b/saffronlane/learned_state/checkpointer.py
@@ -128,15 +128,17 @@
         sent = gateway.own.attempts.get((request, attempt))
         if sent is None:
             return []
-        job, rules, found = sent.job, gateway.batch.rules, []
-        if identity and job.cls.effect is not api.Effect.SAFE:
-            self.ledger.sent(identity, job.cls, gateway.batch.now, export.entry(sent.engine))
+        job, rules, found = sent.request, gateway.batch.guarantees, []
+        if identity and job.class_settings.idempotency is not api.Idempotency.SAFE:
+            self.ledger.sent(identity, job.class_settings, gateway.batch.now, export.entry(sent.engine))
             found.append(k.SENT + identity)
-        if job.cls.ordered and job.key:
-            found.append(k.ORDER + export.order_name(job.key))
-        if attempt and rules.budget_free is not None:
+        if job.class_settings.is_ordered and job.ordering_key:
+            found.append(k.ORDER + export.order_name(job.ordering_key))
+        if attempt and rules.retry_budget_base is not None:
             found.append(k.BUDGET)
-        if rules.fall_multiple and sent.engine.coldness(gateway.batch.now, gateway.batch.rules.cold_time):
+        if rules.slow_start_overload_factor and sent.engine.warmup_remaining(
+            gateway.batch.now, gateway.batch.guarantees.slow_start_duration
+        ):
             found.append(k.ENGINE + sent.engine.id)
         return found
 
@@ -190,7 +192,9 @@
 
     def anew(self, gateway: Gateway, now: float) -> Memory:
         """A memory for a gateway that begins in the place of this one."""
-        run = k.RunKept(now, 0.0, "here", "here", "", self.settings.position, self.settings.gateways, True)
+        run = k.RunKept(
+            now, 0.0, "here", "here", "", self.settings.gateway_index, self.settings.gateway_count, True
+        )
         made = k.change(k.RUN, run).entry
         assert made is not None
         return Memory((*self.entries(gateway), (k.RUN, made)), Moment(now, 0.0, "here", "here"))
@@ -208,7 +212,7 @@
                 self._counts[one.mark] = one.count
                 found[k.CLASS + name] = one
         for engine in gateway.fleet.engines.values():
-            if engine.state is not api.EngineState.GONE:
+            if engine.state is not api.EngineState.REMOVED:
                 found[k.ENGINE + engine.id] = export.engine(gateway, engine, self._seen(gateway))
         if self._recall is not None:
             for identity, old in self._recall.unlisted().items():
--- a/saffronlane/learned_state/export.py
+++ b/saffronlane/learned_state/export.py
@@ -24,82 +24,86 @@
     for index, known in enumerate(gateway.classes.learned):
         kept = _class(gateway, known, recalled.get(index, 0.0), scatters[index])
         if kept is not None:
-            found[known.cls.name.encode()] = kept
+            found[known.class_settings.name.encode()] = kept
     return found
 
 
 def _class(gateway: Gateway, known: Learned, recalled: float, scatter: float) -> ClassKept | None:
-    answers = known.count - known.recalled_count
-    seed = [part * weigh.left(1.0, answers) for part in known.seed]
+    answers = known.answer_count - known.recalled_count
+    seed = [part * weigh.left(1.0, answers) for part in known.prior]
     estimates, latencies, works, calm = (
         now - part
-        for now, part in zip((known.estimates, known.latencies, known.works, known.calm), seed, strict=True)
+        for now, part in zip(
+            (known.estimated_costs, known.latency_total, known.work_total, known.uncontended_work_total),
+            seed,
+            strict=True,
+        )
     )
     mass = weigh.left(recalled, answers) + weigh.own(answers)
     if mass < 0.5 or not estimates > 0.0 or min(latencies, works, calm) <= 0.0:
         return None
     return ClassKept(
-        mark=class_mark(gateway.batch.settings, known.cls),
+        mark=class_mark(gateway.batch.settings, known.class_settings),
         at=gateway.batch.now,
         mass=mass,
-        count=known.count,
-        cost=known.told,
+        count=known.answer_count,
+        cost=known.mean_estimated_cost,
         latency=latencies / estimates,
         work=works / estimates,
         calm=calm / estimates,
-        best=known.best,
-        need=known.need,
+        best=known.baseline_inflation,
+        need=known.memory_requirement,
         scatter=scatter,
     )
 
 
 def engine(gateway: Gateway, one: Engine, seen: float) -> EngineKept:
-    cold = one.coldness(gateway.batch.now, gateway.batch.rules.cold_time) > 0.0
+    cold = one.warmup_remaining(gateway.batch.now, gateway.batch.guarantees.slow_start_duration) > 0.0
     return EngineKept(
         cores=one.cores,
         zone=one.zone,
-        kind=one.kind,
+        kind=one.machine_type,
         cell=one.cell,
-        started=one.started,
-        reborn_at=past(one.reborn_at),
-        broke_at=past(one.broke_at),
-        judged=past(one.judged),
-        fails=one.fails,
-        ill=one.ill,
-        silent=one.silent,
-        trial_gap=one.trial_gap,
-        full=past(one.full),
-        reported=one.reported,
+        started=one.started_at,
+        reborn_at=past(one.inferred_restart_at),
+        broke_at=past(one.connection_lost_at),
+        judged=past(one.last_outcome_at),
+        fails=one.failure_ratio,
+        ill=one.is_ejected,
+        silent=one.is_unresponsive,
+        trial_gap=one.probe_request_interval,
+        full=past(one.last_rejection_at),
+        reported=one.reported_threads_per_core,
         reported_at=past(one.reported_at),
-        lately=one.recent.value,
-        lately_at=past(one.recent.at),
+        lately=one.recent_work.value,
+        lately_at=past(one.recent_work.updated_at),
         seen=seen,
-        sent=list(one.sent) if cold else [],
+        sent=list(one.recent_dispatches) if cold else [],
     )
 
 
 def budget(gateway: Gateway) -> BudgetKept | None:
     """Rule 7's window; None where no budget is set."""
-    rules = gateway.batch.rules
-    if rules.budget_free is None:
+    rules = gateway.batch.guarantees
+    if rules.retry_budget_base is None:
         return None
-    since = gateway.batch.now - rules.budget_window - 2.0 * gateway.batch.settings.tick
+    since = gateway.batch.now - rules.retry_budget_window - 2.0 * gateway.batch.settings.min_step_interval
     bins: dict[int, int] = {}
-    for at in gateway.answers.permits.ration.taken:
+    for at in gateway.answers.permits.ration.served_arrivals:
         if at > since:
             number = math.floor(at / BIN)
             bins[number] = bins.get(number, 0) + 1
-    extras = [at for at in gateway.answers.permits.ration.extras if at > since]
+    extras = [at for at in gateway.answers.permits.ration.retries if at > since]
     return BudgetKept(extras, [(number * BIN, count) for number, count in bins.items()])
 
 
 def orders(gateway: Gateway) -> dict[bytes, OrderKept]:
     """Ordering keys with an attempt out, or at rest."""
     found = {}
-    for job in dict.fromkeys(attempt.job for attempt in gateway.own.attempts.values()):
-        if job.cls.ordered and job.key:
-            found[order_name(job.key)] = OrderKept(True, 0.0)
-    for key, until in gateway.owed.turns.rests.items():
+    for job in dict.fromkeys(attempt.request for attempt in gateway.own.attempts.values()):
+        if job.class_settings.is_ordered and job.ordering_key:
+            found[order_name(job.ordering_key)] = OrderKept(True, 0.0)
+    for key, until in gateway.owed.ordering.cooldowns.items():
         if until > gateway.batch.now and order_name(key) not in found:
             found[order_name(key)] = OrderKept(False, until)
     return found
@@ -111,30 +115,38 @@
 
 def fleet(gateway: Gateway) -> FleetKept:
     limit = gateway.pressure.limit if gateway.pressure.limit < 1e9 else 0.0
-    recent = gateway.own.recent
+    recent = gateway.own.recent_work
     return FleetKept(
         gateway.batch.now,
-        past(gateway.batch.born),
+        past(gateway.batch.started_at),
         limit,
         gateway.pressure.crowd,
         recent.value,
-        past(recent.at),
-        gateway.fleet.mean_reported,
+        past(recent.updated_at),
+        gateway.fleet.mean_reported_threads,
     )
 
 
 def told(gateway: Gateway) -> ToldKept | None:
     """What other gateways told of, as far as it is not over."""
-    if not gateway.batch.limits.peers:
+    if not gateway.batch.limits.gossip:
         return None
     return ToldKept(
         [
-            (sender, number, one.until, one.engine.id, one.threads, one.memory, one.loads)
+            (
+                sender,
+                number,
+                one.expires_at,
+                one.engine.id,
+                one.threads,
+                one.memory_mb,
+                one.bulk_load_table_digest,
+            )
             for (sender, number), one in gateway.telling.board.entries.items()
-            if one.until > gateway.batch.now
+            if one.expires_at > gateway.batch.now
         ]
     )
 
 
 def entry(one: Engine) -> api.EngineEntry:
-    return api.EngineEntry(one.id, one.state, one.started, one.zone, one.kind, one.cell)
+    return api.EngineEntry(one.id, one.state, one.started_at, one.zone, one.machine_type, one.cell)
--- a/saffronlane/learned_state/ledger.py
+++ b/saffronlane/learned_state/ledger.py
@@ -51,21 +51,21 @@
         self._lines[identity] = _Line(kept)
         heapq.heappush(self._ends, (kept.until, identity))
 
-    def earlier(self, identity: bytes, now: float) -> api.Earlier | None:
+    def earlier(self, identity: bytes, now: float) -> api.PreviousAttempt | None:
         """The attempt that a repeat must reckon with; None: there was none that may have run."""
         self.forget_until(now)
         line = self._lines.get(identity)
         if line is None:
             return None
         kept = line.kept
-        return api.Earlier(kept.engine, kept.at, kept.zone, kept.kind, kept.cell)
+        return api.PreviousAttempt(kept.engine, kept.at, kept.zone, kept.kind, kept.cell)
 
     def sent(self, identity: bytes, cls: api.ClassSettings, now: float, entry: api.EngineEntry) -> None:
         """An attempt leaves now. The first that may have run is the one that counts."""
         line = self._lines.get(identity)
         if line is None:
-            until = now + cls.key_ttl + weigh.REPEATS * cls.deadline
-            kept = SentKept(cls.name, now, entry.engine, entry.zone, entry.kind, entry.cell, until)
+            until = now + cls.idempotency_ttl + weigh.REPEATS * cls.deadline
+            kept = SentKept(cls.name, now, entry.engine, entry.zone, entry.machine_type, entry.cell, until)
             line = self._lines[identity] = _Line(kept, certain=True)
             heapq.heappush(self._ends, (until, identity))
             self.changed[identity] = None
--- a/saffronlane/learned_state/purge.py
+++ b/saffronlane/learned_state/purge.py
@@ -32,8 +32,12 @@
             gateway.pressure.limit, gateway.pressure.crowd = float("inf"), 1.0
         elif one is What.ENGINES:
             for engine in gateway.fleet.engines.values():
-                engine.fails, engine.judged, engine.full = 0.0, float("-inf"), float("-inf")
-                engine.ill = engine.silent = False
+                engine.failure_ratio, engine.last_outcome_at, engine.last_rejection_at = (
+                    0.0,
+                    float("-inf"),
+                    float("-inf"),
+                )
+                engine.is_ejected = engine.is_unresponsive = False
             gateway.health.trust()
         else:
             raise ValueError("the ledgers of a running gateway are not forgotten")
--- a/saffronlane/learned_state/records.py
+++ b/saffronlane/learned_state/records.py
@@ -198,6 +198,6 @@
 
 def class_mark(settings: api.Settings, cls: api.ClassSettings) -> str:
     """Names the settings under which a class's figures were learned: others make them say nothing."""
-    kinds = sorted({(kind.cores, kind.memory_mb) for kind in settings.kinds})
-    text = repr((cls.name, cls.threads, cls.is_load, cls.stream, settings.work_told, kinds))
+    kinds = sorted({(kind.cores, kind.memory_mb) for kind in settings.machine_types})
+    text = repr((cls.name, cls.threads, cls.is_bulk_load, cls.is_streaming, settings.reports_work, kinds))
     return blake2b(text.encode(), digest_size=8).hexdigest()
--- a/saffronlane/learned_state/restore.py
+++ b/saffronlane/learned_state/restore.py
@@ -13,7 +13,7 @@
 from .. import interface as api
 from ..policy import Gateway
 from ..policy.estimation.run_time_estimator import SEED_ANSWERS, Learned
-from ..state import Engine, Told
+from ..state import Engine, PeerAttempt
 from ..storage import Entry
 from . import confidence as weigh
 from . import export
@@ -99,14 +99,16 @@
             nothing = Gap(0.0, math.inf, 0.0, False, False)
             return nothing, weigh.trust(nothing, False, False)
         gap = between(Moment(run.mono, run.wall, run.boot, run.place), now)
-        here = (run.position, run.gateways) == (self.settings.position, self.settings.gateways)
+        here = (run.position, run.gateways) == (self.settings.gateway_index, self.settings.gateway_count)
         trust = weigh.trust(gap, run.clean, here)
         self.summary.age, self.summary.exact = gap.most, trust.exact
         if not gap.same_place:
             self.summary.notes.append("the folder was copied or restored, or is of another place")
         if not here:
             text = f"written as gateway {run.position} of {run.gateways}"
-            self.summary.notes.append(f"{text}, read as {self.settings.position} of {self.settings.gateways}")
+            self.summary.notes.append(
+                f"{text}, read as {self.settings.gateway_index} of {self.settings.gateway_count}"
+            )
         if not gap.most < math.inf:
             self.summary.notes.append("the clock stands before the last entry: ages are not known")
         return gap, trust
@@ -123,17 +125,22 @@
 
     def begin(self, gateway: Gateway, ledger: Ledger) -> None:
         """Everything that needs no list of engines."""
-        gateway.batch.now = gateway.batch.born = self.now
+        gateway.batch.now = gateway.batch.started_at = self.now
         if self.trust.exact and self._fleet is not None:
-            gateway.batch.born = self._time(self._fleet.born)  # the ledgers below show what was sent since
+            gateway.batch.started_at = self._time(
+                self._fleet.born
+            )  # the ledgers below show what was sent since
         self._take_ledgers(gateway, ledger)
         if (fleet := self._fleet) is not None:
             age = self._age(fleet.at)
             gateway.pressure.limit = weigh.limit(fleet.limit, age)
             if gateway.pressure.limit < math.inf:
                 gateway.pressure.crowd = max(1.0, min(fleet.crowd, 100.0))
-            gateway.own.recent.value, gateway.own.recent.at = fleet.lately, self._time(fleet.lately_at)
-        gateway.fleet.remembered = self._engine
+            gateway.own.recent_work.value, gateway.own.recent_work.updated_at = (
+                fleet.lately,
+                self._time(fleet.lately_at),
+            )
+        gateway.fleet.restore_engine = self._engine
 
     def attach(self, gateway: Gateway, ledger: Ledger) -> None:
         """Into a gateway that runs already: what rules stand on, and classes of which it knows nothing."""
@@ -142,88 +149,98 @@
 
     def _take_ledgers(self, gateway: Gateway, ledger: Ledger) -> None:
         self._take_budget(gateway)
-        settle = gateway.batch.rules.order_settle
+        settle = gateway.batch.guarantees.ordering_cooldown
         for key, one in self._orders.items():
             until = self.now + settle if one.open else min(one.until, self.now + settle)
             if until > self.now:
-                gateway.owed.turns.rests[key] = max(until, gateway.owed.turns.rests.get(key, -math.inf))
+                gateway.owed.ordering.cooldowns[key] = max(
+                    until, gateway.owed.ordering.cooldowns.get(key, -math.inf)
+                )
                 self.summary.orders += 1
         names = {c.name: c for c in self.settings.classes}
         for identity, sent in self._sent.items():
             cls = names.get(sent.cls)
-            longest = cls.key_ttl + weigh.REPEATS * cls.deadline if cls is not None else 0.0
+            longest = cls.idempotency_ttl + weigh.REPEATS * cls.deadline if cls is not None else 0.0
             until = min(sent.until, self.now + longest)
             if until > self.now:
                 ledger.recall(identity, replace(sent, until=until))
                 self.summary.requests += 1
 
     def _take_budget(self, gateway: Gateway) -> None:
-        if self._budget is None or gateway.batch.rules.budget_free is None:
+        if self._budget is None or gateway.batch.guarantees.retry_budget_base is None:
             return
         ration = gateway.answers.permits.ration
-        since = self.now - gateway.batch.rules.budget_window - 2.0 * gateway.batch.settings.tick
-        extras = [*ration.extras, *map(self._time, self._budget.extras)]
-        taken = list(ration.taken)
+        since = (
+            self.now
+            - gateway.batch.guarantees.retry_budget_window
+            - 2.0 * gateway.batch.settings.min_step_interval
+        )
+        extras = [*ration.retries, *map(self._time, self._budget.extras)]
+        taken = list(ration.served_arrivals)
         for start, count in self._budget.taken:
             taken += [self._time(start)] * min(count, MOST_TAKEN)
-        for window, times in ((ration.extras, extras), (ration.taken, taken)):
+        for window, times in ((ration.retries, extras), (ration.served_arrivals, taken)):
             window.clear()
             window.extend(sorted(at for at in times if at > since))
 
     def listed(self, gateway: Gateway, entries: tuple[api.EngineEntry, ...]) -> None:
         """What classes have taught, weighed by how much of the fleet is the same. Before the list's step."""
-        kinds = self.settings.kinds
-        listed = {e.engine: kinds[min(e.kind, len(kinds) - 1)].cores for e in entries}
+        kinds = self.settings.machine_types
+        listed = {e.engine: kinds[min(e.machine_type, len(kinds) - 1)].cores for e in entries}
         fleet = weigh.fleet_factor({name: e.cores for name, e in self._engines.items()}, listed)
         for index, known in enumerate(gateway.classes.learned):
-            one = self._classes.get(known.cls.name)
-            if one is None or known.count:
+            one = self._classes.get(known.class_settings.name)
+            if one is None or known.answer_count:
                 continue
-            if one.mark != k.class_mark(self.settings, known.cls):
-                self.summary.notes.append(f"class {known.cls.name}: its settings have changed")
+            if one.mark != k.class_mark(self.settings, known.class_settings):
+                self.summary.notes.append(f"class {known.class_settings.name}: its settings have changed")
                 continue
             mass = weigh.mass(one.mass, self._age(one.at), self.trust.factor * fleet)
             if mass >= 0.5 and teach(known, one, mass):
                 self.masses[index] = mass
-                self.summary.classes[known.cls.name] = round(mass, 2)
+                self.summary.classes[known.class_settings.name] = round(mass, 2)
         self._share_counts(gateway)
 
     def _share_counts(self, gateway: Gateway) -> None:
         """The mix of classes, by counts: small enough that a new mix soon shows."""
-        recalled = {i: self._classes[gateway.classes.learned[i].cls.name].count for i in self.masses}
+        recalled = {
+            i: self._classes[gateway.classes.learned[i].class_settings.name].count for i in self.masses
+        }
         whole = sum(recalled.values())
         for index, count in recalled.items():
             known = gateway.classes.learned[index]
-            known.count = round(min(1.0, weigh.COUNT_MOST / max(1, whole)) * count)
+            known.answer_count = round(min(1.0, weigh.COUNT_MOST / max(1, whole)) * count)
             if self.masses[index] >= SEED_ANSWERS:  # enough is known to judge a query by
-                known.count = max(known.count, int(SEED_ANSWERS))
+                known.answer_count = max(known.answer_count, int(SEED_ANSWERS))
             known.set_pace()
-            if not weigh.may_refuse(known.exec_time(), known.cls.deadline):
-                known.count = 0
+            if not weigh.may_refuse(known.exec_time(), known.class_settings.deadline):
+                known.answer_count = 0
                 known.set_pace()
-            known.recalled_count = known.count
+            known.recalled_count = known.answer_count
 
     def _engine(self, engine: Engine) -> None:
         """An engine as it is first listed: what is known of this very process, if it still is that one."""
         one = self._engines.pop(engine.id, None)
         if one is None or one.cores != engine.cores:
             return
-        if abs(one.started - engine.started) > SAME_START + (0.0 if self._gap.same_boot else self._gap.most):
+        if abs(one.started - engine.started_at) > SAME_START + (
+            0.0 if self._gap.same_boot else self._gap.most
+        ):
             return  # another process by now: nothing of it is known but its start, which the list tells
         self.summary.engines += 1
-        engine.sent = [(self._time(at), work) for at, work in one.sent]
-        engine.reborn_at = self._time(one.reborn_at)
-        engine.broke_at = self._time(one.broke_at)
-        engine.recent.value, engine.recent.at = one.lately, self._time(one.lately_at)
+        engine.recent_dispatches = [(self._time(at), work) for at, work in one.sent]
+        engine.inferred_restart_at = self._time(one.reborn_at)
+        engine.connection_lost_at = self._time(one.broke_at)
+        engine.recent_work.value, engine.recent_work.updated_at = one.lately, self._time(one.lately_at)
         age = self._age(one.judged)
-        engine.fails = weigh.health(one.fails, age)
-        if engine.fails > 0.0:
-            engine.judged = self._time(one.judged)
-            engine.ill, engine.silent = one.ill, one.ill and one.silent
-            engine.trial_gap = one.trial_gap
-            engine.next_trial = self.now  # its first trial soon tells whether this still holds
-        engine.full = self._time(one.full)
-        engine.reported = one.reported
+        engine.failure_ratio = weigh.health(one.fails, age)
+        if engine.failure_ratio > 0.0:
+            engine.last_outcome_at = self._time(one.judged)
+            engine.is_ejected, engine.is_unresponsive = one.ill, one.ill and one.silent
+            engine.probe_request_interval = one.trial_gap
+            engine.next_probe_request_at = self.now  # its first trial soon tells whether this still holds
+        engine.last_rejection_at = self._time(one.full)
+        engine.reported_threads_per_core = one.reported
         engine.reported_at = self._time(one.reported_at)
 
     def class_named(self, name: str) -> k.ClassKept | None:
@@ -234,7 +251,7 @@
         for sender, number, until, name, threads, memory, loads in self._told.entries if self._told else ():
             engine, board = gateway.fleet.engines.get(name), gateway.telling.board
             if engine is not None and until > self.now and (sender, number) not in board.entries:
-                board.put((sender, number), Told(until, engine, threads, memory, loads))
+                board.insert((sender, number), PeerAttempt(until, engine, threads, memory, loads))
         self._told = None
 
     def unlisted(self) -> dict[bytes, k.EngineKept]:
@@ -251,8 +268,8 @@
 
 def seed_sums(cls: api.ClassSettings, cost: float, answers: float) -> Sums:
     """What so many seed answers come to."""
-    work = answers * cls.aim * cls.threads
-    return answers * cost, answers * cls.aim, work, work
+    work = answers * cls.latency_objective * cls.threads
+    return answers * cost, answers * cls.latency_objective, work, work
 
 
 def recalled_sums(one: k.ClassKept, mass: float) -> Sums:
@@ -266,27 +283,27 @@
     figures = (one.cost, one.latency, one.work, one.calm, one.best)
     if not all(math.isfinite(f) and 0.0 < f < 1e9 for f in figures) or not 0.0 <= one.need < 1e9:
         return False
-    known.seed = seed_sums(known.cls, one.cost, weigh.seeds(mass))
-    known.told = one.cost
-    sums = [seed + own for seed, own in zip(known.seed, recalled_sums(one, mass), strict=True)]
-    known.estimates, known.latencies, known.works, known.calm = sums
+    known.prior = seed_sums(known.class_settings, one.cost, weigh.seeds(mass))
+    known.mean_estimated_cost = one.cost
+    sums = [seed + own for seed, own in zip(known.prior, recalled_sums(one, mass), strict=True)]
+    known.estimated_costs, known.latency_total, known.work_total, known.uncontended_work_total = sums
     share = mass / (mass + SEED_ANSWERS)
-    known.best = 1.0 + share * (one.best - 1.0)
-    known.need = one.need if mass >= 1.0 else 0.0
+    known.baseline_inflation = 1.0 + share * (one.best - 1.0)
+    known.memory_requirement = one.need if mass >= 1.0 else 0.0
     return True
 
 
 def unteach(known: Learned, cost: float, recalled: Sums, answers: int) -> None:
     """Take recalled sums out again, as far as they still count, and seeds back in; new answers stay."""
-    part, seeds = weigh.left(1.0, answers), seed_sums(known.cls, cost, SEED_ANSWERS)
-    now = (known.estimates, known.latencies, known.works, known.calm)
+    part, seeds = weigh.left(1.0, answers), seed_sums(known.class_settings, cost, SEED_ANSWERS)
+    now = (known.estimated_costs, known.latency_total, known.work_total, known.uncontended_work_total)
     fresh = [
         max(1e-9, sums - part * (old + was)) + part * seed
-        for sums, old, was, seed in zip(now, recalled, known.seed, seeds, strict=True)
+        for sums, old, was, seed in zip(now, recalled, known.prior, seeds, strict=True)
     ]
-    known.estimates, known.latencies, known.works, known.calm = fresh
-    known.seed = seeds
-    known.best, known.need = 1.0, 0.0
-    known.count -= known.recalled_count
+    known.estimated_costs, known.latency_total, known.work_total, known.uncontended_work_total = fresh
+    known.prior = seeds
+    known.baseline_inflation, known.memory_requirement = 1.0, 0.0
+    known.answer_count -= known.recalled_count
     known.recalled_count = 0
     known.set_pace()
--- a/saffronlane/learned_state/validation.py
+++ b/saffronlane/learned_state/validation.py
@@ -73,11 +73,11 @@
         said = []
         for index, trial in list(self._trials.items()):
             known = learned[index]
-            if not trial.answers and weigh.unheard(trial.asked, now, known.cls.deadline):
+            if not trial.answers and weigh.unheard(trial.asked, now, known.class_settings.deadline):
                 del self._trials[index]
                 unteach(known, trial.kept.cost, trial.sums, 0)
                 said.append(
-                    f"class {known.cls.name}: no answer bears out what was recalled, and it is dropped"
+                    f"class {known.class_settings.name}: no answer confirms the restored estimate; dropped"
                 )
         return said
 
@@ -91,10 +91,11 @@
         trial.answers += 1
         if weigh.wrong(trial.total, trial.answers, trial.kept.scatter):
             del self._trials[index]
-            answers = known.count - known.recalled_count
+            answers = known.answer_count - known.recalled_count
             unteach(known, cost, trial.sums, answers)
             factor = math.exp(trial.total / trial.answers)
-            return f"class {known.cls.name}: recalled knowledge is off by {factor:.2g}, and is dropped"
+            name = known.class_settings.name
+            return f"class {name}: restored estimate is off by {factor:.2g}, and is dropped"
         if trial.answers >= TRIAL:
             del self._trials[index]
         return ""
--- a/saffronlane/members/view.py
+++ b/saffronlane/members/view.py
@@ -8,7 +8,7 @@
 from rpds import HashTrieMap
 
 from ..config import EngineRecord
-from ..interface import EngineEntry, ListMode, ListUpdate
+from ..interface import EndpointListMode, EndpointListUpdate, EngineEntry
 
 Snapshot: TypeAlias = "HashTrieMap[bytes, EngineRecord]"
 
@@ -26,12 +26,12 @@
         self._monotonic, self._wall = monotonic, wall
         self._starts: dict[bytes, tuple[float, float]] = {}  # told, and on our clock
 
-    def replace(self, version: int, records: tuple[EngineRecord, ...]) -> ListUpdate:
+    def replace(self, version: int, records: tuple[EngineRecord, ...]) -> EndpointListUpdate:
         """Take a whole list; what the old one had and this one lacks is gone."""
         self.version = version
         self.snapshot = HashTrieMap({r.id.encode(): r for r in records})
         self._starts = {k: v for k, v in self._starts.items() if k in self.snapshot}
-        return ListUpdate(ListMode.FULL, version, tuple(self._entry(r) for r in records))
+        return EndpointListUpdate(EndpointListMode.FULL, version, tuple(self._entry(r) for r in records))
 
     def _entry(self, record: EngineRecord) -> EngineEntry:
         name = record.id.encode()
--- a/saffronlane/platform/downstream/request_decoder.py
+++ b/saffronlane/platform/downstream/request_decoder.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from ... import msgpackrpc as rpc
-from ...interface import ClassSettings, Effect, Settings
+from ...interface import ClassSettings, Idempotency, Settings
 from ..errors import BadRequest
 from ..sql_tables import table_group
 from ..statement import Statement
@@ -78,7 +78,7 @@
 
     def _token(self, cls: ClassSettings, fields: dict[str, str]) -> bytes:
         token = fields.get("token", "")
-        if cls.effect is not Effect.KEYED:
+        if cls.idempotency is not Idempotency.KEYED:
             return b""
         if not _TOKEN.fullmatch(token):
             raise BadRequest(f"token: {token[:40]!r}")
@@ -86,7 +86,7 @@
 
     def _key(self, cls: ClassSettings, fields: dict[str, str]) -> int:
         key = fields.get("obj", "")
-        if not cls.ordered or not key:
+        if not cls.is_ordered or not key:
             return 0
         if not _ID.fullmatch(key):
             raise BadRequest(f"obj: {key[:40]!r}")
--- a/saffronlane/platform/server.py
+++ b/saffronlane/platform/server.py
@@ -44,16 +44,16 @@
         self.dispatcher = d.Dispatcher(settings, config.seed)
         shares, shortage = allot(config.sockets), Shortage()
         limits = LinkLimits(
-            max_streams=settings.limits.max_streams,
+            max_streams=settings.limits.max_concurrent_streams,
             connect_timeout=settings.limits.connect_timeout or CONNECT_TIMEOUT,
             idle_close=config.idle_close or IDLE_CLOSE,
             most_links=shares.nodes,
         )
         self.links = Links(limits, self.fleet.address, shortage)
         self.peers: Peers | None = None
-        if settings.limits.peers and config.peer_listen is not None:
+        if settings.limits.gossip and config.peer_listen is not None:
             self.peers = Peers(
-                config.peer_listen, config.peers, settings.position, self._on_peer, config.peers_all
+                config.peer_listen, config.peers, settings.gateway_index, self._on_peer, config.peers_all
             )
         self.executor = Executor(self.dispatcher, self.links, self.peers.send if self.peers else None)
         memory = config.memory_mb * 1e6
@@ -187,7 +187,7 @@
         if now >= self._report_at + REPORT_EVERY:
             self._report_at = now
             gateway = self.dispatcher.gateway
-            now, cold_time = gateway.batch.now, gateway.batch.rules.cold_time
+            now, cold_time = gateway.batch.now, gateway.batch.guarantees.slow_start_duration
             log.info(
                 "report",
                 lag_ms=round(self._lag * 1000.0, 1),
@@ -203,8 +203,8 @@
                 held=self.dispatcher.held,
                 out=self.dispatcher.attempts_out,
                 crowd=round(gateway.pressure.crowd, 2),
-                ill=sum(engine.ill for engine in gateway.fleet.ready),
-                cold=sum(engine.coldness(now, cold_time) > 0.0 for engine in gateway.fleet.ready),
+                ill=sum(engine.is_ejected for engine in gateway.fleet.ready),
+                cold=sum(engine.warmup_remaining(now, cold_time) > 0.0 for engine in gateway.fleet.ready),
                 ready=len(gateway.fleet.ready),
                 threads=round(gateway.own.threads, 1),
                 limit=round(min(gateway.pressure.limit, 1e6), 1),
--- a/saffronlane/platform/upstream/connection.py
+++ b/saffronlane/platform/upstream/connection.py
@@ -207,7 +207,7 @@
         self._out.clear()
         self._put_off.clear()
         broken = event in (Event.BROKEN, Event.EOF)
-        failed = Outcome.CONNECT_FAILED if broken else Outcome.MOOT
+        failed = Outcome.CONNECT_FAILED if broken else Outcome.NOT_SENT
         for sending in list(self.open.values()):
             if broken and self.came_up and not (sending.left_at or sending.relinked):
                 # It closed while it rested, or with what had left before: a new one tells whether its node
--- a/saffronlane/platform/upstream/pool.py
+++ b/saffronlane/platform/upstream/pool.py
@@ -59,7 +59,7 @@
         statement, effect = attempt.statement, attempt.effect
         link = self._link(attempt.engine, statement.id)
         if link is None:
-            self.ended(attempt, Outcome.MOOT)
+            self.ended(attempt, Outcome.NOT_SENT)
             return
         attempt.link = link
         link.open[statement.id] = attempt
@@ -93,7 +93,7 @@
     def recall(self, attempt: Attempt) -> None:
         assert isinstance(attempt, Sending)
         if not attempt.left_at:
-            self._give_up(attempt, Outcome.MOOT)
+            self._give_up(attempt, Outcome.NOT_SENT)
 
     def commit(self, attempt: Attempt) -> None:
         """Results are whole before they are told; nothing waits for this."""
@@ -113,7 +113,7 @@
         tag = b"p%d" % self._tag
         link = self._link(engine, tag)
         if link is None:
-            self._executor.feed(ProbeResult(engine, Outcome.MOOT, 0.0))
+            self._executor.feed(ProbeResult(engine, Outcome.NOT_SENT, 0.0))
             return
         link.probes[tag] = self._loop.time()
         word = b"stats" if self._executor.dispatcher.settings.report_columns else b"alive"
@@ -239,7 +239,7 @@
         if not sending.left_at:
             link.take_back(sending)
             failed = outcome is Outcome.CONNECT_FAILED and not link.came_up
-            self.ended(sending, outcome if failed else Outcome.MOOT)
+            self.ended(sending, outcome if failed else Outcome.NOT_SENT)
             return
         link.write(command(b"abort", sending.statement.id))
         quiet = self._loop.time() - sending.left_at
--- a/saffronlane/policy/estimation/load_reports.py
+++ b/saffronlane/policy/estimation/load_reports.py
@@ -2,7 +2,7 @@
 
 import math
 
-from ...state import Batch, Engine, Fleet, Job
+from ...state import Engine, EngineRegistry, Request, StepContext
 from .workload_estimates import Classes
 
 PROBED, PROBE_GAP, PROBE_WAIT = 3, 0.1, 0.025  # engines asked, if not asked so lately; seconds for their word
@@ -11,31 +11,37 @@
 
 
 class Reports:
-    def __init__(self, batch: Batch, fleet: Fleet, classes: Classes) -> None:
+    def __init__(self, batch: StepContext, fleet: EngineRegistry, classes: Classes) -> None:
         self.batch, self.fleet, self.classes = batch, fleet, classes
         columns, limits = batch.settings.report_columns, batch.limits
         self.column = columns.index("active") if "active" in columns else None
-        self.probing = limits.probing and limits.probe_price <= PROBE_PRICE and self.column is not None
+        self.probing = (
+            limits.load_probes and limits.load_probe_price <= PROBE_PRICE and self.column is not None
+        )
 
     def take(self, engine: Engine, report: tuple[float, ...]) -> float:
         """Threads a core that an engine says it runs, by the usual threads of a query; 0: not told."""
         column, learned = self.column, self.classes.learned
         if column is None or column >= len(report) or not 0.0 < report[column] < math.inf:
             return 0.0
-        spans = [max(1, known.count) * known.exec_time() for known in learned]
-        threads = sum(s * k.cls.threads for s, k in zip(spans, learned, strict=True)) / sum(spans)
-        self.fleet.report(engine, min(report[column] * threads / engine.cores, REPORT_MOST), self.batch.now)
-        return engine.reported
+        spans = [max(1, known.answer_count) * known.exec_time() for known in learned]
+        threads = sum(s * k.class_settings.threads for s, k in zip(spans, learned, strict=True)) / sum(spans)
+        self.fleet.record_load_report(
+            engine, min(report[column] * threads / engine.cores, REPORT_MOST), self.batch.now
+        )
+        return engine.reported_threads_per_core
 
     def of(self, engine: Engine) -> float:
         """Threads a core by the engine's last report, drawn to the fleet's mean as it ages."""
         fresh = math.exp(min(0.0, engine.reported_at - self.batch.now) / REPORT_MEMORY)
-        return self.fleet.mean_reported + fresh * (engine.reported - self.fleet.mean_reported)
+        return self.fleet.mean_reported_threads + fresh * (
+            engine.reported_threads_per_core - self.fleet.mean_reported_threads
+        )
 
-    def wanted(self, job: Job, engines: list[Engine]) -> list[Engine]:
+    def wanted(self, job: Request, engines: list[Engine]) -> list[Engine]:
         """Those of a heavy query's first engines to ask what they hold; it waits a moment for their word."""
-        asked = [e for e in engines if max(e.asked_at, e.reported_at) < self.batch.now - PROBE_GAP]
+        asked = [e for e in engines if max(e.last_probe_at, e.reported_at) < self.batch.now - PROBE_GAP]
         for engine in asked:
-            engine.asked_at = self.batch.now
-            job.looks_until = self.batch.now + PROBE_WAIT
+            engine.last_probe_at = self.batch.now
+            job.probing_until = self.batch.now + PROBE_WAIT
         return asked
--- a/saffronlane/policy/estimation/run_time_estimator.py
+++ b/saffronlane/policy/estimation/run_time_estimator.py
@@ -1,7 +1,7 @@
 """What the answers of one class have taught."""
 
 from ... import interface as api
-from ...state import ClassRecord, Job, sane
+from ...state import ClassStatistics, Request, clamp
 
 SEED_ANSWERS = 4.0  # the seed counts as this many answers: one odd first query must not set the estimate
 DECAY = 0.97  # per answer, of what is learned: a handful of seconds of one class's traffic
@@ -11,58 +11,82 @@
 NEED_SEED, NEED_UP, NEED_DOWN = 1.25, 0.15, 0.02  # memory needed over told: a high quantile, a spill is dear
 
 
-class Learned(ClassRecord):
+class Learned(ClassStatistics):
     """What the answers of one class have taught. Where no estimates are told, each counts as 1."""
 
     def __init__(self, cls: api.ClassSettings) -> None:
         super().__init__(cls, SEED_ANSWERS)
 
     def estimate(self, cost: float, told: bool) -> None:
-        if not self.estimates:
-            self.first_estimate(cost, cost * SEED_ANSWERS, told)
-        self.told += (cost - self.told) * (1.0 - DECAY)
+        if not self.estimated_costs:
+            self.apply_first_estimate(cost, cost * SEED_ANSWERS, told)
+        self.mean_estimated_cost += (cost - self.mean_estimated_cost) * (1.0 - DECAY)
         self.set_pace()
 
     def answered(
-        self, now: float, job: Job, elapsed: float, work: float, memory: float, threads: float
+        self, now: float, job: Request, elapsed: float, work: float, memory: float, threads: float
     ) -> float:
         """Learn from one answer of an engine with so many threads a core; returns how crowded it was."""
-        self.count += 1
-        drift, self.at = min(BEST_DRIFT, BEST_RATE * (now - self.at)), now
-        calm, busy = self.calm_time(job.cost), elapsed * self.cls.threads
-        self.add(DECAY, job.cost, elapsed, work or busy, work or busy / max(1.0, threads))
+        self.answer_count += 1
+        drift, self.last_answer_at = min(BEST_DRIFT, BEST_RATE * (now - self.last_answer_at)), now
+        calm, busy = self.calm_time(job.estimated_cost), elapsed * self.class_settings.threads
+        self.add(DECAY, job.estimated_cost, elapsed, work or busy, work or busy / max(1.0, threads))
         if memory > 0.0:
-            ratio = memory / (job.memory or 1.0)
-            self.need = self.need or max(ratio, NEED_SEED if job.memory else 0.0)
-            self.need += (NEED_UP if ratio > self.need else NEED_DOWN) * (ratio - self.need)
-        crowd = elapsed / calm if self.count > SEED_ANSWERS and not threads else 1.0
+            ratio = memory / (job.estimated_memory_mb or 1.0)
+            self.memory_requirement = self.memory_requirement or max(
+                ratio, NEED_SEED if job.estimated_memory_mb else 0.0
+            )
+            self.memory_requirement += (NEED_UP if ratio > self.memory_requirement else NEED_DOWN) * (
+                ratio - self.memory_requirement
+            )
+        crowd = elapsed / calm if self.answer_count > SEED_ANSWERS and not threads else 1.0
         if work > 0.0:
-            stretch = sane(busy / work, 0.05, 1000.0)
-            step = 0.1 if stretch < self.best else drift
-            self.best += step * (min(stretch, self.best * 2.0) - self.best)
-            crowd = stretch / self.best
+            stretch = clamp(busy / work, 0.05, 1000.0)
+            step = 0.1 if stretch < self.baseline_inflation else drift
+            self.baseline_inflation += step * (
+                min(stretch, self.baseline_inflation * 2.0) - self.baseline_inflation
+            )
+            crowd = stretch / self.baseline_inflation
         self.set_pace()
         return crowd
 
-    def cut_short(self, job: Job, elapsed: float) -> None:
+    def cut_short(self, job: Request, elapsed: float) -> None:
         """A run ended early is longer than it got: left out, the mean would lie too low for rule 4."""
-        missing = elapsed * self.cls.threads - self.work(job.cost)
-        self.works += max(0.0, missing) if self.estimates else 0.0
+        missing = elapsed * self.class_settings.threads - self.work(job.estimated_cost)
+        self.work_total += max(0.0, missing) if self.estimated_costs else 0.0
 
     def work(self, cost: float = 0.0) -> float:
-        if not self.estimates:
-            return self.works / SEED_ANSWERS
-        return (cost or self.told) * self.works / self.estimates
+        if not self.estimated_costs:
+            return self.work_total / SEED_ANSWERS
+        return (cost or self.mean_estimated_cost) * self.work_total / self.estimated_costs
 
     def calm_time(self, cost: float) -> float:
-        return max(1e-3, self.work(cost) / self.cls.threads * self.best * self.calm / self.works)
+        return max(
+            1e-3,
+            self.work(cost)
+            / self.class_settings.threads
+            * self.baseline_inflation
+            * self.uncontended_work_total
+            / self.work_total,
+        )
 
     def set_pace(self) -> None:
-        pace = self.latencies
-        if self.count >= SEED_ANSWERS:
-            pace = min(pace, EXEC_CAP * self.calm * self.best / self.cls.threads)
-        self.pace = pace / self.estimates if self.estimates else 0.0
+        pace = self.latency_total
+        if self.answer_count >= SEED_ANSWERS:
+            pace = min(
+                pace,
+                EXEC_CAP
+                * self.uncontended_work_total
+                * self.baseline_inflation
+                / self.class_settings.threads,
+            )
+        self.seconds_per_cost_unit = pace / self.estimated_costs if self.estimated_costs else 0.0
 
     def exec_time(self, cost: float = 0.0) -> float:
         """The design's ExecTime: estimate x learned ratio, or the mean where no estimate is told."""
-        return max(1e-3, (cost or self.told) * self.pace if self.pace else self.cls.aim)
+        return max(
+            1e-3,
+            (cost or self.mean_estimated_cost) * self.seconds_per_cost_unit
+            if self.seconds_per_cost_unit
+            else self.class_settings.latency_objective,
+        )
--- a/saffronlane/policy/execution/attempts.py
+++ b/saffronlane/policy/execution/attempts.py
@@ -2,7 +2,7 @@
 
 from ... import interface as api
 from ...interface import Outcome
-from ...state import Attempt, Engine, Job, sane
+from ...state import Attempt, Engine, Request, clamp
 from ..gossip.load_gossip import Telling
 from ..routing.engine_selection import HORIZON, Placement
 from ..scheduling.concurrency_limit import PRESSED
@@ -18,39 +18,53 @@
         self.answers, self.placement, self.telling = answers, placement, telling
         self.health = placement.rooms.health
 
-    def send(self, job: Job, engine: Engine) -> None:
+    def send(self, job: Request, engine: Engine) -> None:
         batch, now, settings = self.batch, self.batch.now, self.batch.settings
         grant, priority = self.classes.terms(job)
-        if settings.grants_heeded or settings.priorities_heeded:
-            batch.do(api.SetTerms(job.id, grant if settings.grants_heeded else 0.0, priority))
-        threads = min(job.cls.threads, engine.cores)
-        attempt = Attempt(job, len(job.attempts) - job.earlier, engine, now, threads, grant, heard=now)
-        if attempt.n:
-            self.answers.permits.ration.extras.append(now)
+        if settings.memory_grants_enabled or settings.priorities_enabled:
+            batch.emit(
+                api.SetResourceGrant(job.id, grant if settings.memory_grants_enabled else 0.0, priority)
+            )
+        threads = min(job.class_settings.threads, engine.cores)
+        attempt = Attempt(
+            job,
+            len(job.attempts) - job.previous_attempt_count,
+            engine,
+            now,
+            threads,
+            grant,
+            last_progress_at=now,
+        )
+        if attempt.index:
+            self.answers.permits.ration.retries.append(now)
         self.health.sent(engine)
         self.answers.let_go(job)
-        self.own.add(attempt, self.classes.work(job), HORIZON, batch.rules.cold_time)
-        batch.timer(now + self.patience(job), attempt)
-        batch.do(api.Send(job.id, engine.id, max(1e-3, job.limit - END_MARGIN - now)))
+        self.own.add(attempt, self.classes.work(job), HORIZON, batch.guarantees.slow_start_duration)
+        batch.schedule(now + self.patience(job), attempt)
+        batch.emit(api.Dispatch(job.id, engine.id, max(1e-3, job.expires_at - END_MARGIN - now)))
         self.telling.started(attempt)
 
-    def patience(self, job: Job) -> float:
-        if period := self.batch.settings.note_period:
-            return SILENT_NOTES * period + min(period, self.classes.learned[job.index].calm_time(job.cost))
-        copies = self.batch.limits.second_copies
+    def patience(self, job: Request) -> float:
+        if period := self.batch.settings.progress_interval:
+            return SILENT_NOTES * period + min(
+                period, self.classes.learned[job.class_index].calm_time(job.estimated_cost)
+            )
+        copies = self.batch.limits.hedged_requests
         return max(SILENT_FLOOR, OVERDUE * self.classes.exec_time(job)) * (1.0 if copies else 2.0)
 
     def on_ended(self, event: api.AttemptEnded) -> None:
         outcome, answers = event.outcome, self.answers
-        attempt = self.own.end(event.request, event.attempt, outcome)
+        attempt = self.own.complete(event.request, event.attempt, outcome)
         if attempt is None:
             return
-        job, engine = attempt.job, attempt.engine
+        job, engine = attempt.request, attempt.engine
         self.telling.ended(attempt)
         if outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED):
-            answers.owed.turns.rest(job, self.batch.now + self.batch.rules.order_settle)
-        if outcome is Outcome.MOOT and attempt.n:
-            answers.permits.ration.moot(attempt.sent)
+            answers.owed.ordering.start_cooldown(
+                job, self.batch.now + self.batch.guarantees.ordering_cooldown
+            )
+        if outcome is Outcome.NOT_SENT and attempt.index:
+            answers.permits.ration.forget_unsent(attempt.sent_at)
         self.health.ended(attempt, outcome)
         self.health.blame(attempt, last=answers.permits.expired(job))
         self.learn(attempt, event)
@@ -58,33 +72,38 @@
             self.placement.pressure.feel(PRESSED * 2.0)
             if outcome is Outcome.REJECTED:
                 self.telling.rejected(engine)
-            engine.full = self.batch.now
-        if job.ended:
-            answers.owed.turns.leave(job)
-        elif event.final or outcome is Outcome.OK:
+            engine.last_rejection_at = self.batch.now
+        if job.is_ended:
+            answers.owed.ordering.release(job)
+        elif event.is_final or outcome is Outcome.OK:
             if outcome is Outcome.OK:
-                answers.permits.ration.served(job.arrival, self.batch.now - self.batch.rules.budget_window)
+                answers.permits.ration.record_served(
+                    job.arrived_at, self.batch.now - self.batch.guarantees.retry_budget_window
+                )
             answers.finish(job, answer=False)
-        elif not job.out:
+        elif not job.in_flight_count:
             self.go_on(attempt)
 
     def learn(self, attempt: Attempt, event: api.AttemptEnded) -> None:
-        job, placement = attempt.job, self.placement
-        threads, known = placement.reports.take(attempt.engine, event.report), self.classes.learned[job.index]
+        job, placement = attempt.request, self.placement
+        threads, known = (
+            placement.reports.take(attempt.engine, event.load_report),
+            self.classes.learned[job.class_index],
+        )
         if event.outcome is Outcome.OK:
-            elapsed, work = sane(event.elapsed, 1e-4, 1e4), sane(event.work)
-            crowd = known.answered(self.batch.now, job, elapsed, work, sane(event.memory_mb), threads)
+            elapsed, work = clamp(event.elapsed, 1e-4, 1e4), clamp(event.work)
+            crowd = known.answered(self.batch.now, job, elapsed, work, clamp(event.memory_mb), threads)
             placement.pressure.answered(attempt.engine, crowd, 0.0 if event.work > 0.0 else threads)
-        elif not self.batch.settings.work_told and event.outcome in (Outcome.CANCELLED, Outcome.TIMEOUT):
-            known.cut_short(job, sane(event.elapsed))
+        elif not self.batch.settings.reports_work and event.outcome in (Outcome.CANCELLED, Outcome.TIMEOUT):
+            known.cut_short(job, clamp(event.elapsed))
 
     def go_on(self, attempt: Attempt) -> None:
         """A request whose attempts have all failed is held for another, or answered."""
-        job, answers = attempt.job, self.answers
-        if attempt.outcome is not Outcome.CANCELLED and attempt.engine.id not in job.avoid:
-            job.avoid.append(attempt.engine.id)
-        if answers.permits.expired(job) or job.streaming:
+        job, answers = attempt.request, self.answers
+        if attempt.outcome is not Outcome.CANCELLED and attempt.engine.id not in job.failed_engines:
+            job.failed_engines.append(attempt.engine.id)
+        if answers.permits.expired(job) or job.is_streaming:
             answers.finish(job)
         else:
             job.deadline = max(job.deadline, answers.deadline(job))
-            answers.owed.held[job.id] = job
+            answers.owed.queued[job.id] = job
--- a/saffronlane/policy/execution/completion.py
+++ b/saffronlane/policy/execution/completion.py
@@ -3,8 +3,8 @@
 import math
 
 from ... import interface as api
-from ...interface import Effect, Group
-from ...state import Attempt, Batch, Fleet, Job, Owed
+from ...interface import DeduplicationScope, Idempotency
+from ...state import Attempt, EngineRegistry, PendingRequests, Request, StepContext
 from ..estimation.workload_estimates import Classes
 from ..scheduling.retry_budget import Permits
 
@@ -13,48 +13,51 @@
 
 
 class Answers:
-    def __init__(self, batch: Batch, fleet: Fleet, classes: Classes) -> None:
+    def __init__(self, batch: StepContext, fleet: EngineRegistry, classes: Classes) -> None:
         self.batch, self.fleet, self.classes = batch, fleet, classes
-        self.permits, self.owed = Permits(batch), Owed()
+        self.permits, self.owed = Permits(batch), PendingRequests()
         self.backlog: float | None = None  # thread seconds held, summed once a batch: refusals are many
 
-    def deadline(self, job: Job) -> float:
+    def deadline(self, job: Request) -> float:
         return self.batch.now + MULTIPLIER * self.classes.exec_time(job)
 
-    def owe(self, job: Job) -> None:
+    def owe(self, job: Request) -> None:
         job.deadline = self.deadline(job)
         self.owed.add(job)
-        self.batch.timer(job.limit - END_MARGIN, job)
+        self.batch.schedule(job.expires_at - END_MARGIN, job)
 
-    def finish(self, job: Job, answer: bool = True) -> None:
+    def finish(self, job: Request, answer: bool = True) -> None:
         """End a request at once: refused where the rules let the client try again, failed otherwise."""
-        if job.ended:
+        if job.is_ended:
             return
-        job.ended = True
-        self.owed.jobs.pop(job.id, None)
+        job.is_ended = True
+        self.owed.requests.pop(job.id, None)
         self.let_go(job)
         if answer:
-            alone = job.cls.effect is not Effect.SAFE and job.cls.group is not Group.ALL
-            refused = self.permits.open(job) and not (alone and job.first_maybe())
-            self.batch.do(api.Refuse(job.id, self.retry_after(job)) if refused else api.Fail(job.id))
+            alone = (
+                job.class_settings.idempotency is not Idempotency.SAFE
+                and job.class_settings.deduplication_scope is not DeduplicationScope.ALL
+            )
+            refused = self.permits.open(job) and not (alone and job.first_possible_execution())
+            self.batch.emit(api.Reject(job.id, self.retry_after(job)) if refused else api.Fail(job.id))
         for attempt in job.attempts:
             if attempt.outcome is None:
                 self.cancel(attempt)
-        self.owed.turns.leave(job)
+        self.owed.ordering.release(job)
 
-    def let_go(self, job: Job) -> None:
-        if self.owed.held.pop(job.id, None) and self.backlog is not None:
-            self.backlog -= self.classes.exec_time(job) * job.cls.threads
+    def let_go(self, job: Request) -> None:
+        if self.owed.queued.pop(job.id, None) and self.backlog is not None:
+            self.backlog -= self.classes.exec_time(job) * job.class_settings.threads
 
-    def retry_after(self, job: Job) -> float:
+    def retry_after(self, job: Request) -> float:
         """The time in which the work held here would drain, within what clients honour; 0 where none do."""
-        exec_time, limits, cores = self.classes.exec_time, self.batch.limits, self.fleet.cores
+        exec_time, limits, cores = self.classes.exec_time, self.batch.limits, self.fleet.ready_cores
         if self.backlog is None:
-            self.backlog = sum(exec_time(j) * j.cls.threads for j in self.owed.held.values())
-        wait = max(0.0, self.backlog) * self.batch.settings.gateways / cores if cores else math.inf
-        return min(limits.max_retry_after if limits.retry_after else 0.0, max(wait, exec_time(job)))
+            self.backlog = sum(exec_time(j) * j.class_settings.threads for j in self.owed.queued.values())
+        wait = max(0.0, self.backlog) * self.batch.settings.gateway_count / cores if cores else math.inf
+        return min(limits.max_retry_after if limits.sends_retry_after else 0.0, max(wait, exec_time(job)))
 
     def cancel(self, attempt: Attempt) -> None:
-        if self.batch.limits.cancel and not attempt.cancelled and not attempt.job.streaming:
-            attempt.cancelled = True
-            self.batch.do(api.Cancel(attempt.job.id, attempt.n))
+        if self.batch.limits.can_cancel and not attempt.is_cancelled and not attempt.request.is_streaming:
+            attempt.is_cancelled = True
+            self.batch.emit(api.Cancel(attempt.request.id, attempt.index))
--- a/saffronlane/policy/execution/hedging.py
+++ b/saffronlane/policy/execution/hedging.py
@@ -1,8 +1,8 @@
 """Attempts that are looked after while they run: silent, waiting, or far behind."""
 
 from ... import interface as api
-from ...interface import Effect, NoteKind
-from ...state import Attempt, sane
+from ...interface import Idempotency, ProgressKind
+from ...state import Attempt, clamp
 from ..scheduling.concurrency_limit import PRESSED
 from .attempts import Attempts
 
@@ -20,42 +20,42 @@
 
         Without notes a long query is silent too: a second copy leaves the first its chance. Not in a jam.
         """
-        job, engine, now, settings = attempt.job, attempt.engine, self.batch.now, self.batch.settings
-        if attempt.outcome is not None or attempt.cancelled or job.ended or job.streaming:
+        job, engine, now, settings = attempt.request, attempt.engine, self.batch.now, self.batch.settings
+        if attempt.outcome is not None or attempt.is_cancelled or job.is_ended or job.is_streaming:
             return
-        due = attempt.heard + self.attempts.patience(job)
+        due = attempt.last_progress_at + self.attempts.patience(job)
         if due > now + 1e-6:
-            self.batch.timer(due, attempt)
+            self.batch.schedule(due, attempt)
             return
-        engine.full, noted = now, settings.note_period > 0.0
-        unheard = noted and engine.heard < attempt.sent and not engine.ill
+        engine.last_rejection_at, noted = now, settings.progress_interval > 0.0
+        unheard = noted and engine.last_response_at < attempt.sent_at and not engine.is_ejected
         if unheard and self.attempts.health.unheard(engine):
-            for other in engine.out.values():  # what has had no word there will hardly get one
-                if other.heard <= other.sent and self.permits.repeat(other.job):
+            for other in engine.in_flight.values():  # what has had no word there will hardly get one
+                if other.last_progress_at <= other.sent_at and self.permits.repeat(other.request):
                     self.answers.cancel(other)
-        if not self.permits.repeat(job) or now + self.answers.classes.exec_time(job) > job.limit:
+        if not self.permits.repeat(job) or now + self.answers.classes.exec_time(job) > job.expires_at:
             return
-        if noted or not self.batch.limits.second_copies:
+        if noted or not self.batch.limits.hedged_requests:
             self.answers.cancel(attempt)
-        elif self.pressure.crowd < PRESSED and job.out < 2:
-            self.answers.owed.held[job.id] = job
+        elif self.pressure.crowd < PRESSED and job.in_flight_count < 2:
+            self.answers.owed.queued[job.id] = job
 
-    def on_note(self, event: api.Note) -> None:
+    def on_note(self, event: api.ProgressReport) -> None:
         attempt = self.attempts.own.attempts.get((event.request, event.attempt))
         if attempt is None:
             return
-        attempt.heard = attempt.engine.heard = self.batch.now
-        if event.kind is NoteKind.PROGRESS:
-            self.check_plan(attempt, sane(event.amount, 0.0, 1.0))
-        elif event.kind is NoteKind.WAITING and event.amount >= 1.0:
+        attempt.last_progress_at = attempt.engine.last_response_at = self.batch.now
+        if event.kind is ProgressKind.PROGRESS:
+            self.check_plan(attempt, clamp(event.amount, 0.0, 1.0))
+        elif event.kind is ProgressKind.WAITING and event.amount >= 1.0:
             self.move_on(attempt)
 
     def move_on(self, attempt: Attempt) -> None:
         """It waits, for memory or a load: try elsewhere. Harmful if its place is far up: once an engine."""
-        job, engine = attempt.job, attempt.engine
-        engine.full = self.batch.now
-        if not attempt.cancelled and self.permits.repeat(job):
-            job.avoid.append(engine.id)
+        job, engine = attempt.request, attempt.engine
+        engine.last_rejection_at = self.batch.now
+        if not attempt.is_cancelled and self.permits.repeat(job):
+            job.failed_engines.append(engine.id)
             if next(self.attempts.placement.rooms.usable(job, strict=True), None) is not None:
                 self.answers.cancel(attempt)
 
@@ -64,14 +64,14 @@
 
         If a second run is as slow, the query is long: given up when it cannot end in time or others wait.
         """
-        job, now = attempt.job, self.batch.now
-        remainder = (now - attempt.sent) * (1.0 - done) / max(done, 1e-3)
+        job, now = attempt.request, self.batch.now
+        remainder = (now - attempt.sent_at) * (1.0 - done) / max(done, 1e-3)
         fresh = self.answers.classes.exec_time(job)
-        if attempt.cancelled or job.ended or job.streaming or remainder <= BEHIND * fresh:
+        if attempt.is_cancelled or job.is_ended or job.is_streaming or remainder <= BEHIND * fresh:
             return
-        hopeless = remainder > HOPELESS * (job.limit - now)
-        if not job.rerun and self.permits.repeat(job) and now + fresh < job.limit:
-            job.rerun = True
+        hopeless = remainder > HOPELESS * (job.expires_at - now)
+        if not job.was_restarted and self.permits.repeat(job) and now + fresh < job.expires_at:
+            job.was_restarted = True
             self.answers.cancel(attempt)
-        elif job.cls.effect is Effect.SAFE and (self.pressure.blocked or hopeless):
+        elif job.class_settings.idempotency is Idempotency.SAFE and (self.pressure.blocked or hopeless):
             self.answers.finish(job)
--- a/saffronlane/policy/gossip/load_gossip.py
+++ b/saffronlane/policy/gossip/load_gossip.py
@@ -2,7 +2,7 @@
 
 from ... import gossip_messages as messages
 from ... import interface as api
-from ...state import Attempt, Batch, Engine, Fleet, Overdue, ToldBoard
+from ...state import Attempt, Engine, EngineRegistry, GossipExpiry, PeerLoadTable, StepContext
 from ..estimation.workload_estimates import HEAVY, Classes
 from ..routing.eligibility import FULL_MEMORY
 
@@ -12,50 +12,74 @@
 
 
 class Telling:
-    def __init__(self, batch: Batch, fleet: Fleet, classes: Classes) -> None:
+    def __init__(self, batch: StepContext, fleet: EngineRegistry, classes: Classes) -> None:
         self.batch, self.fleet, self.classes = batch, fleet, classes
-        self.board, self.number = ToldBoard(), 0
+        self.board, self.number = PeerLoadTable(), 0
 
-    def say(self, message: messages.Message) -> None:
-        self.batch.do(api.Tell(None, messages.encode(message)))
+    def say(self, message: messages.GossipMessage) -> None:
+        self.batch.emit(api.SendGossip(None, messages.encode(message)))
 
     def started(self, attempt: Attempt) -> None:
-        job, classes, work = attempt.job, self.classes, self.classes.work(attempt.job)
+        job, classes, work = attempt.request, self.classes, self.classes.work(attempt.request)
         bar = len(self.board.entries) / TOLD_MANY * HEAVY * classes.usual()[0]
-        if self.batch.limits.peers and classes.heavy(job) and (work >= bar or job.cls.is_load):
-            self.number = attempt.told = (self.number + 1) % 256
-            self.tell(attempt, TOLD_PATIENCE * work / job.cls.threads * classes.learned[job.index].best)
+        if (
+            self.batch.limits.gossip
+            and classes.heavy(job)
+            and (work >= bar or job.class_settings.is_bulk_load)
+        ):
+            self.number = attempt.gossip_number = (self.number + 1) % 256
+            self.tell(
+                attempt,
+                TOLD_PATIENCE
+                * work
+                / job.class_settings.threads
+                * classes.learned[job.class_index].baseline_inflation,
+            )
 
     def tell(self, attempt: Attempt, span: float) -> None:
-        job, engine = attempt.job, attempt.engine
-        share = attempt.grant / engine.memory_size if engine.memory_size else 0.0
-        what = attempt.told or 0, attempt.threads, job.cls.is_load, job.tables, span, share, engine.id
-        self.say(messages.start(*what))
-        self.batch.timer(self.batch.now + span, Overdue(attempt))
+        job, engine = attempt.request, attempt.engine
+        share = attempt.memory_grant_mb / engine.memory_mb if engine.memory_mb else 0.0
+        what = (
+            attempt.gossip_number or 0,
+            attempt.threads,
+            job.class_settings.is_bulk_load,
+            job.table_group,
+            span,
+            share,
+            engine.id,
+        )
+        self.say(messages.start_message(*what))
+        self.batch.schedule(self.batch.now + span, GossipExpiry(attempt))
 
     def overdue(self, attempt: Attempt) -> None:
         """Still out: told again, for twice as long. Guards against engines that look empty while they jam."""
         if attempt.outcome is None:
-            self.tell(attempt, 2.0 * (self.batch.now - attempt.sent))
+            self.tell(attempt, 2.0 * (self.batch.now - attempt.sent_at))
 
     def ended(self, attempt: Attempt) -> None:
-        if attempt.told is not None:
-            self.say(messages.Message(attempt.told))
+        if attempt.gossip_number is not None:
+            self.say(messages.GossipMessage(attempt.gossip_number))
 
     def rejected(self, engine: Engine) -> None:
         """Spare the others a rejection each. Guards against herds of all at an engine that is full."""
-        if self.batch.limits.peers and engine.full <= self.batch.now - FULL_MEMORY / 2.0:
-            self.say(messages.Message(0, span=FULL_MEMORY, engine=messages.engine_mark(engine.id)))
+        if self.batch.limits.gossip and engine.last_rejection_at <= self.batch.now - FULL_MEMORY / 2.0:
+            self.say(
+                messages.GossipMessage(
+                    0, duration=FULL_MEMORY, engine_digest=messages.engine_digest(engine.id)
+                )
+            )
 
     def on_peer(self, event: api.PeerMessage) -> None:
         batch, message, sender = self.batch, messages.decode(event.data), event.sender
-        if message is None or not 0 <= sender < SENDERS_MOST * batch.settings.gateways:
+        if message is None or not 0 <= sender < SENDERS_MOST * batch.settings.gateway_count:
             return
-        engine = self.fleet.marks.get(message.engine)
-        if message.tells_full:
+        engine = self.fleet.engine_by_digest.get(message.engine_digest)
+        if message.reports_full:
             if engine is not None:  # all come back, each at a time of its own
-                engine.full = max(engine.full, batch.now + batch.random.random() * FULL_MEMORY)
+                engine.last_rejection_at = max(
+                    engine.last_rejection_at, batch.now + batch.random.random() * FULL_MEMORY
+                )
             return
-        self.board.forget((sender, message.number))  # ended, or the sender counts anew after a restart
-        if message.span and engine is not None and sender != batch.settings.position:
-            self.board.add((sender, message.number), batch.now + message.span, engine, message)
+        self.board.remove((sender, message.number))  # ended, or the sender counts anew after a restart
+        if message.duration and engine is not None and sender != batch.settings.gateway_index:
+            self.board.add((sender, message.number), batch.now + message.duration, engine, message)
--- a/saffronlane/policy/routing/eligibility.py
+++ b/saffronlane/policy/routing/eligibility.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Iterator
 
-from ...interface import Effect, Group
-from ...state import Engine, Job
+from ...interface import DeduplicationScope, Idempotency
+from ...state import Engine, Request
 from ..estimation.workload_estimates import Classes
 from ..health.outlier_detection import Health
 from ..scheduling.concurrency_limit import Pressure
@@ -19,40 +19,54 @@
         self.batch, self.classes, self.health, self.pressure = health.batch, classes, health, pressure
         self.order = Order(health.batch, health.fleet)
 
-    def allowed(self, engine: Engine, job: Job) -> bool:
+    def allowed(self, engine: Engine, job: Request) -> bool:
         """Rules 2 and 6: where this request may go at all."""
-        cls = job.cls
-        in_zone = cls.zones_only is None or engine.zone in cls.zones_only
-        in_kind = cls.kinds_only is None or engine.kind in cls.kinds_only
-        first = job.first_maybe() if cls.effect is Effect.KEYED and cls.group is not Group.ALL else None
+        cls = job.class_settings
+        in_zone = cls.allowed_zones is None or engine.zone in cls.allowed_zones
+        in_kind = cls.allowed_machine_types is None or engine.machine_type in cls.allowed_machine_types
+        first = (
+            job.first_possible_execution()
+            if cls.idempotency is Idempotency.KEYED and cls.deduplication_scope is not DeduplicationScope.ALL
+            else None
+        )
         if first is None or not (in_zone and in_kind):
             return in_zone and in_kind
         zone, cell = engine.zone == first.engine.zone, engine.cell == first.engine.cell
-        return zone if cls.group is Group.ZONE else cell
+        return zone if cls.deduplication_scope is DeduplicationScope.ZONE else cell
 
-    def fits(self, engine: Engine, job: Job, heavy: bool, need: float) -> bool:
+    def fits(self, engine: Engine, job: Request, heavy: bool, need: float) -> bool:
         """Whether the engine has room; past its memory a query spills and does its work several times."""
-        told, batch = self.batch.limits.peers, self.batch
+        told, batch = self.batch.limits.gossip, self.batch
         if told and heavy:
-            threads = engine.threads + engine.told_threads + job.cls.threads / 2.0
-            if threads > engine.warm_cores(batch.now, batch.rules) * self.pressure.threads_per_core():
+            threads = engine.in_flight_threads + engine.peer_threads + job.class_settings.threads / 2.0
+            if (
+                threads
+                > engine.effective_cores(batch.now, batch.guarantees) * self.pressure.threads_per_core()
+            ):
                 return False
-        if engine.memory_size and (told or engine.memory):  # untold, a part of the memory is ours
-            room = engine.memory_size * (TOLD_MEMORY if told else 1.0 / batch.settings.gateways)
+        if engine.memory_mb and (told or engine.in_flight_memory_mb):  # untold, a part of the memory is ours
+            room = engine.memory_mb * (TOLD_MEMORY if told else 1.0 / batch.settings.gateway_count)
             # One of many gateways never sees an engine empty: half of the room is enough for the largest.
-            if (min(need, room / 2.0) if told else need) > room - engine.memory - engine.told_memory:
+            if (
+                min(need, room / 2.0) if told else need
+            ) > room - engine.in_flight_memory_mb - engine.peer_memory_mb:
                 return False
         return cold_room(batch, self.classes, engine, job)
 
-    def usable(self, job: Job, strict: bool, among: list[Engine] | None = None) -> Iterator[Engine]:
+    def usable(self, job: Request, strict: bool, among: list[Engine] | None = None) -> Iterator[Engine]:
         """Engines in hash order that may be used; strict passes over those that had better be left out."""
         # Loads have a hash order of our own: a second one of a group would stand still.
-        apart, salt = job.cls.is_load or job.cls.waits_for_loads, self.batch.settings.position + 1
+        apart, salt = (
+            job.class_settings.is_bulk_load or job.class_settings.waits_for_bulk_loads,
+            self.batch.settings.gateway_index + 1,
+        )
         heavy, need = self.classes.heavy(job), self.classes.terms(job)[0]
-        for engine in among or self.order(job.tables, salt if job.cls.is_load else 0):
-            if strict and (engine.full > self.batch.now - FULL_MEMORY or engine.id in job.avoid):
+        for engine in among or self.order(job.table_group, salt if job.class_settings.is_bulk_load else 0):
+            if strict and (
+                engine.last_rejection_at > self.batch.now - FULL_MEMORY or engine.id in job.failed_engines
+            ):
                 continue
-            if strict and apart and engine.loading(job.tables):
+            if strict and apart and engine.is_bulk_loading(job.table_group):
                 continue
             if any(a.engine is engine and a.outcome is None for a in job.attempts):
                 continue
--- a/saffronlane/policy/routing/engine_selection.py
+++ b/saffronlane/policy/routing/engine_selection.py
@@ -1,6 +1,6 @@
 """The choice among engines that have room."""
 
-from ...state import Engine, Job, OwnWork, ToldBoard
+from ...state import Engine, InFlightWork, PeerLoadTable, Request
 from ..estimation.load_reports import Reports
 from ..health.outlier_detection import Health
 from ..scheduling.concurrency_limit import Pressure
@@ -11,31 +11,36 @@
 
 
 class Placement:
-    def __init__(self, reports: Reports, health: Health, told: ToldBoard) -> None:
+    def __init__(self, reports: Reports, health: Health, told: PeerLoadTable) -> None:
         self.reports, self.batch, self.fleet, self.told = reports, reports.batch, reports.fleet, told
-        self.own = OwnWork(len(self.batch.settings.classes))
+        self.own = InFlightWork(len(self.batch.settings.classes))
         self.pressure = Pressure(self.own, reports)
         self.rooms = Rooms(reports.classes, health, self.pressure)
 
     def load(self, engine: Engine) -> float:
         """Threads per core: own ones that are out or were lately kept busy, others' as told or reported."""
-        own = engine.threads + engine.recent.read(self.batch.now, HORIZON)
-        load = own + engine.told_threads + self.reports.of(engine) * engine.cores
-        load /= engine.warm_cores(self.batch.now, self.batch.rules)
+        own = engine.in_flight_threads + engine.recent_work.read(self.batch.now, HORIZON)
+        load = own + engine.peer_threads + self.reports.of(engine) * engine.cores
+        load /= engine.effective_cores(self.batch.now, self.batch.guarantees)
         away = self.rooms.order.crossing_costs and engine.zone != self.batch.settings.zone
         return load * SPILL if away else load
 
-    def place(self, job: Job) -> Engine | None:
+    def place(self, job: Request) -> Engine | None:
         """The less loaded of the first two in hash order, moving on past SPILL; None: all are full."""
-        now, rules, fleet, usable = self.batch.now, self.batch.rules, self.fleet, self.rooms.usable
-        if not fleet.cores or not self.pressure.admits(job):
+        now, rules, fleet, usable = self.batch.now, self.batch.guarantees, self.fleet, self.rooms.usable
+        if not fleet.ready_cores or not self.pressure.admits(job):
             return None
-        threads, lately = self.own.threads + self.told.threads, self.own.recent.read(now, HORIZON)
-        apart = self.batch.settings.position + 1  # turns are short; in one order, all would crowd its first
-        for engine in self.rooms.order(job.tables, apart) if now < fleet.last_cold else ():
-            if engine.cold(now, rules.cold_time):
-                room = SPILL * engine.warm_cores(now, rules) / fleet.cores * threads + job.cls.threads
-                spare = engine.threads + engine.told_threads <= room  # else it would jam
+        threads, lately = self.own.threads + self.told.threads, self.own.recent_work.read(now, HORIZON)
+        apart = (
+            self.batch.settings.gateway_index + 1
+        )  # turns are short; in one order, all would crowd its first
+        for engine in self.rooms.order(job.table_group, apart) if now < fleet.warmups_end_at else ():
+            if engine.is_warming_up(now, rules.slow_start_duration):
+                room = (
+                    SPILL * engine.effective_cores(now, rules) / fleet.ready_cores * threads
+                    + job.class_settings.threads
+                )
+                spare = engine.in_flight_threads + engine.peer_threads <= room  # else it would jam
                 if spare and next(usable(job, True, [engine]), None):
                     return engine
         query = self.rooms.classes.work(job) / HORIZON
@@ -43,11 +48,13 @@
             last = least = None
             for engine in usable(job, strict):
                 best = engine if last is None else min(last, engine, key=self.load)
-                part = SPILL * best.warm_cores(now, rules) / fleet.cores
-                spare = best.threads + best.told_threads <= part * threads + job.cls.threads
-                most = SPILL * fleet.mean_reported + job.cls.threads / best.cores
+                part = SPILL * best.effective_cores(now, rules) / fleet.ready_cores
+                spare = (
+                    best.in_flight_threads + best.peer_threads <= part * threads + job.class_settings.threads
+                )
+                most = SPILL * fleet.mean_reported_threads + job.class_settings.threads / best.cores
                 spare = spare and self.reports.of(best) <= most
-                if last and spare and best.recent.read(now, HORIZON) <= part * lately + query:
+                if last and spare and best.recent_work.read(now, HORIZON) <= part * lately + query:
                     return best
                 least = best if least is None else min(least, best, key=self.load)
                 last = engine
--- a/saffronlane/policy/routing/rendezvous.py
+++ b/saffronlane/policy/routing/rendezvous.py
@@ -2,17 +2,17 @@
 
 from hashlib import blake2b
 
-from ...state import Batch, Engine, Fleet
+from ...state import Engine, EngineRegistry, StepContext
 
 HOMES, CROSSING = 4, 0.03  # of a group's first, the own zone's lead where crossing costs so many points
 ORDERS_MOST = 4096  # hash orders remembered: table groups come from clients, and are without number
 
 
 class Order:
-    def __init__(self, batch: Batch, fleet: Fleet) -> None:
+    def __init__(self, batch: StepContext, fleet: EngineRegistry) -> None:
         self.batch, self.fleet = batch, fleet
         self.known: dict[tuple[float, int], list[Engine]] = {}  # of ready engines
-        self.crossing_costs = batch.settings.zone_price >= CROSSING
+        self.crossing_costs = batch.settings.cross_zone_price >= CROSSING
 
     def __call__(self, tables: float, salt: int = 0) -> list[Engine]:
         order = self.known.get((tables, salt))
--- a/saffronlane/policy/scheduling/group_edf.py
+++ b/saffronlane/policy/scheduling/group_edf.py
@@ -2,7 +2,7 @@
 
 import math
 
-from ...state import Job
+from ...state import Request
 from ..estimation.run_time_estimator import SEED_ANSWERS
 from ..execution.attempts import Attempts
 from ..execution.completion import END_MARGIN
@@ -18,41 +18,57 @@
         self.placement, self.pressure = attempts.placement, attempts.placement.pressure
         self.next_lapse = -math.inf
 
-    def lapsed(self, job: Job) -> bool:
+    def lapsed(self, job: Request) -> bool:
         """The design's refusal: now + ExecTime passes the query's, the class's or the client's limit."""
-        known, blocked = self.answers.classes.learned[job.index], self.pressure.blocked
-        limit = min(job.deadline, job.limit - END_MARGIN) if not (blocked and job.over) else -math.inf
-        if blocked and job.cls.late_value < LATE_WORTH:
-            stretch = job.cls.aim_stretch * known.work(job.cost) / job.cls.threads
-            limit = min(limit, job.arrival + job.cls.aim + stretch)
-        return self.batch.now + (known.exec_time(job.cost) if known.count >= SEED_ANSWERS else 0.0) > limit
+        known, blocked = self.answers.classes.learned[job.class_index], self.pressure.blocked
+        limit = (
+            min(job.deadline, job.expires_at - END_MARGIN)
+            if not (blocked and job.is_over_quota)
+            else -math.inf
+        )
+        if blocked and job.class_settings.late_priority_weight < LATE_WORTH:
+            stretch = (
+                job.class_settings.latency_objective_per_work
+                * known.work(job.estimated_cost)
+                / job.class_settings.threads
+            )
+            limit = min(limit, job.arrived_at + job.class_settings.latency_objective + stretch)
+        return (
+            self.batch.now
+            + (known.exec_time(job.estimated_cost) if known.answer_count >= SEED_ANSWERS else 0.0)
+            > limit
+        )
 
     def release(self) -> None:
         """Group EDF over the held queries, until none can be placed."""
         now, owed, permits = self.batch.now, self.answers.owed, self.answers.permits
         if now >= self.next_lapse:
             self.next_lapse = now + LAPSE_GAP
-            for job in [j for j in owed.held.values() if permits.expired(j) or self.lapsed(j)]:
-                if job.out:  # a second copy that finds no room: the first may still answer
-                    del owed.held[job.id]
+            for job in [j for j in owed.queued.values() if permits.expired(j) or self.lapsed(j)]:
+                if job.in_flight_count:  # a second copy that finds no room: the first may still answer
+                    del owed.queued[job.id]
                 else:
                     self.answers.finish(job)
         self.pressure.blocked = False
-        self.placement.told.forget_until(now)
-        owed.turns.forget_until(now)
-        waiting = [j for j in owed.held.values() if j.looks_until <= now + 1e-6]
-        waiting = [j for j in waiting if owed.turns.has(j, now) and permits.extra(j)]
-        waiting.sort(key=lambda j: (j.over, j.deadline, j.id))
+        self.placement.told.expire(now)
+        owed.ordering.expire_cooldowns(now)
+        waiting = [j for j in owed.queued.values() if j.probing_until <= now + 1e-6]
+        waiting = [j for j in waiting if owed.ordering.is_next(j, now) and permits.extra(j)]
+        waiting.sort(key=lambda j: (j.is_over_quota, j.deadline, j.id))
         while waiting:
             first = waiting[0]
-            end = first.deadline + GROUP_RANGE * (first.deadline - first.arrival)
-            group = [j for j in waiting if j.over == first.over and j.deadline <= end]
+            end = first.deadline + GROUP_RANGE * (first.deadline - first.arrived_at)
+            group = [j for j in waiting if j.is_over_quota == first.is_over_quota and j.deadline <= end]
             job = min(group, key=lambda j: (self.answers.classes.exec_time(j), j.deadline, j.id))
             waiting.remove(job)
             engine = self.placement.place(job)
             if engine is None:
                 self.pressure.blocked = True
                 # No room for others of its class: trying each costs too much; further tries go to no more.
-                waiting = [j for j in waiting if j.index != job.index or (job.attempts and not j.attempts)]
+                waiting = [
+                    j
+                    for j in waiting
+                    if j.class_index != job.class_index or (job.attempts and not j.attempts)
+                ]
             elif permits.repeat(job):  # its key may have closed since the look for lapsed ones
                 self.attempts.send(job, engine)
--- a/saffronlane/simulator/adapter.py
+++ b/saffronlane/simulator/adapter.py
@@ -104,7 +104,7 @@
 
 def _note(record: bytes, tail: bytes) -> tuple[int, api.Event]:
     instance, corr, n, node, topic, amount = _NOTE.unpack_from(record)
-    return instance, api.Note(corr, n, node, _enum(api.NoteKind, topic, "note topic"), amount)
+    return instance, api.ProgressReport(corr, n, node, _enum(api.ProgressKind, topic, "note topic"), amount)
 
 
 def _report_back(record: bytes, tail: bytes) -> tuple[int, api.Event]:
@@ -124,7 +124,7 @@
 
 def _hangup(record: bytes, tail: bytes) -> tuple[int, api.Event]:
     instance, corr = _HANGUP.unpack_from(record)
-    return instance, api.ClientGone(corr)
+    return instance, api.ClientDisconnected(corr)
 
 
 def _reminder(record: bytes, tail: bytes) -> tuple[int, api.Event]:
@@ -179,27 +179,27 @@
 
     def add(self, instance: int, action: api.Action) -> None:
         match action:
-            case api.Send(request, engine, timeout):
+            case api.Dispatch(request, engine, timeout):
                 self._add(">HIQd6s", 1060, instance, request, timeout, engine)
-            case api.SetTerms(request, grant, priority):
+            case api.SetResourceGrant(request, grant, priority):
                 self._add(">HIQfB", 1080, instance, request, grant, priority)
             case api.SetTimer(token, at):
                 self._add(">HIQd", 1030, instance, token, at)
             case api.Cancel(request, attempt):
                 self._add(">HIQB", 1120, instance, request, attempt)
-            case api.Refuse(request, retry_after):
+            case api.Reject(request, retry_after):
                 self._add(">HIQd", 1010, instance, request, retry_after)
             case api.Fail(request):
                 self._add(">HIQ", 1050, instance, request)
-            case api.Probe(engine):
+            case api.ProbeLoad(engine):
                 self._add(">HI6s", 1070, instance, engine)
-            case api.CloseIdle(engine):
+            case api.CloseIdleConnections(engine):
                 self._add(">HI6s", 1040, instance, engine)
-            case api.Tell(peer, data):
+            case api.SendGossip(peer, data):
                 self._add(">HIIII", 1000, instance, ALL_PEERS if peer is None else peer, *self._keep(data))
             case api.Subscribe(on):
                 self._add(">HIB", 1090, instance, on)
-            case api.FetchList():
+            case api.PollEndpoints():
                 self._add(">HI", 1110, instance)
             case api.Log(text):
                 self._add(">HIII", 1100, instance, *self._keep(text.encode()))
@@ -243,12 +243,12 @@
                 self._pages[page] = _entries(tail, offset, count)
             elif code == MEMBERS:
                 instance, mode, version, page = _MEMBERS.unpack_from(record)
-                list_mode = _enum(api.ListMode, mode, "list mode")
-                failed = list_mode is api.ListMode.FAILED
+                list_mode = _enum(api.EndpointListMode, mode, "list mode")
+                failed = list_mode is api.EndpointListMode.FAILED
                 if not failed and page not in self._pages:
                     raise WireError(f"members names list {page}, which no table gave")
                 entries = () if failed else self._pages[page]
-                pending.setdefault(instance, []).append(api.ListUpdate(list_mode, version, entries))
+                pending.setdefault(instance, []).append(api.EndpointListUpdate(list_mode, version, entries))
             elif code in EVENT_READERS:
                 instance, event = EVENT_READERS[code](record, tail)
                 pending.setdefault(instance, []).append(event)
--- a/saffronlane/simulator/settings.py
+++ b/saffronlane/simulator/settings.py
@@ -13,7 +13,11 @@
 from .. import interface as api
 from ..errors import SaffronlaneError
 
-EFFECTS = {"retryable": api.Effect.SAFE, "dedup": api.Effect.KEYED, "fragile": api.Effect.UNSAFE}
+EFFECTS = {
+    "retryable": api.Idempotency.SAFE,
+    "dedup": api.Idempotency.KEYED,
+    "fragile": api.Idempotency.UNSAFE,
+}
 
 C = TypeVar("C", bound=Enum)
 
@@ -110,7 +114,7 @@
     if effect not in EFFECTS:
         raise SettingsError(base + "effect", f"setting {base}effect is unknown: {effect!r}")
     group = params.text(base + "group", "all")
-    if group not in {member.value for member in api.Group}:
+    if group not in {member.value for member in api.DeduplicationScope}:
         raise SettingsError(base + "group", f"setting {base}group is unknown: {group!r}")
     threads = of_class("extra.parallelism", "1")
     if not threads.isdigit():
@@ -119,32 +123,32 @@
         )
     return api.ClassSettings(
         name=params.text(base + "name"),
-        aim=params.number(base + "aim"),
+        latency_objective=params.number(base + "aim"),
         deadline=params.number(base + "deadline"),
-        value=params.number(base + "value", 1.0),
-        late_value=params.number(base + "lateValue", 0.0),
-        aim_stretch=params.number(base + "aimStretch", 0.0),
+        priority_weight=params.number(base + "value", 1.0),
+        late_priority_weight=params.number(base + "lateValue", 0.0),
+        latency_objective_per_work=params.number(base + "aimStretch", 0.0),
         threads=int(threads),
-        effect=EFFECTS[effect],
-        group=api.Group(group),
-        key_ttl=params.number(base + "keyTtl", 0.0),
-        ordered=params.flag(base + "sequential"),
-        stream=params.flag(base + "stream"),
-        is_load=of_class("extra.writesTables", "false") == "true",
-        waits_for_loads=of_class("extra.yieldsToLoads", "false") == "true",
-        zones_only=_names_to_indices(params, base + "zonesOpen", zones),
-        kinds_only=_names_to_indices(params, base + "kindsOnly", kinds),
+        idempotency=EFFECTS[effect],
+        deduplication_scope=api.DeduplicationScope(group),
+        idempotency_ttl=params.number(base + "keyTtl", 0.0),
+        is_ordered=params.flag(base + "sequential"),
+        is_streaming=params.flag(base + "stream"),
+        is_bulk_load=of_class("extra.writesTables", "false") == "true",
+        waits_for_bulk_loads=of_class("extra.yieldsToLoads", "false") == "true",
+        allowed_zones=_names_to_indices(params, base + "zonesOpen", zones),
+        allowed_machine_types=_names_to_indices(params, base + "kindsOnly", kinds),
     )
 
 
-def _kind_settings(params: Params, kinds: list[str]) -> tuple[api.KindSettings, ...]:
+def _kind_settings(params: Params, kinds: list[str]) -> tuple[api.MachineType, ...]:
     cores = params.items("extra.kindCores")
     memory = params.items("extra.sizeMb", "")
     if len(cores) < len(kinds):
         raise SettingsError("extra.kindCores", "setting extra.kindCores has fewer values than kinds")
     try:
         return tuple(
-            api.KindSettings(name, float(cores[i]), float(memory[i]) if i < len(memory) else 0.0)
+            api.MachineType(name, float(cores[i]), float(memory[i]) if i < len(memory) else 0.0)
             for i, name in enumerate(kinds)
         )
     except ValueError as error:
@@ -171,53 +175,55 @@
         classes=tuple(
             _class_settings(params, i, zones, kinds) for i in range(int(params.number("services.count")))
         ),
-        kinds=_kind_settings(params, kinds),
-        gateways=int(params.number("fleetSize")),
-        position=int(params.number("position", 0)),
+        machine_types=_kind_settings(params, kinds),
+        gateway_count=int(params.number("fleetSize")),
+        gateway_index=int(params.number("position", 0)),
         zone=int(params.number("zone", 0)),
         zones=tuple(zones),
         tenants=tuple(
             api.TenantSettings(
                 name=params.text(f"tenants.{i}.name"),
-                allowance=params.number(f"tenants.{i}.allowancePerS", 0.0),
-                share=params.number(f"tenants.{i}.share", 0.0),
+                rate_limit=params.number(f"tenants.{i}.allowancePerS", 0.0),
+                quota=params.number(f"tenants.{i}.share", 0.0),
             )
             for i in range(int(params.number("tenants.count", 0)))
         ),
         guarantees=api.Guarantees(
-            answer_slack=params.number("guarantees.answerSlack", 0.0),
-            drain_grace=params.number("guarantees.stopSendingWithin", 0.0),
-            fall_multiple=params.number("guarantees.fallMultiple", 0.0),
-            fall_window=params.number("guarantees.fall", 0.0),
-            cold_share=params.number("guarantees.coldFrom", 1.0),
-            cold_time=params.number("guarantees.cold", 0.0),
-            order_settle=params.number("guarantees.orderSettle", 0.0),
-            budget_free=params.number("guarantees.extraFree", 0.0) if has_budget else None,
-            budget_ratio=params.number("guarantees.repeatRatio", 0.0),
-            budget_window=params.number("guarantees.lookBack", 0.0),
-            ask_within=params.number("guarantees.askWithin", 0.0),
+            response_slack=params.number("guarantees.answerSlack", 0.0),
+            drain_grace_period=params.number("guarantees.stopSendingWithin", 0.0),
+            slow_start_overload_factor=params.number("guarantees.fallMultiple", 0.0),
+            slow_start_overload_window=params.number("guarantees.fall", 0.0),
+            slow_start_initial_ratio=params.number("guarantees.coldFrom", 1.0),
+            slow_start_duration=params.number("guarantees.cold", 0.0),
+            ordering_cooldown=params.number("guarantees.orderSettle", 0.0),
+            retry_budget_base=params.number("guarantees.extraFree", 0.0) if has_budget else None,
+            retry_budget_ratio=params.number("guarantees.repeatRatio", 0.0),
+            retry_budget_window=params.number("guarantees.lookBack", 0.0),
+            subscribe_deadline=params.number("guarantees.askWithin", 0.0),
         ),
         limits=api.Limits(
-            cancel=params.flag("limits.cancel"),
-            second_copies=params.flag("limits.secondCopies"),
-            probing=params.flag("limits.probing"),
-            probe_price=params.number("prices.probe", 0.0),
-            peers=params.flag("limits.peers"),
-            retry_after=params.flag("limits.retryAfter"),
+            can_cancel=params.flag("limits.cancel"),
+            hedged_requests=params.flag("limits.secondCopies"),
+            load_probes=params.flag("limits.probing"),
+            load_probe_price=params.number("prices.probe", 0.0),
+            gossip=params.flag("limits.peers"),
+            sends_retry_after=params.flag("limits.retryAfter"),
             max_attempts=int(params.number("limits.sendCap", 1)),
             max_retry_after=params.number("limits.maxRetryAfter", 0.0),
             connect_timeout=params.number("limits.connectTimeout", 0.0),
-            max_streams=int(params.number("limits.maxStreams", 0)),
+            max_concurrent_streams=int(params.number("limits.maxStreams", 0)),
         ),
-        grants_heeded=params.flag("extra.grantsCount"),
-        priorities_heeded=params.flag("extra.ranksHeeded"),
-        largest_grant_share=params.number("extra.largestShare", 1.0),
-        memory_short=_choice(params, "extra.memoryShort", api.MemoryShort, api.MemoryShort.WAIT),
-        note_period=params.number("extra.notePeriod", 0.0),
-        work_told=params.flag("extra.costInAnswers"),
-        over_share_worth=params.number("overShareWorth", 1.0),
-        ask_for_list=params.text("membershipMode", "push") == "ask",
+        memory_grants_enabled=params.flag("extra.grantsCount"),
+        priorities_enabled=params.flag("extra.ranksHeeded"),
+        max_memory_grant_ratio=params.number("extra.largestShare", 1.0),
+        memory_overcommit=_choice(
+            params, "extra.memoryShort", api.MemoryOvercommit, api.MemoryOvercommit.WAIT
+        ),
+        progress_interval=params.number("extra.notePeriod", 0.0),
+        reports_work=params.flag("extra.costInAnswers"),
+        over_quota_weight=params.number("overShareWorth", 1.0),
+        subscribes_to_endpoints=params.text("membershipMode", "push") == "ask",
         report_columns=() if params.text("report.via", "none") == "none" else _columns(params),
-        zone_price=params.number("prices.crossZone", 0.0),
-        tick=params.number("tick", 0.0),
+        cross_zone_price=params.number("prices.crossZone", 0.0),
+        min_step_interval=params.number("tick", 0.0),
     )
--- a/saffronlane/state/__init__.py
+++ b/saffronlane/state/__init__.py
@@ -1,30 +1,30 @@
 """What a gateway keeps of engines, requests and attempts. State only: nothing here decides or is tuned."""
 
-from .class_statistics import ClassRecord
-from .engine_registry import Fleet, OwnWork
+from .class_statistics import ClassStatistics
+from .engine_registry import EngineRegistry, InFlightWork
 from .engines import Engine
-from .peer_load import Told, ToldBoard
-from .requests import NEVER_RAN, Attempt, Job, Overdue, Owed, Turns
-from .step import Batch
-from .windows import Bucket, Ration, Recent, Window, sane
+from .peer_load import PeerAttempt, PeerLoadTable
+from .requests import NEVER_RAN, Attempt, GossipExpiry, OrderingQueues, PendingRequests, Request
+from .step import StepContext
+from .windows import DecayingRate, RetryBudgetWindow, SlidingWindow, TokenBucket, clamp
 
 __all__ = [
     "NEVER_RAN",
     "Attempt",
-    "Batch",
-    "Bucket",
-    "ClassRecord",
+    "StepContext",
+    "TokenBucket",
+    "ClassStatistics",
     "Engine",
-    "Fleet",
-    "Job",
-    "Overdue",
-    "Owed",
-    "OwnWork",
-    "Ration",
-    "Recent",
-    "Told",
-    "ToldBoard",
-    "Turns",
-    "Window",
-    "sane",
+    "EngineRegistry",
+    "Request",
+    "GossipExpiry",
+    "PendingRequests",
+    "InFlightWork",
+    "RetryBudgetWindow",
+    "DecayingRate",
+    "PeerAttempt",
+    "PeerLoadTable",
+    "OrderingQueues",
+    "SlidingWindow",
+    "clamp",
 ]
--- a/saffronlane/state/peer_load.py
+++ b/saffronlane/state/peer_load.py
@@ -10,51 +10,53 @@
 
 
 @dataclass(slots=True, eq=False)
-class Told:
+class PeerAttempt:
     """Another gateway's attempt, as it told."""
 
-    until: float
+    expires_at: float
     engine: Engine
     threads: float
-    memory: float
-    loads: int | None  # mark of the table group that a load holds
+    memory_mb: float
+    bulk_load_table_digest: int | None  # mark of the table group that a load holds
 
 
-class ToldBoard:
+class PeerLoadTable:
     """Others' attempts by sender and number, and their sums at each engine."""
 
     def __init__(self) -> None:
         self.threads = 0.0
-        self.entries: dict[tuple[int, int], Told] = {}
-        self.ends: list[tuple[float, tuple[int, int]]] = []  # heap
-
-    def add(self, name: tuple[int, int], until: float, engine: Engine, message: messages.Message) -> None:
-        loads = message.tables if message.is_load else None
-        memory = message.memory_share * engine.memory_size
-        self.put(name, Told(until, engine, message.threads, memory, loads))
-
-    def put(self, name: tuple[int, int], told: Told) -> None:
-        self.entries[name] = told
-        self._count(told, 1)
-        heapq.heappush(self.ends, (told.until, name))
-
-    def forget(self, name: tuple[int, int]) -> None:
-        if told := self.entries.pop(name, None):
+        self.entries: dict[tuple[int, int], PeerAttempt] = {}
+        self.expirations: list[tuple[float, tuple[int, int]]] = []  # heap
+
+    def add(
+        self, key: tuple[int, int], expires_at: float, engine: Engine, message: messages.GossipMessage
+    ) -> None:
+        loads = message.table_digest if message.is_bulk_load else None
+        memory = message.memory_ratio * engine.memory_mb
+        self.insert(key, PeerAttempt(expires_at, engine, message.threads, memory, loads))
+
+    def insert(self, key: tuple[int, int], attempt: PeerAttempt) -> None:
+        self.entries[key] = attempt
+        self._count(attempt, 1)
+        heapq.heappush(self.expirations, (attempt.expires_at, key))
+
+    def remove(self, key: tuple[int, int]) -> None:
+        if told := self.entries.pop(key, None):
             self._count(told, -1)
 
-    def forget_until(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Forget what has no end told by now."""
-        while self.ends and self.ends[0][0] <= now:
-            until, name = heapq.heappop(self.ends)
-            if name in self.entries and self.entries[name].until <= until:
-                self.forget(name)
-
-    def _count(self, told: Told, sign: int) -> None:
-        told.engine.told_threads += sign * told.threads
-        told.engine.told_memory += sign * told.memory
-        self.threads += sign * told.threads
-        if told.loads is not None:
-            loads = told.engine.told_loads
-            loads[told.loads] = loads.get(told.loads, 0) + sign
-            if not loads[told.loads]:
-                del loads[told.loads]
+        while self.expirations and self.expirations[0][0] <= now:
+            until, name = heapq.heappop(self.expirations)
+            if name in self.entries and self.entries[name].expires_at <= until:
+                self.remove(name)
+
+    def _count(self, attempt: PeerAttempt, sign: int) -> None:
+        attempt.engine.peer_threads += sign * attempt.threads
+        attempt.engine.peer_memory_mb += sign * attempt.memory_mb
+        self.threads += sign * attempt.threads
+        if attempt.bulk_load_table_digest is not None:
+            loads = attempt.engine.peer_bulk_loads
+            loads[attempt.bulk_load_table_digest] = loads.get(attempt.bulk_load_table_digest, 0) + sign
+            if not loads[attempt.bulk_load_table_digest]:
+                del loads[attempt.bulk_load_table_digest]
--- a/saffronlane/state_directory.py
+++ b/saffronlane/state_directory.py
@@ -161,7 +161,14 @@
     def _sign(self, clean: bool = False) -> Change:
         now, settings = self._moment(), self._config.settings
         run = k.RunKept(
-            now.mono, now.wall, now.boot, now.place, __version__, settings.position, settings.gateways, clean
+            now.mono,
+            now.wall,
+            now.boot,
+            now.place,
+            __version__,
+            settings.gateway_index,
+            settings.gateway_count,
+            clean,
         )
         return k.change(k.RUN, run)
 
--- a/saffronlane/supervisor.py
+++ b/saffronlane/supervisor.py
@@ -24,7 +24,7 @@
 
 def as_worker(config: Config, number: int, port: int) -> Config:
     """The settings of one worker: a place of its own among the gateways, and the shared port."""
-    settings = replace(config.settings, position=config.settings.position + number)
+    settings = replace(config.settings, gateway_index=config.settings.gateway_index + number)
     seed = None if config.seed is None else config.seed + number
     folder = None if config.knowledge is None else config.knowledge / f"worker-{number}"
     return replace(config, settings=settings, port=port, seed=seed, knowledge=folder)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,17 +9,19 @@
 from saffronlane import interface as api
 from saffronlane.policy import Gateway
 
-LOOKUP = api.ClassSettings("short", aim=1.0, deadline=5.0, value=1.0, threads=1)
-REPORT = api.ClassSettings("long", aim=2.0, deadline=20.0, value=8.0, late_value=0.4, threads=4)
+LOOKUP = api.ClassSettings("short", latency_objective=1.0, deadline=5.0, priority_weight=1.0, threads=1)
+REPORT = api.ClassSettings(
+    "long", latency_objective=2.0, deadline=20.0, priority_weight=8.0, late_priority_weight=0.4, threads=4
+)
 
 
 def make_settings(**changes: object) -> api.Settings:
     base = api.Settings(
         classes=(LOOKUP, REPORT),
-        kinds=(api.KindSettings("kind", 8.0, 16384.0),),
-        limits=api.Limits(cancel=True, max_attempts=4, max_retry_after=2.0, retry_after=True),
-        guarantees=api.Guarantees(answer_slack=0.02, drain_grace=0.5),
-        tick=0.005,
+        machine_types=(api.MachineType("kind", 8.0, 16384.0),),
+        limits=api.Limits(can_cancel=True, max_attempts=4, max_retry_after=2.0, sends_retry_after=True),
+        guarantees=api.Guarantees(response_slack=0.02, drain_grace_period=0.5),
+        min_step_interval=0.005,
     )
     return replace(base, **changes)
 
@@ -49,12 +51,14 @@
         actions = self.gateway.step(self.now, list(events))
         for action in actions:
             if isinstance(action, api.SetTimer):
-                self.timers.append((action.at, action.token))
+                self.timers.append((action.deadline, action.token))
         self.actions += actions
         return actions
 
-    def list(self, entries: list[api.EngineEntry], mode: api.ListMode = api.ListMode.FULL) -> None:
-        self.step(api.ListUpdate(mode, 1, tuple(entries)))
+    def list(
+        self, entries: list[api.EngineEntry], mode: api.EndpointListMode = api.EndpointListMode.FULL
+    ) -> None:
+        self.step(api.EndpointListUpdate(mode, 1, tuple(entries)))
 
     def ask(self, cls: int = 0, remaining: float | None = None, **fields: object) -> int:
         """One arrival; returns the request's number."""
@@ -70,8 +74,8 @@
     def end(self, request: int, outcome: api.Outcome, attempt: int = 0, **fields: object) -> list[api.Action]:
         engine = self.sends(request)[attempt].engine
         elapsed = fields.pop("elapsed", 0.1)
-        final = fields.pop("final", outcome is api.Outcome.OK)
-        return self.step(api.AttemptEnded(request, attempt, engine, outcome, elapsed, final, **fields))
+        is_final = fields.pop("is_final", outcome is api.Outcome.OK)
+        return self.step(api.AttemptEnded(request, attempt, engine, outcome, elapsed, is_final, **fields))
 
     def pass_time(self, until: float) -> list[api.Action]:
         """Fire the timers that fall due, in order."""
@@ -88,11 +92,11 @@
             a for a in self.actions if isinstance(a, kind) and request in (None, getattr(a, "request", None))
         ]
 
-    def sends(self, request: int | None = None) -> list[api.Send]:
-        return self.of_kind(api.Send, request)
+    def sends(self, request: int | None = None) -> list[api.Dispatch]:
+        return self.of_kind(api.Dispatch, request)
 
     def answers(self, request: int) -> list[api.Action]:
-        return [a for a in self.actions if isinstance(a, (api.Refuse, api.Fail)) and a.request == request]
+        return [a for a in self.actions if isinstance(a, (api.Reject, api.Fail)) and a.request == request]
 
 
 @pytest.fixture
--- a/tests/node/test_attempt_ends.py
+++ b/tests/node/test_attempt_ends.py
@@ -262,7 +262,7 @@
             name = next(iter(links.by_node)).decode()
             port = built.computes[int(name[-1])].port
             built.feed.event(2, [member(name, port, "draining")])
-            await built.until(lambda: Outcome.MOOT in told)
+            await built.until(lambda: Outcome.NOT_SENT in told)
         finally:
             connection_module.NodeConnection._run = real  # type: ignore[method-assign]
             draining.set()
--- a/tests/node/test_certainty.py
+++ b/tests/node/test_certainty.py
@@ -219,7 +219,7 @@
         monkeypatch.setattr(NodeConnection, "pour", cross)
         assert await client.answer(client.call("frail", rid(2))) == (None, [ROWS, {}])
         assert crossed and told == [Outcome.OK, Outcome.OK]
-        assert not built.node.dispatcher.gateway.fleet.engines[b"node-0"].fails
+        assert not built.node.dispatcher.gateway.fleet.engines[b"node-0"].failure_ratio
 
     play(work)
 
@@ -258,7 +258,7 @@
 
         links.begin = crossed  # type: ignore[method-assign]
         assert await client.answer(client.call("frail", rid(2))) == (None, [ROWS, {}])
-        assert told == [Outcome.OK, Outcome.MOOT, Outcome.OK]
+        assert told == [Outcome.OK, Outcome.NOT_SENT, Outcome.OK]
         assert [words[1] for words in built.computes[0].words(b"fetch")] == [rid(1).encode(), rid(2).encode()]
 
     play(work)
--- a/tests/node/test_feed.py
+++ b/tests/node/test_feed.py
@@ -314,7 +314,7 @@
         built.node._path.write_text(json.dumps(changed))
         assert built.node._kept(load(built.node._path)) == ["listen", "settings"]
         built.node.reload()
-        assert built.node.dispatcher.settings.gateways == 1
+        assert built.node.dispatcher.settings.gateway_count == 1
         client = await built.client()
         assert (await client.answer(client.call("ask", RID)))[0] is None
         other.close()
--- a/tests/node/test_settings.py
+++ b/tests/node/test_settings.py
@@ -53,8 +53,8 @@
             assert first.dispatcher.settings.classes != second.dispatcher.settings.classes
             assert not any(theirs.tables().values())
             assert len(second.dispatcher.gateway.classes.learned) == 2
-            assert second.dispatcher.gateway.classes.learned[1].count == 0
-            assert first.dispatcher.gateway.classes.learned[0].count == 1
+            assert second.dispatcher.gateway.classes.learned[1].answer_count == 0
+            assert first.dispatcher.gateway.classes.learned[0].answer_count == 1
 
     asyncio.run(work())
 
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -9,26 +9,26 @@
 from conftest import make_settings
 
 from saffronlane import interface as api
-from saffronlane.interface import Effect
+from saffronlane.interface import Idempotency
 from saffronlane.lab.audit import Audit
 
 Event = dict[str, Any]
 CLASSES = (
-    api.ClassSettings("safe", aim=0.5, deadline=3.0),
-    api.ClassSettings("keyed", 1.0, 6.0, effect=Effect.KEYED, key_ttl=2.0),
-    api.ClassSettings("unsafe", 1.0, 4.0, effect=Effect.UNSAFE, ordered=True),
-    api.ClassSettings("bound", 1.0, 4.0, zones_only=(0,)),
+    api.ClassSettings("safe", latency_objective=0.5, deadline=3.0),
+    api.ClassSettings("keyed", 1.0, 6.0, idempotency=Idempotency.KEYED, idempotency_ttl=2.0),
+    api.ClassSettings("unsafe", 1.0, 4.0, idempotency=Idempotency.UNSAFE, is_ordered=True),
+    api.ClassSettings("bound", 1.0, 4.0, allowed_zones=(0,)),
 )
 SETTINGS = make_settings(
     classes=CLASSES,
     zones=("one", "two"),
     guarantees=api.Guarantees(
-        answer_slack=0.02,
-        drain_grace=0.2,
-        order_settle=0.3,
-        budget_free=2.0,
-        budget_ratio=0.1,
-        budget_window=5.0,
+        response_slack=0.02,
+        drain_grace_period=0.2,
+        ordering_cooldown=0.3,
+        retry_budget_base=2.0,
+        retry_budget_ratio=0.1,
+        retry_budget_window=5.0,
     ),
 )
 
@@ -122,7 +122,7 @@
     record = [asked("a", 0.0), *run_of("a", 0.1, took=1.0), *run_of("a", 0.5, attempt=1, engine="e1")]
     record += [answer("a", 1.2)]
     assert rules_broken(record) == [2]
-    copies = replace(SETTINGS, limits=replace(SETTINGS.limits, second_copies=True))
+    copies = replace(SETTINGS, limits=replace(SETTINGS.limits, hedged_requests=True))
     assert rules_broken(record, copies) == []
 
 
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -103,10 +103,10 @@
         "0406 00000003 000cd1fc5d3a91c4 0a124a07 1f93 3f82f1a9fbe76c8b 00": api.StreamStarted(
             0xCD1FC5D3A91C4, 0, NODE, struct.unpack(">d", bytes.fromhex("3f82f1a9fbe76c8b"))[0]
         ),
-        "041a 00000003 000cd1fc5d3a91c4 00 0a124a07 1f93 01 3f000000": api.Note(
-            0xCD1FC5D3A91C4, 0, NODE, api.NoteKind.PROGRESS, 0.5
+        "041a 00000003 000cd1fc5d3a91c4 00 0a124a07 1f93 01 3f000000": api.ProgressReport(
+            0xCD1FC5D3A91C4, 0, NODE, api.ProgressKind.PROGRESS, 0.5
         ),
-        "0456 00000003 000cd1fc5d3a91c4": api.ClientGone(0xCD1FC5D3A91C4),
+        "0456 00000003 000cd1fc5d3a91c4": api.ClientDisconnected(0xCD1FC5D3A91C4),
         "042e 00000003 000000000000004d": api.TimerFired(77),
     }
     for text, expected in hexes.items():
@@ -122,9 +122,9 @@
     )
     data = bytes.fromhex(text.replace(" ", "")).ljust(56, b"\0")
     instance, event = benchlink.EVENT_READERS[1020](data, b"")
-    assert instance == 3 and event.outcome is api.Outcome.OK and event.final
+    assert instance == 3 and event.outcome is api.Outcome.OK and event.is_final
     assert event.work == pytest.approx(0.017) and event.memory_mb == 96 * 4.0
-    assert event.report[:2] == (7.0, 3.0)
+    assert event.load_report[:2] == (7.0, 3.0)
 
 
 @pytest.mark.parametrize(
@@ -132,14 +132,14 @@
     [
         (api.SetTimer(0x4D, 8.912), "0406 00000003 000000000000004d 4021d2f1a9fbe76d"),
         (api.Cancel(0xCD1FC5D3A91C4, 0), "0460 00000003 000cd1fc5d3a91c4 00"),
-        (api.Refuse(0xF346C0E6F2B19, 0.25), "03f2 00000003 000f346c0e6f2b19 3fd0000000000000"),
+        (api.Reject(0xF346C0E6F2B19, 0.25), "03f2 00000003 000f346c0e6f2b19 3fd0000000000000"),
         (api.Fail(0xF346C0E6F2B19), "041a 00000003 000f346c0e6f2b19"),
-        (api.SetTerms(0xCD1FC5D3A91C4, 640.0, 2), "0438 00000003 000cd1fc5d3a91c4 44200000 02"),
-        (api.Probe(NODE), "042e 00000003 0a124a071f93"),
-        (api.CloseIdle(NODE), "0410 00000003 0a124a071f93"),
+        (api.SetResourceGrant(0xCD1FC5D3A91C4, 640.0, 2), "0438 00000003 000cd1fc5d3a91c4 44200000 02"),
+        (api.ProbeLoad(NODE), "042e 00000003 0a124a071f93"),
+        (api.CloseIdleConnections(NODE), "0410 00000003 0a124a071f93"),
         (api.Subscribe(True), "0442 00000003 01"),
-        (api.FetchList(), "0456 00000003"),
-        (api.Tell(None, b"hi 7"), "03e8 00000003 ffffffff 00000000 00000004"),
+        (api.PollEndpoints(), "0456 00000003"),
+        (api.SendGossip(None, b"hi 7"), "03e8 00000003 ffffffff 00000000 00000004"),
         (api.Log("two servers known"), "044c 00000003 00000000 00000011"),
     ],
 )
@@ -152,11 +152,14 @@
 
 def test_settings_are_read_and_unknown_ones_ignored() -> None:
     settings = benchlink.read_settings(PARAMS)
-    assert [kind.cores for kind in settings.kinds] == [8.0, 4.0]
-    assert settings.classes[1].effect is api.Effect.KEYED and settings.classes[1].group is api.Group.ZONE
-    assert settings.classes[1].zones_only == (1,) and settings.classes[0].zones_only is None
-    assert settings.classes[1].ordered and settings.classes[1].threads == 4
-    assert settings.guarantees.budget_free == 3.0
+    assert [kind.cores for kind in settings.machine_types] == [8.0, 4.0]
+    assert (
+        settings.classes[1].idempotency is api.Idempotency.KEYED
+        and settings.classes[1].deduplication_scope is api.DeduplicationScope.ZONE
+    )
+    assert settings.classes[1].allowed_zones == (1,) and settings.classes[0].allowed_zones is None
+    assert settings.classes[1].is_ordered and settings.classes[1].threads == 4
+    assert settings.guarantees.retry_budget_base == 3.0
 
 
 def test_settings_of_load_memory_and_prices_are_passed_on() -> None:
@@ -172,12 +175,12 @@
 tenants.0.allowancePerS=12.5
 """
     settings = benchlink.read_settings(PARAMS + more)
-    assert settings.memory_short is api.MemoryShort.PAGE
-    assert settings.report_columns == ("cpu", "active") and settings.limits.probe_price == 0.01
-    assert settings.zone_price == 0.04 and settings.tenants[0].allowance == 12.5
-    assert settings.classes[0].effect is api.Effect.UNSAFE
+    assert settings.memory_overcommit is api.MemoryOvercommit.PAGE
+    assert settings.report_columns == ("cpu", "active") and settings.limits.load_probe_price == 0.01
+    assert settings.cross_zone_price == 0.04 and settings.tenants[0].rate_limit == 12.5
+    assert settings.classes[0].idempotency is api.Idempotency.UNSAFE
     plain = benchlink.read_settings(PARAMS)
-    assert plain.memory_short is api.MemoryShort.WAIT and plain.report_columns == ()
+    assert plain.memory_overcommit is api.MemoryOvercommit.WAIT and plain.report_columns == ()
     assert benchlink.read_settings(PARAMS + more.replace("via=probe", "via=none")).report_columns == ()
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -9,9 +9,9 @@
 import pytest
 from click.testing import CliRunner
 from gateways import write_config
-from saffronlane.cli import main
 
 from saffronlane import interface as api
+from saffronlane.cli import main
 from saffronlane.config import Config, ConfigError, load_config, parse_config, parse_engines
 from saffronlane.config.check import read_json, schema
 from saffronlane.members import FileSource, View
@@ -102,18 +102,18 @@
     """No field of interface.Settings stays at its default, or the map has a hole."""
     settings = full().settings
     for part, default in (
-        (settings, api.Settings(settings.classes, settings.kinds)),
+        (settings, api.Settings(settings.classes, settings.machine_types)),
         (settings.classes[1], api.ClassSettings("", 0.0, 0.0)),
         (settings.guarantees, api.Guarantees()),
         (settings.limits, api.Limits()),
         (settings.tenants[0], api.TenantSettings("")),
-        (settings.kinds[0], api.KindSettings("", 0.0)),
+        (settings.machine_types[0], api.MachineType("", 0.0)),
     ):
         for name in part.__dataclass_fields__:
             # The dispatcher steps at once, so there is no tick; a file is told unasked.
-            if name not in ("classes", "kinds", "tick", "ask_for_list"):
+            if name not in ("classes", "machine_types", "min_step_interval", "subscribes_to_endpoints"):
                 assert getattr(part, name) != getattr(default, name), name
-    assert settings.classes[1].zones_only == (1,) and settings.classes[1].kinds_only == (1,)
+    assert settings.classes[1].allowed_zones == (1,) and settings.classes[1].allowed_machine_types == (1,)
     assert full().engine_file == Path("/x/engines.json")
 
 
@@ -264,13 +264,13 @@
     view = View(lambda: clock[0], lambda: wall[0])
     _, records = parse_engines(set_at(LIST, "/engines/0/started", 49_990.0), full(), "here")
     first = view.replace(1, records).entries[0]
-    assert first.started == 990.0
+    assert first.started_at == 990.0
     clock[0], wall[0] = 1001.0, 90_000.0
-    assert view.replace(2, records).entries[0].started == 990.0
+    assert view.replace(2, records).entries[0].started_at == 990.0
     _, again = parse_engines(set_at(LIST, "/engines/0/started", 89_999.0), full(), "here")
-    assert view.replace(3, again).entries[0].started == 1000.0
+    assert view.replace(3, again).entries[0].started_at == 1000.0
     _, future = parse_engines(set_at(LIST, "/engines/0/started", 99_999.0), full(), "here")
-    assert view.replace(4, future).entries[0].started == 1001.0
+    assert view.replace(4, future).entries[0].started_at == 1001.0
 
 
 def test_a_snapshot_in_hand_does_not_change() -> None:
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -14,7 +14,7 @@
 from saffronlane import dispatch as d
 from saffronlane import interface as api
 from saffronlane.dispatch.recording import RecordingError, RecordingWriter, replay
-from saffronlane.interface import Effect, EngineState, Outcome
+from saffronlane.interface import EngineState, Idempotency, Outcome
 
 ANSWERS = (d.Serve, d.RefuseRequest, d.FailRequest)
 
@@ -36,7 +36,7 @@
 
     def list(self, states: dict[int, EngineState]) -> list[d.Effect]:
         entries = tuple(api.EngineEntry(engine_id(n), state) for n, state in states.items())
-        return self.step(api.ListUpdate(api.ListMode.FULL, 1, entries))
+        return self.step(api.EndpointListUpdate(api.EndpointListMode.FULL, 1, entries))
 
     def submit(self, remaining: float = 5.0, **fields: int) -> int:
         request = self.core.new_request()
@@ -60,11 +60,11 @@
 def test_a_list_that_names_an_engine_twice_is_taken_in_order() -> None:
     """Guards against a fault in the step: all that it was told, and all timers, were lost with it."""
     core = d.Dispatcher(make_settings(), seed=1)
-    gone = api.EngineEntry(b"a", api.EngineState.GONE)
+    gone = api.EngineEntry(b"a", api.EngineState.REMOVED)
     ready = api.EngineEntry(b"a", api.EngineState.READY)
-    core.step(1.0, [api.ListUpdate(api.ListMode.DELTA, 1, (ready, gone, gone))])
+    core.step(1.0, [api.EndpointListUpdate(api.EndpointListMode.DELTA, 1, (ready, gone, gone))])
     assert core.engines == []
-    core.step(2.0, [api.ListUpdate(api.ListMode.DELTA, 2, (gone, ready))])
+    core.step(2.0, [api.EndpointListUpdate(api.EndpointListMode.DELTA, 2, (gone, ready))])
     assert core.engines == [b"a"]
 
 
@@ -92,7 +92,7 @@
 
 def test_the_result_of_a_cancelled_attempt_goes_to_nobody() -> None:
     """An answer may cross its own cancel on the wire."""
-    world = World(make_settings(note_period=1.0))
+    world = World(make_settings(progress_interval=1.0))
     request = world.submit()
     world.pass_time(world.now + 4.0)  # no word: it is taken back
     assert world.of(d.CancelAttempt) == [d.CancelAttempt(request, 0)]
@@ -114,7 +114,7 @@
 
 
 def test_a_request_ends_in_time_whatever_its_engine_does() -> None:
-    world = World(make_settings(classes=one_class(effect=Effect.UNSAFE)))
+    world = World(make_settings(classes=one_class(idempotency=Idempotency.UNSAFE)))
     request = world.submit(remaining=2.0)
     world.pass_time(11.99)
     (answer,) = world.of(ANSWERS)
@@ -126,8 +126,8 @@
 
 
 def test_a_committed_attempt_is_the_only_one() -> None:
-    limits = api.Limits(cancel=True, second_copies=True, max_attempts=3)
-    world = World(make_settings(limits=limits, classes=one_class(aim=0.2)))
+    limits = api.Limits(can_cancel=True, hedged_requests=True, max_attempts=3)
+    world = World(make_settings(limits=limits, classes=one_class(latency_objective=0.2)))
     request = world.submit()
     world.pass_time(world.now + 2.0)
     starts = world.of(d.StartAttempt, request)
@@ -166,7 +166,7 @@
     index = [engine_id(n) for n in range(2)].index(start.engine)
     effects = world.list({index: EngineState.DRAINING, 1 - index: EngineState.READY})
     assert d.RecallAttempt(request, 0) in effects
-    world.done(request, Outcome.MOOT)
+    world.done(request, Outcome.NOT_SENT)
     second = world.of(d.StartAttempt, request)[1]
     assert second.engine == engine_id(1 - index)
 
@@ -189,7 +189,7 @@
 
 
 def test_a_stop_refuses_what_is_new_and_answers_what_is_owed() -> None:
-    settings = make_settings(classes=one_class(effect=Effect.UNSAFE))
+    settings = make_settings(classes=one_class(idempotency=Idempotency.UNSAFE))
     world = World(settings)
     running = world.submit()
     world.step(d.StopTaking(5.0))
@@ -211,7 +211,7 @@
     world.pass_time(14.0)
     answers = world.of(ANSWERS)
     assert len(answers) == 10_000 and {a.request for a in answers} == set(requests)
-    assert not world.core._requests and not world.core.gateway.owed.jobs
+    assert not world.core._requests and not world.core.gateway.owed.requests
 
 
 def test_a_clock_that_goes_back_counts_as_standing_still() -> None:
@@ -254,7 +254,7 @@
     now, out, number = 100.0, [], 0
     states = dict.fromkeys(range(5), EngineState.READY)
     entries = tuple(api.EngineEntry(engine_id(n), s) for n, s in states.items())
-    effects = yield now, [api.ListUpdate(api.ListMode.FULL, 1, entries)]
+    effects = yield now, [api.EndpointListUpdate(api.EndpointListMode.FULL, 1, entries)]
     for _ in range(300):
         now += random.random() * 0.05
         out += [e for e in effects or [] if isinstance(e, d.StartAttempt)]
@@ -270,7 +270,7 @@
         if random.random() < 0.03:
             states[random.randrange(5)] = random.choice(list(EngineState))
             entries = tuple(api.EngineEntry(engine_id(n), s) for n, s in states.items())
-            inputs.append(api.ListUpdate(api.ListMode.FULL, 2, entries))
+            inputs.append(api.EndpointListUpdate(api.EndpointListMode.FULL, 2, entries))
         if number and random.random() < 0.05:
             inputs.append(d.ClientLeft(random.randrange(1, number + 1)))
         effects = yield now, inputs
@@ -289,15 +289,18 @@
 
 
 SOME = (
-    api.ClassSettings("safe", aim=0.5, deadline=3.0),
-    api.ClassSettings("keyed", 1.0, 3.0, effect=Effect.KEYED, key_ttl=2.0),
-    api.ClassSettings("ordered", 1.0, 3.0, effect=Effect.UNSAFE, ordered=True),
+    api.ClassSettings("safe", latency_objective=0.5, deadline=3.0),
+    api.ClassSettings("keyed", 1.0, 3.0, idempotency=Idempotency.KEYED, idempotency_ttl=2.0),
+    api.ClassSettings("ordered", 1.0, 3.0, idempotency=Idempotency.UNSAFE, is_ordered=True),
 )
 
 
 def test_two_dispatchers_in_one_process_share_nothing() -> None:
     """Two with different settings and seeds, in turns, do what each does alone."""
-    first, second = make_settings(classes=SOME), make_settings(classes=SOME[:2], gateways=3, position=1)
+    first, second = (
+        make_settings(classes=SOME),
+        make_settings(classes=SOME[:2], gateway_count=3, gateway_index=1),
+    )
     alone = [
         list(play(1, first, d.Dispatcher(first, 5))),
         list(play(2, second, d.Dispatcher(second, 6))),
@@ -340,7 +343,7 @@
 
 
 def test_a_record_is_played_again_with_the_same_effects(tmp_path: Path) -> None:
-    settings = make_settings(classes=SOME, note_period=1.0)
+    settings = make_settings(classes=SOME, progress_interval=1.0)
     sink = io.BytesIO()
     core = d.Dispatcher(settings, 9, RecordingWriter(sink, settings, 9))
     for _ in play(4, settings, core):
@@ -362,7 +365,7 @@
 
 
 def test_settings_without_cancel_discard_instead() -> None:
-    limits = replace(make_settings().limits, cancel=False)
+    limits = replace(make_settings().limits, can_cancel=False)
     world = World(make_settings(limits=limits))
     request = world.submit(remaining=1.0)
     world.pass_time(12.0)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -17,31 +17,57 @@
 
 from saffronlane import dispatch as d
 from saffronlane import interface as api
-from saffronlane.interface import EngineState, ListMode, Outcome
+from saffronlane.interface import EndpointListMode, EngineState, Outcome
 
 GATEWAYS, NODES, CORES = 230, 300, 8.0
 FEW, RARE = 0, 1  # classes
 RULES = api.Guarantees(
-    drain_grace=0.5, fall_multiple=4.0, fall_window=3.0, cold_share=0.31, cold_time=13.0,
-    budget_free=3.0, budget_ratio=0.2, budget_window=10.0,
-)  # fmt: skip
+    drain_grace_period=0.5,
+    slow_start_overload_factor=4.0,
+    slow_start_overload_window=3.0,
+    slow_start_initial_ratio=0.31,
+    slow_start_duration=13.0,
+    retry_budget_base=3.0,
+    retry_budget_ratio=0.2,
+    retry_budget_window=10.0,
+)
 LIMITS = api.Limits(
-    cancel=True, second_copies=True, peers=True, retry_after=True, max_attempts=3, max_retry_after=0.5,
+    can_cancel=True,
+    hedged_requests=True,
+    gossip=True,
+    sends_retry_after=True,
+    max_attempts=3,
+    max_retry_after=0.5,
     connect_timeout=0.25,
-)  # fmt: skip
+)
 CLASSES = (
-    api.ClassSettings("short", aim=0.75, deadline=4.0, aim_stretch=1.5),
-    api.ClassSettings("rare", aim=2.0, deadline=20.0, value=10.0, late_value=0.4, aim_stretch=2.5, threads=3),
+    api.ClassSettings("short", latency_objective=0.75, deadline=4.0, latency_objective_per_work=1.5),
+    api.ClassSettings(
+        "rare",
+        latency_objective=2.0,
+        deadline=20.0,
+        priority_weight=10.0,
+        late_priority_weight=0.4,
+        latency_objective_per_work=2.5,
+        threads=3,
+    ),
 )
 WORK = (0.13, 3.4)  # seconds in the mean
 
 
 def settings(position: int) -> api.Settings:
-    kind = api.KindSettings("kind", CORES, 4096.0)
+    kind = api.MachineType("kind", CORES, 4096.0)
     return api.Settings(
-        CLASSES, (kind,), GATEWAYS, position, guarantees=RULES, limits=LIMITS, work_told=True, tick=0.005,
-        grants_heeded=True,
-    )  # fmt: skip
+        CLASSES,
+        (kind,),
+        GATEWAYS,
+        position,
+        guarantees=RULES,
+        limits=LIMITS,
+        reports_work=True,
+        min_step_interval=0.005,
+        memory_grants_enabled=True,
+    )
 
 
 def node(number: int) -> bytes:
@@ -102,13 +128,13 @@
             self.wakes[place] = math.inf
             self.step(place)
 
-    def list(self, entries: list[api.EngineEntry], mode: ListMode) -> None:
+    def list(self, entries: list[api.EngineEntry], mode: EndpointListMode) -> None:
         for entry in entries:
             self.states[entry.engine] = (entry.state, self.now)
-            if entry.started:
-                self.starts[entry.engine] = entry.started
+            if entry.started_at:
+                self.starts[entry.engine] = entry.started_at
         for place in range(len(self.cores)):
-            self.step(place, api.ListUpdate(mode, 1, tuple(entries)))
+            self.step(place, api.EndpointListUpdate(mode, 1, tuple(entries)))
 
     def ask(self, place: int, cls: int) -> None:
         core, work = self.cores[place], WORK[cls] * self.random.lognormvariate(-0.3, 0.77)
@@ -131,7 +157,7 @@
         elif isinstance(effect, (d.Serve, d.RefuseRequest, d.FailRequest)):
             self.requests[place, effect.request].answers.append(type(effect).__name__)
             assert self.now <= self.requests[place, effect.request].limit  # rule 1
-        elif isinstance(effect, api.Tell):
+        elif isinstance(effect, api.SendGossip):
             self.told += 1
             for other in range(len(self.cores)):
                 if other != place and self.random.random() > 0.01:
@@ -141,7 +167,7 @@
     def start(self, place: int, effect: d.StartAttempt) -> None:
         request, engine = self.requests[place, effect.request], effect.engine
         state, since = self.states[engine]
-        assert state is EngineState.READY or self.now <= since + RULES.drain_grace  # rule 3
+        assert state is EngineState.READY or self.now <= since + RULES.drain_grace_period  # rule 3
         name, work = (place, effect.request, effect.attempt), self.works[place, effect.request]
         if request.attempts:
             self.extras[place].append(self.now)
@@ -154,8 +180,8 @@
             self.at(self.now + 0.001, lambda: self.finish(name, engine, Outcome.REJECTED, 0.001))
             return
         running[name] = threads
-        cold = max(0.0, 1.0 - (self.now - self.starts.get(engine, -math.inf)) / RULES.cold_time)
-        able = CORES * (1.0 - cold * (1.0 - RULES.cold_share))
+        cold = max(0.0, 1.0 - (self.now - self.starts.get(engine, -math.inf)) / RULES.slow_start_duration)
+        able = CORES * (1.0 - cold * (1.0 - RULES.slow_start_initial_ratio))
         elapsed = work / threads * max(1.0, (busy + threads) / able)
         self.at(self.now + elapsed, lambda: self.finish(name, engine, Outcome.OK, elapsed))
 
@@ -178,16 +204,20 @@
     def audit(self) -> None:
         for place in range(len(self.cores)):
             for at in self.extras[place]:  # rule 7
-                sent = sum(at - RULES.budget_window < other <= at for other in self.extras[place])
-                taken = sum(at - RULES.budget_window < other <= at for other in self.asked[place])
-                assert sent <= RULES.budget_free + RULES.budget_ratio * taken
+                sent = sum(at - RULES.retry_budget_window < other <= at for other in self.extras[place])
+                taken = sum(at - RULES.retry_budget_window < other <= at for other in self.asked[place])
+                assert sent <= RULES.retry_budget_base + RULES.retry_budget_ratio * taken
         for engine, started in self.starts.items():  # rule 4
-            times = [(at, work) for at, work in self.sent[engine] if at < started + RULES.cold_time]
+            times = [(at, work) for at, work in self.sent[engine] if at < started + RULES.slow_start_duration]
             for at, _ in times:
-                sent_work = sum(work for other, work in times if at <= other < at + RULES.fall_window)
-                warm = (at - started) / RULES.cold_time
-                able = CORES * (RULES.cold_share + (1.0 - RULES.cold_share) * warm)
-                assert sent_work <= RULES.fall_multiple * able * RULES.fall_window
+                sent_work = sum(
+                    work for other, work in times if at <= other < at + RULES.slow_start_overload_window
+                )
+                warm = (at - started) / RULES.slow_start_duration
+                able = CORES * (
+                    RULES.slow_start_initial_ratio + (1.0 - RULES.slow_start_initial_ratio) * warm
+                )
+                assert sent_work <= RULES.slow_start_overload_factor * able * RULES.slow_start_overload_window
         assert all(len(request.answers) == 1 for request in self.requests.values())
         assert not any(core.attempts_out or core.owed for core in self.cores)
 
@@ -203,7 +233,7 @@
     Seen to fail: with the cold budget taken out (rule 4).
     """
     fleet = Fleet(seed)
-    fleet.list([api.EngineEntry(node(n), EngineState.READY) for n in range(NODES)], ListMode.FULL)
+    fleet.list([api.EngineEntry(node(n), EngineState.READY) for n in range(NODES)], EndpointListMode.FULL)
     random = fleet.random
     rates = [random.choice((0.5, 1.0, 1.0, 3.0)) for _ in range(GATEWAYS)]  # fronts are uneven
     for place, rate in enumerate(rates):
@@ -214,11 +244,11 @@
             time += random.expovariate(rate)
     replaced = range(0, NODES, 10)
     drain = [api.EngineEntry(node(n), EngineState.DRAINING) for n in replaced]
-    fresh = [api.EngineEntry(node(n + 1000), EngineState.READY, started=2.0) for n in replaced]
-    gone = [api.EngineEntry(node(n), EngineState.GONE) for n in replaced]
-    fleet.at(1.5, lambda: fleet.list(drain, ListMode.DELTA))
-    fleet.at(2.1, lambda: fleet.list(fresh, ListMode.DELTA))
-    fleet.at(4.0, lambda: fleet.list(gone, ListMode.DELTA))
+    fresh = [api.EngineEntry(node(n + 1000), EngineState.READY, started_at=2.0) for n in replaced]
+    gone = [api.EngineEntry(node(n), EngineState.REMOVED) for n in replaced]
+    fleet.at(1.5, lambda: fleet.list(drain, EndpointListMode.DELTA))
+    fleet.at(2.1, lambda: fleet.list(fresh, EndpointListMode.DELTA))
+    fleet.at(4.0, lambda: fleet.list(gone, EndpointListMode.DELTA))
     fleet.run(40.0)
     fleet.audit()
     assert fleet.share(FEW) > 0.98 and fleet.share(RARE) > 0.95
--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -206,7 +206,7 @@
             cursor.execute("SELECT * FROM plays")
             assert len(cursor.fetchall()) == 1
         learned = built.daemon.dispatcher.gateway.classes.learned
-        assert [k.count for k in learned] == [0, 1, 0]
+        assert [k.answer_count for k in learned] == [0, 1, 0]
 
 
 # --- polling and cancelling ---
--- a/tests/test_folder.py
+++ b/tests/test_folder.py
@@ -13,9 +13,9 @@
 import pytest
 from click.testing import CliRunner
 from gateways import House
-from saffronlane.cli import main
 from test_flight import connect
 
+from saffronlane.cli import main
 from saffronlane.config import parse_config
 from saffronlane.daemon import Daemon
 from saffronlane.learned_state import records as k
@@ -246,7 +246,7 @@
     assert code == 2 and "stop it first" in out
     code, out = run("forget", folder, "classes", "engines")
     assert (code, out.strip()) == (0, "the running gateway forgets them")
-    house.until(lambda: house.daemon.dispatcher.gateway.classes.learned[0].count == 0)
+    house.until(lambda: house.daemon.dispatcher.gateway.classes.learned[0].answer_count == 0)
     house.until(lambda: k.CLASS + b"lookup" not in dict(read(folder).state.items()))
 
 
