--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -19,7 +19,7 @@
 from saffronlane import gossip_messages as messages
 from saffronlane import interface as api
 from saffronlane.dispatch.recording import RecordingWriter, replay
-from saffronlane.interface import Effect, EngineState, Outcome
+from saffronlane.interface import EngineState, Idempotency, Outcome
 from saffronlane.learned_state import Ledger, Memory, Moment, Recall, What, between
 from saffronlane.learned_state import confidence as weigh
 from saffronlane.learned_state import records as k
@@ -28,9 +28,14 @@
 from saffronlane.storage import Entry, RealFiles, recover
 
 HERE = Moment(1000.0, 1e9, "boot", "place")
-KEYED = replace(one_class(effect=Effect.KEYED, key_ttl=10.0, group=api.Group.ZONE)[0], name="keyed")
-UNSAFE = replace(one_class(effect=Effect.UNSAFE)[0], name="unsafe")
-ORDERED = replace(one_class(ordered=True)[0], name="ordered")
+KEYED = replace(
+    one_class(
+        idempotency=Idempotency.KEYED, idempotency_ttl=10.0, deduplication_scope=api.DeduplicationScope.ZONE
+    )[0],
+    name="keyed",
+)
+UNSAFE = replace(one_class(idempotency=Idempotency.UNSAFE)[0], name="unsafe")
+ORDERED = replace(one_class(is_ordered=True)[0], name="ordered")
 
 
 class Life:
@@ -59,7 +64,7 @@
     def sign(self, clean: bool = False) -> None:
         at = self.start
         wall = at.wall + self.now - at.mono
-        place = (self.settings.position, self.settings.gateways, clean)
+        place = (self.settings.gateway_index, self.settings.gateway_count, clean)
         self.write([k.change(k.RUN, k.RunKept(self.now, wall, at.boot, at.place, "test", *place))])
 
     def step(self, *inputs: d.Input, after: float = 0.0) -> list[d.Effect]:
@@ -72,7 +77,7 @@
         return effects
 
     def list(self, *entries: api.EngineEntry) -> None:
-        self.step(api.ListUpdate(api.ListMode.FULL, 1, entries))
+        self.step(api.EndpointListUpdate(api.EndpointListMode.FULL, 1, entries))
 
     def engines(self, count: int = 3, **fields) -> None:
         self.list(*(api.EngineEntry(engine_id(n), EngineState.READY, **fields) for n in range(count)))
@@ -178,7 +183,7 @@
 
 
 def test_what_certainly_never_ran_leaves_no_trace():
-    life = Life(make_settings(classes=(UNSAFE,), limits=api.Limits(cancel=True, max_attempts=1)), {})
+    life = Life(make_settings(classes=(UNSAFE,), limits=api.Limits(can_cancel=True, max_attempts=1)), {})
     life.engines()
     request = life.submit(identity=b"mine")
     life.done(request, Outcome.REJECTED)
@@ -222,7 +227,7 @@
         ledger.sent(b"%d" % n, KEYED, float(n), entry)
     assert len(ledger) == 10
     assert ledger.earlier(b"49", 49.0) is not None and ledger.earlier(b"20", 49.0) is None
-    assert ledger.earlier(b"49", 49.0 + KEYED.key_ttl + weigh.REPEATS * KEYED.deadline) is None
+    assert ledger.earlier(b"49", 49.0 + KEYED.idempotency_ttl + weigh.REPEATS * KEYED.deadline) is None
     assert len(ledger) == 0
 
 
@@ -230,7 +235,7 @@
 
 
 def test_an_ordered_key_waits_out_what_an_attempt_from_before_the_crash_may_still_do():
-    settings = make_settings(classes=(ORDERED,), guarantees=api.Guarantees(order_settle=1.0))
+    settings = make_settings(classes=(ORDERED,), guarantees=api.Guarantees(ordering_cooldown=1.0))
     life = Life(settings, {})
     life.engines()
     life.submit(key=7)
@@ -248,7 +253,7 @@
 
 
 def test_a_key_at_rest_goes_on_resting_and_one_that_ended_does_not():
-    settings = make_settings(classes=(ORDERED,), guarantees=api.Guarantees(order_settle=3.0))
+    settings = make_settings(classes=(ORDERED,), guarantees=api.Guarantees(ordering_cooldown=3.0))
     life = Life(settings, {})
     life.engines()
     cut, fine = life.submit(key=1), life.submit(key=2)
@@ -266,7 +271,12 @@
 # --- rule 4 ---
 
 
-COLD = api.Guarantees(fall_multiple=3.0, fall_window=2.0, cold_share=0.3, cold_time=10.0)
+COLD = api.Guarantees(
+    slow_start_overload_factor=3.0,
+    slow_start_overload_window=2.0,
+    slow_start_initial_ratio=0.3,
+    slow_start_duration=10.0,
+)
 
 
 def cold_work(life: Life) -> float:
@@ -282,7 +292,7 @@
 
     def listed(life: Life) -> None:
         life.list(
-            api.EngineEntry(engine_id(0), EngineState.READY, started=HERE.mono - 0.5),
+            api.EngineEntry(engine_id(0), EngineState.READY, started_at=HERE.mono - 0.5),
             api.EngineEntry(engine_id(1), EngineState.READY),
         )
 
@@ -321,9 +331,9 @@
         "after a boot": (life.killed(gap=0.5, boot="next", mono=1.0), False),
     }
     for name, (after, exact) in cases.items():
-        assert (after.core.gateway.batch.born < after.start.mono) is exact, name
+        assert (after.core.gateway.batch.started_at < after.start.mono) is exact, name
     after = life.stopped(gap=60.0)
-    assert after.core.gateway.batch.born < life.now  # it told of its end: nothing was sent since
+    assert after.core.gateway.batch.started_at < life.now  # it told of its end: nothing was sent since
 
 
 def test_a_run_that_was_not_exact_does_not_make_the_next_one_so():
@@ -333,14 +343,14 @@
     life.engines()
     second = life.killed(gap=3600.0)
     third = second.killed(gap=0.5)
-    assert third.core.gateway.batch.born == second.start.mono
+    assert third.core.gateway.batch.started_at == second.start.mono
 
 
 # --- rule 7 ---
 
 
 def test_a_restart_gives_no_fresh_allowance_of_further_attempts():
-    rules = api.Guarantees(budget_free=2.0, budget_ratio=0.0, budget_window=10.0)
+    rules = api.Guarantees(retry_budget_base=2.0, retry_budget_ratio=0.0, retry_budget_window=10.0)
     settings = make_settings(guarantees=rules)
     life = Life(settings, {})
     life.engines(6)
@@ -368,7 +378,7 @@
 
 
 def test_arrivals_before_the_restart_still_earn_further_attempts():
-    rules = api.Guarantees(budget_free=0.0, budget_ratio=0.1, budget_window=10.0)
+    rules = api.Guarantees(retry_budget_base=0.0, retry_budget_ratio=0.1, retry_budget_window=10.0)
     life = Life(make_settings(guarantees=rules), {})
     life.engines(4)
     for _ in range(40):
@@ -387,7 +397,7 @@
 def test_what_a_rule_needs_after_a_crash_is_written_before_the_attempt_leaves():
     settings = make_settings(
         classes=(UNSAFE, ORDERED, make_settings().classes[0]),
-        guarantees=replace(COLD, budget_free=5.0, budget_window=10.0),
+        guarantees=replace(COLD, retry_budget_base=5.0, retry_budget_window=10.0),
     )
     life = Life(settings, {})
     life.list(*(api.EngineEntry(engine_id(n), EngineState.READY) for n in range(3)))
@@ -416,7 +426,10 @@
 
 def test_without_a_folder_nothing_waits():
     core = d.Dispatcher(make_settings(classes=(UNSAFE,)), 1)
-    core.step(1.0, [api.ListUpdate(api.ListMode.FULL, 1, (api.EngineEntry(b"e", EngineState.READY),))])
+    core.step(
+        1.0,
+        [api.EndpointListUpdate(api.EndpointListMode.FULL, 1, (api.EngineEntry(b"e", EngineState.READY),))],
+    )
     effects = core.step(2.0, [d.Submit(core.new_request(), 0, 4.0, identity=b"x")])
     assert [e.ahead for e in effects if isinstance(e, d.StartAttempt)] == [0.0]
     assert not [e for e in effects if isinstance(e, d.Keep)] and core.keeper.next_look == math.inf
@@ -505,22 +518,22 @@
 
 def test_knowledge_that_keeps_its_own_refutation_away_is_dropped():
     """Guards a class whose recalled needs fit no engine: nothing is sent, so no answer could ever tell."""
-    life = taught(limits=replace(make_settings().limits, peers=True))
-    life.core.gateway.classes.learned[0].need = 1e8
+    life = taught(limits=replace(make_settings().limits, gossip=True))
+    life.core.gateway.classes.learned[0].memory_requirement = 1e8
     life.done(life.submit(), elapsed=0.05, work=0.05)
     life.pass_time(1.0)
     after = life.killed()
     after.engines(4)
     # Others hold so much that only a small need fits.
     for n, engine in enumerate(after.core.gateway.fleet.engines):
-        told = messages.Message(n, 1, False, 0, 40.0, 0.6, messages.engine_mark(engine))
+        told = messages.GossipMessage(n, 1, False, 0, 40.0, 0.6, messages.engine_digest(engine))
         after.step(api.PeerMessage(1, messages.encode(told)))
     held = after.submit(memory_mb=100.0)
     assert not after.sends(held)
     for _ in range(12):
         after.pass_time(1.0)
         held = after.submit(memory_mb=100.0)
-    assert after.sends(held) and after.core.gateway.classes.learned[0].need < 100.0
+    assert after.sends(held) and after.core.gateway.classes.learned[0].memory_requirement < 100.0
 
 
 def test_other_settings_of_a_class_make_what_was_learned_say_nothing():
@@ -546,11 +559,13 @@
 
 
 def test_another_fleet_halves_what_classes_know_and_another_kind_ends_it():
-    kinds = (api.KindSettings("kind", 8.0, 16384.0), api.KindSettings("big", 64.0, 16384.0))
+    kinds = (api.MachineType("kind", 8.0, 16384.0), api.MachineType("big", 64.0, 16384.0))
     for names, kind, expected in (("same", 0, 1.0), ("other", 0, weigh.OTHER_FLEET), ("other", 1, 0.0)):
-        after = taught(kinds=kinds).killed()
+        after = taught(machine_types=kinds).killed()
         base = 0 if names == "same" else 100
-        after.list(*(api.EngineEntry(engine_id(base + n), EngineState.READY, kind=kind) for n in range(4)))
+        after.list(
+            *(api.EngineEntry(engine_id(base + n), EngineState.READY, machine_type=kind) for n in range(4))
+        )
         mass = after.core.keeper.summary.classes.get("short", 0.0)
         assert mass == pytest.approx(min(weigh.MASS_MOST, expected * 28.0), rel=0.05), (names, kind)
 
@@ -571,14 +586,14 @@
 
 def ill_engine(started: float = 0.0) -> Life:
     life = Life(make_settings(), {})
-    life.engines(4, started=started)
+    life.engines(4, started_at=started)
     for _ in range(40):
         request = life.submit()
         bad = life.sends(request)[0].engine == engine_id(0)
         life.done(request, Outcome.RESET if bad else Outcome.OK, elapsed=0.02)
         if bad and len(life.sends(request)) > 1:
             life.done(request, elapsed=0.02, attempt=1)
-    assert life.core.gateway.fleet.engines[engine_id(0)].ill
+    assert life.core.gateway.fleet.engines[engine_id(0)].is_ejected
     life.pass_time(1.0)
     return life
 
@@ -587,7 +602,7 @@
     after = ill_engine().killed()
     after.engines(4)
     engine = after.core.gateway.fleet.engines[engine_id(0)]
-    assert engine.ill and not after.core.gateway.fleet.engines[engine_id(1)].ill
+    assert engine.is_ejected and not after.core.gateway.fleet.engines[engine_id(1)].is_ejected
     sends = [after.submit() for _ in range(20)]
     assert sum(e.engine == engine_id(0) for r in sends for e in after.sends(r)) <= 1  # a trial
 
@@ -595,26 +610,26 @@
 def test_an_engine_that_restarted_or_changed_meanwhile_begins_well():
     life = ill_engine(started=HERE.mono - 500.0)
     again = life.killed()
-    again.engines(4, started=HERE.mono - 500.0)
-    assert again.core.gateway.fleet.engines[engine_id(0)].ill
+    again.engines(4, started_at=HERE.mono - 500.0)
+    assert again.core.gateway.fleet.engines[engine_id(0)].is_ejected
     restarted = life.killed()
-    restarted.engines(4, started=life.now)
-    assert not restarted.core.gateway.fleet.engines[engine_id(0)].ill
+    restarted.engines(4, started_at=life.now)
+    assert not restarted.core.gateway.fleet.engines[engine_id(0)].is_ejected
 
 
 def test_wrong_illness_is_disproved_by_its_trials():
     after = ill_engine().killed(gap=2.0)
     after.engines(4)
     engine = after.core.gateway.fleet.engines[engine_id(0)]
-    while engine.ill and after.now - after.start.mono < 12.0:
+    while engine.is_ejected and after.now - after.start.mono < 12.0:
         after.done(after.submit(), elapsed=0.02)
-    assert not engine.ill
+    assert not engine.is_ejected
 
 
 def test_old_illness_says_nothing():
     after = ill_engine().killed(gap=weigh.HEALTH_MOST + 1.0)
     after.engines(4)
-    assert not after.core.gateway.fleet.engines[engine_id(0)].ill
+    assert not after.core.gateway.fleet.engines[engine_id(0)].is_ejected
 
 
 def test_engines_that_left_the_list_are_remembered_for_a_while_and_then_not():
@@ -696,7 +711,9 @@
     }
     figures = msgspec.msgpack.decode(value(k.ClassKept).value)
     folder[k.CLASS + b"short"] = Entry(1, msgspec.msgpack.encode([mark, *figures[1:]]))
-    life = Life(make_settings(guarantees=replace(COLD, budget_free=1.0, budget_window=9.0)), folder)
+    life = Life(
+        make_settings(guarantees=replace(COLD, retry_budget_base=1.0, retry_budget_window=9.0)), folder
+    )
     life.engines(3)
     requests = [life.submit(identity=b"x"), life.submit(key=1), life.submit()]
     life.pass_time(30.0)
@@ -720,7 +737,7 @@
 def test_decisions_that_begin_anew_in_place_go_on_with_what_was_known():
     settings = make_settings(
         classes=(ORDERED, UNSAFE),
-        guarantees=api.Guarantees(order_settle=2.0, budget_free=1.0, budget_window=9.0),
+        guarantees=api.Guarantees(ordering_cooldown=2.0, retry_budget_base=1.0, retry_budget_window=9.0),
     )
     life = Life(settings, {})
     life.engines(4)
@@ -728,8 +745,8 @@
         life.done(life.submit(), elapsed=0.05)
     open_one = life.submit(key=5)
     unsafe = life.submit(cls=1, identity=b"u")
-    life.core.gateway.handlers[api.Note] = lambda event: 1 / 0
-    life.step(d.AttemptNote(open_one, 0, api.NoteKind.PROGRESS, 0.5))
+    life.core.gateway.handlers[api.ProgressReport] = lambda event: 1 / 0
+    life.step(d.AttemptNote(open_one, 0, api.ProgressKind.PROGRESS, 0.5))
     assert life.core.faults == 1 and life.answers(open_one) and life.answers(unsafe)
     assert life.core.gateway.classes.learned[0].exec_time() == pytest.approx(0.05, rel=0.05)
     life.pass_time(1.7)
@@ -762,16 +779,16 @@
     life.step(d.Forget((What.CLASSES, What.ENGINES)))
     life.pass_time(1.0)
     gateway = life.core.gateway
-    assert not gateway.fleet.engines[engine_id(0)].ill and gateway.classes.learned[0].count == 0
+    assert not gateway.fleet.engines[engine_id(0)].is_ejected and gateway.classes.learned[0].answer_count == 0
     assert k.CLASS + b"short" not in life.folder
     after = life.killed()
     after.engines(4)
-    assert after.core.gateway.classes.learned[0].count == 0
+    assert after.core.gateway.classes.learned[0].answer_count == 0
 
 
 def test_a_folder_that_comes_free_later_is_taken_in_while_the_gateway_runs(tmp_path: Path):
     """Guards a restart in which the old process still drains while the new one starts."""
-    rules = api.Guarantees(order_settle=1.0, budget_free=1.0, budget_window=9.0)
+    rules = api.Guarantees(ordering_cooldown=1.0, retry_budget_base=1.0, retry_budget_window=9.0)
     old = Life(make_settings(classes=(UNSAFE, ORDERED), guarantees=rules), {})
     old.engines(4)
     for _ in range(30):
@@ -800,7 +817,7 @@
         found = recover(RealFiles(path, make=False))
         assert not found.dropped and len(found.state) == 8, path
         settings = make_settings(
-            guarantees=replace(COLD, order_settle=2.0, budget_free=2.0, budget_window=9.0)
+            guarantees=replace(COLD, ordering_cooldown=2.0, retry_budget_base=2.0, retry_budget_window=9.0)
         )
         life = Life(settings, dict(found.state.items()), Moment(5000.5, 1.7e9 + 0.5, "boot", "place"))
         life.list(api.EngineEntry(engine_id(0), EngineState.READY))
@@ -808,14 +825,17 @@
         assert summary.notes == [] and summary.exact and summary.classes == {"short": weigh.MASS_MOST}
         assert (summary.engines, summary.requests, summary.orders) == (1, 1, 1)
         gateway = life.core.gateway
-        assert gateway.fleet.engines[engine_id(0)].ill and len(gateway.answers.permits.ration.extras) == 1
+        assert (
+            gateway.fleet.engines[engine_id(0)].is_ejected
+            and len(gateway.answers.permits.ration.retries) == 1
+        )
         changed = life.folder[k.CLASS + b"short"]
         assert changed.version == k.VERSIONS[k.CLASS]  # written anew as of this version
 
 
 def test_a_folder_of_another_gateway_counts_less_and_is_not_exact():
     life = taught()
-    settings = replace(life.settings, gateways=2, position=1)
+    settings = replace(life.settings, gateway_count=2, gateway_index=1)
     recall = Recall(settings, Memory(tuple(life.folder.items()), replace(HERE, mono=life.now + 0.1)))
     assert not recall.trust.exact and recall.trust.factor == weigh.OTHER_PLACE
     assert "gateway 0 of 1" in recall.summary.notes[0]
@@ -834,13 +854,21 @@
     for seed in range(12):
         draw = random.Random(seed)
         settings = make_settings(
-            classes=(make_settings().classes[0], KEYED, replace(UNSAFE, ordered=True)),
-            guarantees=replace(COLD, order_settle=0.5, budget_free=2.0, budget_ratio=0.2, budget_window=5.0),
+            classes=(make_settings().classes[0], KEYED, replace(UNSAFE, is_ordered=True)),
+            guarantees=replace(
+                COLD,
+                ordering_cooldown=0.5,
+                retry_budget_base=2.0,
+                retry_budget_ratio=0.2,
+                retry_budget_window=5.0,
+            ),
         )
         life = Life(settings, {}, seed=seed)
         for number in range(6):
             started = HERE.mono - 5.0 + number
-            life.list(*(api.EngineEntry(engine_id(n), EngineState.READY, started=started) for n in range(4)))
+            life.list(
+                *(api.EngineEntry(engine_id(n), EngineState.READY, started_at=started) for n in range(4))
+            )
             for step in range(draw.randrange(5, 60)):
                 kind = draw.randrange(3)
                 name = b"%d-%d-%d" % (seed, number, step) if draw.random() < 0.7 else b"same"
--- a/tests/test_many_gateways.py
+++ b/tests/test_many_gateways.py
@@ -13,25 +13,30 @@
 from saffronlane import gossip_messages as messages
 from saffronlane import interface as api
 from saffronlane import policy
-from saffronlane.interface import EngineState, ListMode, NoteKind, Outcome
+from saffronlane.interface import EndpointListMode, EngineState, Outcome, ProgressKind
 from saffronlane.policy.estimation.run_time_estimator import SEED_ANSWERS
 from saffronlane.policy.estimation.workload_estimates import HEAVY
 from saffronlane.policy.routing.eligibility import FULL_MEMORY
 
 GATEWAYS, ENGINES, WORK, WINDOW = 200, 40, 0.3, 1.5
-COLD = api.Guarantees(fall_multiple=3.0, fall_window=WINDOW, cold_share=0.35, cold_time=14.0)
+COLD = api.Guarantees(
+    slow_start_overload_factor=3.0,
+    slow_start_overload_window=WINDOW,
+    slow_start_initial_ratio=0.35,
+    slow_start_duration=14.0,
+)
 COLD_BUDGET = 3.0 * 0.35 * 8.0 * WINDOW
-PEERS = api.Limits(cancel=True, max_attempts=4, peers=True)
+PEERS = api.Limits(can_cancel=True, max_attempts=4, gossip=True)
 
 
 def many(count: int = GATEWAYS, engines: int = ENGINES, **changes: object) -> list[Driver]:
     """Drivers of the gateways of one deployment, which have learned 0.3 s of work and latency."""
     drivers = []
     for position in range(count):
-        plain = make_settings(**{"gateways": count, "position": position, **changes})
+        plain = make_settings(**{"gateway_count": count, "gateway_index": position, **changes})
         driver = Driver(plain, engines=engines, seed=position, now=100.0)
         for _ in range(12):
-            driver.end(driver.ask(tables=float(position % 50)), Outcome.OK, work=WORK, elapsed=WORK)
+            driver.end(driver.ask(table_group=float(position % 50)), Outcome.OK, work=WORK, elapsed=WORK)
         drivers.append(driver)
     return drivers
 
@@ -39,16 +44,16 @@
 def test_two_hundred_gateways_use_a_cold_fleet_and_keep_its_budget_together() -> None:
     """Guards rule 4 as the sum over all gateways; fails when the sum passes the budget or nothing is sent."""
     drivers, random = many(guarantees=COLD), Random(5)
-    entries = [api.EngineEntry(engine_id(i), EngineState.READY, started=120.0) for i in range(ENGINES)]
+    entries = [api.EngineEntry(engine_id(i), EngineState.READY, started_at=120.0) for i in range(ENGINES)]
     sent: dict[bytes, list[float]] = {engine_id(i): [] for i in range(ENGINES)}
     for driver in drivers:
         driver.now = 120.0
-        driver.list(entries, ListMode.DELTA)
+        driver.list(entries, EndpointListMode.DELTA)
     for tick in range(60):  # 6 s, more queries than a cold fleet can take
         for driver in drivers:
             driver.now = 120.0 + tick / 10.0
             before = len(driver.sends())
-            driver.ask(tables=float(random.randrange(80)))
+            driver.ask(table_group=float(random.randrange(80)))
             for send in driver.sends()[before:]:
                 sent[send.engine].append(driver.now)
                 driver.end(send.request, Outcome.OK, work=WORK, elapsed=WORK)
@@ -59,8 +64,10 @@
 
 
 def test_large_queries_do_not_gamble_on_a_cold_engine() -> None:
-    driver = many(1, engines=1, gateways=GATEWAYS, guarantees=COLD, classes=(LOOKUP, REPORT))[0]
-    driver.list([api.EngineEntry(engine_id(0), EngineState.READY, started=driver.now)], ListMode.DELTA)
+    driver = many(1, engines=1, gateway_count=GATEWAYS, guarantees=COLD, classes=(LOOKUP, REPORT))[0]
+    driver.list(
+        [api.EngineEntry(engine_id(0), EngineState.READY, started_at=driver.now)], EndpointListMode.DELTA
+    )
     driver.now += 13.0
     assert not driver.sends(driver.ask(cls=1))
 
@@ -68,8 +75,8 @@
 def test_one_gateway_and_forty_engines_place_at_home_and_spread_under_load() -> None:
     driver = many(1)[0]
     home = [e.id for e in driver.gateway.placement.rooms.order(3.0)[:2]]
-    assert driver.sends(driver.ask(tables=3.0))[0].engine in home
-    used = {driver.sends(driver.ask(tables=3.0))[0].engine for _ in range(60)}
+    assert driver.sends(driver.ask(table_group=3.0))[0].engine in home
+    used = {driver.sends(driver.ask(table_group=3.0))[0].engine for _ in range(60)}
     assert len(used) > 10
 
 
@@ -79,7 +86,7 @@
     engines = []
     for i in range(200):
         driver.now += 0.4
-        request = driver.ask(tables=3.0 if i % 4 else float(i))
+        request = driver.ask(table_group=3.0 if i % 4 else float(i))
         engines.append(driver.sends(request)[0].engine)
         driver.end(request, Outcome.OK, work=WORK, elapsed=0.01)
     hot = [engine for i, engine in enumerate(engines) if i % 4]
@@ -87,7 +94,7 @@
 
 
 def test_a_gateway_whose_part_is_below_one_query_still_holds_under_pressure() -> None:
-    driver = many(1, gateways=GATEWAYS, classes=one_class(late_value=0.5))[0]
+    driver = many(1, gateway_count=GATEWAYS, classes=one_class(late_priority_weight=0.5))[0]
     for _ in range(60):
         driver.end(driver.ask(), Outcome.OK, work=WORK, elapsed=3.0)
         driver.now += 0.4
@@ -98,21 +105,21 @@
 
 def test_nothing_is_held_while_answers_are_quick() -> None:
     driver = many(1)[0]
-    assert all(driver.sends(driver.ask(tables=float(i))) for i in range(300))
+    assert all(driver.sends(driver.ask(table_group=float(i))) for i in range(300))
 
 
 def test_an_attempt_that_waits_in_line_moves_to_another_engine_once() -> None:
-    driver = Driver(make_settings(note_period=1.0), engines=3)
+    driver = Driver(make_settings(progress_interval=1.0), engines=3)
     request = driver.ask()
     first = driver.sends(request)[0].engine
-    driver.step(api.Note(request, 0, first, NoteKind.WAITING, 1.0))
+    driver.step(api.ProgressReport(request, 0, first, ProgressKind.WAITING, 1.0))
     assert driver.of_kind(api.Cancel, request) == [api.Cancel(request, 0)]
     driver.end(request, Outcome.CANCELLED, elapsed=0.01)
     assert driver.sends(request)[1].engine != first
 
 
 def test_a_lost_answer_is_tried_elsewhere_long_before_the_client_leaves() -> None:
-    driver = Driver(make_settings(note_period=1.0), engines=4)
+    driver = Driver(make_settings(progress_interval=1.0), engines=4)
     request = driver.ask(remaining=5.0)
     driver.pass_time(driver.now + 2.3)
     assert driver.of_kind(api.Cancel, request)
@@ -121,7 +128,7 @@
 
 
 def test_a_second_copy_leaves_the_first_its_chance_where_copies_are_allowed() -> None:
-    driver = Driver(make_settings(limits=replace(PEERS, peers=False, second_copies=True)), engines=4)
+    driver = Driver(make_settings(limits=replace(PEERS, gossip=False, hedged_requests=True)), engines=4)
     for _ in range(30):
         driver.end(driver.ask(), Outcome.OK, work=0.1, elapsed=0.1)
     request = driver.ask()
@@ -140,7 +147,7 @@
     trials = 0
     for i in range(100):
         driver.now += 0.5
-        request = driver.ask(tables=float(i))
+        request = driver.ask(table_group=float(i))
         trial = driver.sends(request)[0].engine in {engine.id for engine in dead}
         trials += trial
         driver.end(request, Outcome.CONNECT_FAILED if trial else Outcome.OK, work=WORK, elapsed=WORK)
@@ -151,8 +158,8 @@
 
 
 def telling(position: int, loads: bool = True, **changes: object) -> Driver:
-    heavy = (LOOKUP, replace(REPORT, is_load=loads))
-    usual = {"gateways": 3, "position": position, "limits": PEERS, "classes": heavy}
+    heavy = (LOOKUP, replace(REPORT, is_bulk_load=loads))
+    usual = {"gateway_count": 3, "gateway_index": position, "limits": PEERS, "classes": heavy}
     settings = make_settings(**usual | changes)
     driver = Driver(settings, engines=6, seed=position)
     for _ in range(20):
@@ -162,29 +169,29 @@
 
 def test_a_told_load_keeps_a_second_one_of_its_group_away_until_its_end_is_told() -> None:
     sender, receiver = telling(0), telling(1)
-    request = sender.ask(cls=1, tables=4.0)
-    for told in sender.of_kind(api.Tell):
+    request = sender.ask(cls=1, table_group=4.0)
+    for told in sender.of_kind(api.SendGossip):
         receiver.step(api.PeerMessage(0, told.data))
     engine = receiver.gateway.fleet.engines[sender.sends(request)[0].engine]
-    assert engine.loading(4.0) and engine.told_threads == REPORT.threads
-    before = len(sender.of_kind(api.Tell))
+    assert engine.is_bulk_loading(4.0) and engine.peer_threads == REPORT.threads
+    before = len(sender.of_kind(api.SendGossip))
     sender.end(request, Outcome.OK, work=2.0, elapsed=1.0)
-    for told in sender.of_kind(api.Tell)[before:]:
+    for told in sender.of_kind(api.SendGossip)[before:]:
         receiver.step(api.PeerMessage(0, told.data))
-    assert not engine.loading(4.0) and engine.told_threads == 0.0
+    assert not engine.is_bulk_loading(4.0) and engine.peer_threads == 0.0
 
 
 def test_short_queries_are_not_told() -> None:
     driver = telling(0)
-    before = len(driver.of_kind(api.Tell))
+    before = len(driver.of_kind(api.SendGossip))
     driver.ask()
-    assert len(driver.of_kind(api.Tell)) == before
+    assert len(driver.of_kind(api.SendGossip)) == before
 
 
 def test_told_work_without_an_end_is_forgotten() -> None:
     sender, receiver = telling(0), telling(1)
     sender.ask(cls=1)
-    for told in sender.of_kind(api.Tell):
+    for told in sender.of_kind(api.SendGossip):
         receiver.step(api.PeerMessage(0, told.data))
     assert receiver.gateway.telling.board.threads > 0.0
     receiver.now += 120.0
@@ -194,62 +201,68 @@
 
 def test_a_fleet_at_work_tells_every_heavy_query() -> None:
     """Guards against a limit on what is told that the fleet passes: the most loaded moment went untold."""
-    driver = telling(1, loads=False, gateways=230)
+    driver = telling(1, loads=False, gateway_count=230)
     engines = list(driver.gateway.fleet.engines)
     for sender in range(2, 232):
         for number in range(4):
-            told = messages.Message(number, 3, False, 7, 20.0, 0.0, messages.engine_mark(engines[number]))
+            told = messages.GossipMessage(
+                number, 3, False, 7, 20.0, 0.0, messages.engine_digest(engines[number])
+            )
             driver.step(api.PeerMessage(sender, messages.encode(told)))
     assert driver.gateway.telling.board.threads == 3.0 * 4 * 230
-    assert driver.sends(driver.ask(cls=1)) and len(driver.of_kind(api.Tell)) == 1
+    assert driver.sends(driver.ask(cls=1)) and len(driver.of_kind(api.SendGossip)) == 1
     known = driver.gateway.classes.learned[1]
-    known.works = known.calm = HEAVY * 1.01 * driver.gateway.classes.usual()[0] * SEED_ANSWERS
-    assert driver.gateway.classes.heavy(driver.gateway.owed.jobs[driver.next_request])
-    assert driver.sends(driver.ask(cls=1)) and len(driver.of_kind(api.Tell)) == 1  # the lightest of many
+    known.work_total = known.uncontended_work_total = (
+        HEAVY * 1.01 * driver.gateway.classes.usual()[0] * SEED_ANSWERS
+    )
+    assert driver.gateway.classes.heavy(driver.gateway.owed.requests[driver.next_request])
+    assert (
+        driver.sends(driver.ask(cls=1)) and len(driver.of_kind(api.SendGossip)) == 1
+    )  # the lightest of many
 
 
 def test_a_query_that_needs_all_memory_of_an_engine_is_served_while_half_is_free() -> None:
     """Guards against a class that never fits: its grant passes the part that own and told grants may fill."""
-    driver = telling(1, loads=False, grants_heeded=True)
+    driver = telling(1, loads=False, memory_grants_enabled=True)
     engines = list(driver.gateway.fleet.engines)
 
     def tell(share: float, number: int) -> None:
         for engine in engines:
-            told = messages.Message(number, 1, False, 7, 20.0, share, messages.engine_mark(engine))
+            told = messages.GossipMessage(number, 1, False, 7, 20.0, share, messages.engine_digest(engine))
             driver.step(api.PeerMessage(0, messages.encode(told)))
             number += 1
 
-    assert driver.sends(driver.ask(cls=1, memory_mb=16384.0))
+    assert driver.sends(driver.ask(cls=1, estimated_memory_mb=16384.0))
     tell(0.35, 1)
-    assert driver.sends(driver.ask(cls=1, memory_mb=16384.0))
+    assert driver.sends(driver.ask(cls=1, estimated_memory_mb=16384.0))
     tell(0.35, 101)
-    assert not driver.sends(driver.ask(cls=1, memory_mb=16384.0))
+    assert not driver.sends(driver.ask(cls=1, estimated_memory_mb=16384.0))
 
 
 def test_what_one_gateway_finds_full_the_others_pass_by_for_a_while() -> None:
     """Guards against a rejection for each of many gateways, and against their all coming back at one time."""
     drivers = [telling(n) for n in range(3)]
-    first = drivers[0].ask(tables=4.0)
+    first = drivers[0].ask(table_group=4.0)
     full = drivers[0].sends(first)[0].engine
-    before = len(drivers[0].of_kind(api.Tell))
+    before = len(drivers[0].of_kind(api.SendGossip))
     drivers[0].end(first, Outcome.REJECTED, elapsed=0.001)
-    told = drivers[0].of_kind(api.Tell)[before:]
-    assert [messages.decode(t.data).tells_full for t in told] == [True]
+    told = drivers[0].of_kind(api.SendGossip)[before:]
+    assert [messages.decode(t.data).reports_full for t in told] == [True]
     until = set()
     for driver in drivers[1:]:
         driver.step(api.PeerMessage(0, told[0].data))
-        assert driver.sends(driver.ask(tables=4.0))[0].engine != full
-        until.add(driver.gateway.fleet.engines[full].full)
+        assert driver.sends(driver.ask(table_group=4.0))[0].engine != full
+        until.add(driver.gateway.fleet.engines[full].last_rejection_at)
         driver.now += 2.0 * FULL_MEMORY + 0.01
-        assert full in {driver.sends(driver.ask(tables=4.0))[0].engine for _ in range(4)}
+        assert full in {driver.sends(driver.ask(table_group=4.0))[0].engine for _ in range(4)}
     assert len(until) == 2
-    second = drivers[0].ask(tables=4.0)
+    second = drivers[0].ask(table_group=4.0)
     if drivers[0].sends(second)[0].engine == full:  # told already
         drivers[0].end(second, Outcome.REJECTED, elapsed=0.001)
-    assert len(drivers[0].of_kind(api.Tell)) == before + 1
+    assert len(drivers[0].of_kind(api.SendGossip)) == before + 1
 
 
-START = messages.encode(messages.Message(1, 4, True, 7, 2.0, 0.5, messages.engine_mark(engine_id(0))))
+START = messages.encode(messages.GossipMessage(1, 4, True, 7, 2.0, 0.5, messages.engine_digest(engine_id(0))))
 
 
 @pytest.mark.parametrize(
@@ -277,20 +290,20 @@
     columns = ("active", "waiting", "x0", "x1")
     driver = Driver(make_settings(report_columns=columns))
     for _ in range(20):
-        driver.end(driver.ask(), Outcome.OK, work=0.1, elapsed=0.1, report=report)
+        driver.end(driver.ask(), Outcome.OK, work=0.1, elapsed=0.1, load_report=report)
     assert driver.sends(driver.ask())
 
 
 @pytest.mark.parametrize("position", [-1, 3, 10**6])
 def test_a_position_outside_the_gateways_breaks_nothing(position: int) -> None:
-    driver = Driver(make_settings(gateways=3, position=position, guarantees=COLD, limits=PEERS))
+    driver = Driver(make_settings(gateway_count=3, gateway_index=position, guarantees=COLD, limits=PEERS))
     assert driver.sends(driver.ask())
 
 
 def test_hundreds_of_engines_all_cold_in_one_cell_are_ordinary() -> None:
     driver = Driver(make_settings(guarantees=COLD), engines=0)
     ids = [bytes([10, 1, i // 256, i % 256, 0, 1]) for i in range(400)]
-    driver.list([api.EngineEntry(e, EngineState.READY, started=driver.now, cell=1) for e in ids])
+    driver.list([api.EngineEntry(e, EngineState.READY, started_at=driver.now, cell=1) for e in ids])
     assert driver.sends(driver.ask())
 
 
@@ -304,7 +317,12 @@
 
 # --- rule 4 on days that no bench has played ---
 
-FEW_WORTH = api.Guarantees(fall_multiple=2.5, fall_window=1.0, cold_share=0.31, cold_time=13.0)
+FEW_WORTH = api.Guarantees(
+    slow_start_overload_factor=2.5,
+    slow_start_overload_window=1.0,
+    slow_start_initial_ratio=0.31,
+    slow_start_duration=13.0,
+)
 FEW_BUDGET = 0.85 * 2.5 * 0.31 * 8.0 * 1.0  # at the rate at which cores are 85% busy
 
 
@@ -329,25 +347,31 @@
     drivers = many(count, engines=1, guarantees=FEW_WORTH)
     for driver in drivers:
         driver.now = 130.0
-        driver.list([api.EngineEntry(engine_id(0), EngineState.READY, started=130.0)], ListMode.DELTA)
+        driver.list(
+            [api.EngineEntry(engine_id(0), EngineState.READY, started_at=130.0)], EndpointListMode.DELTA
+        )
     start = 130.0 + idle
     times = cold_engine_sends(drivers, [start + step / 10.0 for step in range(30)], 3)
     assert times, "a cold engine is not used"
     for at in times:  # what it bears grows as it warms, from the start of each window on
-        able = FEW_BUDGET / FEW_WORTH.cold_share * (0.31 + 0.69 * (at - 130.0) / FEW_WORTH.cold_time)
+        able = (
+            FEW_BUDGET
+            / FEW_WORTH.slow_start_initial_ratio
+            * (0.31 + 0.69 * (at - 130.0) / FEW_WORTH.slow_start_duration)
+        )
         assert sum(at <= t < at + 1.0 for t in times) * WORK <= able
 
 
 @pytest.mark.parametrize("count", [2, 54])
 def test_restarted_gateways_do_not_send_their_part_of_a_cold_engine_anew(count: int) -> None:
     drivers = many(count, engines=1, guarantees=FEW_WORTH)
-    entry = api.EngineEntry(engine_id(0), EngineState.READY, started=130.0)
+    entry = api.EngineEntry(engine_id(0), EngineState.READY, started_at=130.0)
     for driver in drivers:
         driver.now = 130.0
-        driver.list([entry], ListMode.DELTA)
+        driver.list([entry], EndpointListMode.DELTA)
     times = cold_engine_sends(drivers, [134.0 + step / 10.0 for step in range(6)], 3)
     for position in range(0, count, 2):
-        plain = make_settings(gateways=count, position=position, guarantees=FEW_WORTH)
+        plain = make_settings(gateway_count=count, gateway_index=position, guarantees=FEW_WORTH)
         drivers[position] = Driver(plain, engines=0, seed=position + 1000, now=134.7)
         drivers[position].list([entry])
     times += cold_engine_sends(drivers, [134.7 + step / 10.0 for step in range(20)], 3)
@@ -360,11 +384,13 @@
     used = 0
     for driver in many(54, engines=20, guarantees=FEW_WORTH):
         driver.now = 130.0
-        driver.list([api.EngineEntry(engine_id(0), EngineState.READY, started=130.0)], ListMode.DELTA)
+        driver.list(
+            [api.EngineEntry(engine_id(0), EngineState.READY, started_at=130.0)], EndpointListMode.DELTA
+        )
         before = len(driver.sends())
         for step in range(10):
             driver.now = 130.0 + step / 2.5
-            driver.end(driver.ask(tables=float(step)), Outcome.OK, work=WORK, elapsed=WORK)
+            driver.end(driver.ask(table_group=float(step)), Outcome.OK, work=WORK, elapsed=WORK)
         used += sum(send.engine == engine_id(0) for send in driver.sends()[before:])
     assert used >= 15
 
@@ -374,5 +400,5 @@
     driver = Driver(make_settings(guarantees=FEW_WORTH))
     for _ in range(60):
         driver.end(driver.ask(), Outcome.OK, elapsed=0.2)
-        driver.end(driver.ask(), Outcome.CANCELLED, elapsed=3.0, final=True)
+        driver.end(driver.ask(), Outcome.CANCELLED, elapsed=3.0, is_final=True)
     assert driver.gateway.classes.learned[0].work() > 1.0
--- a/tests/test_missing_signals.py
+++ b/tests/test_missing_signals.py
@@ -15,7 +15,7 @@
 
 
 def answer(driver: Driver, elapsed: float, active: float, **fields: object) -> None:
-    driver.end(driver.ask(), Outcome.OK, elapsed=elapsed, report=(1.0, active), **fields)
+    driver.end(driver.ask(), Outcome.OK, elapsed=elapsed, load_report=(1.0, active), **fields)
 
 
 def test_a_jam_from_the_first_answer_on_shows_in_reported_queries() -> None:
@@ -57,15 +57,15 @@
 
 
 def test_no_advice_to_come_back_where_clients_do_not_get_it() -> None:
-    limits = api.Limits(cancel=True, max_attempts=4, max_retry_after=2.0, retry_after=False)
+    limits = api.Limits(can_cancel=True, max_attempts=4, max_retry_after=2.0, sends_retry_after=False)
     driver = Driver(make_settings(limits=limits), engines=0)
     request = driver.ask(remaining=0.5)
     driver.pass_time(101.0)
-    assert driver.answers(request) == [api.Refuse(request, 0.0)]
-    told = Driver(make_settings(limits=replace(limits, retry_after=True)), engines=0)
+    assert driver.answers(request) == [api.Reject(request, 0.0)]
+    told = Driver(make_settings(limits=replace(limits, sends_retry_after=True)), engines=0)
     request = told.ask(remaining=0.5)
     told.pass_time(101.0)
-    assert told.of_kind(api.Refuse, request)[0].retry_after > 0.0
+    assert told.of_kind(api.Reject, request)[0].retry_after > 0.0
 
 
 def test_a_long_queue_of_further_attempts_is_not_tried_one_by_one(monkeypatch) -> None:
@@ -75,7 +75,7 @@
     for request in requests:
         driver.gateway.pressure.limit = 0.0
         driver.end(request, Outcome.ERROR)
-    assert len(driver.gateway.owed.held) > 40
+    assert len(driver.gateway.owed.queued) > 40
     tried: list[int] = []
     place = Placement.place
 
@@ -84,7 +84,7 @@
         return place(placement, job)
 
     monkeypatch.setattr(Placement, "place", counted)
-    driver.gateway.own.by_class[0], driver.gateway.pressure.limit = 100.0, 1.0
+    driver.gateway.own.threads_by_class[0], driver.gateway.pressure.limit = 100.0, 1.0
     driver.step(driver.arrival())
     assert 1 <= len(tried) <= 3
 
@@ -103,28 +103,28 @@
 
 def test_an_engine_that_reports_much_is_passed_by_and_the_report_ages() -> None:
     """Own threads of one of many gateways tell nothing of an engine that the others fill."""
-    driver = Driver(make_settings(gateways=100, **REPORTING), engines=3)
+    driver = Driver(make_settings(gateway_count=100, **REPORTING), engines=3)
     for index in range(3):
         engine = driver.gateway.fleet.engines[engine_id(index)]
         driver.gateway.reports.take(engine, (1.0, 4.0 if index else 60.0))
-    requests = [driver.ask(tables=float(i)) for i in range(30)]
+    requests = [driver.ask(table_group=float(i)) for i in range(30)]
     assert engine_id(0) not in {driver.sends(r)[0].engine for r in requests}
     driver.now += 120.0
-    requests = [driver.ask(tables=float(i)) for i in range(30, 60)]
+    requests = [driver.ask(table_group=float(i)) for i in range(30, 60)]
     assert engine_id(0) in {driver.sends(r)[0].engine for r in requests}
 
 
-PROBING = api.Limits(cancel=True, max_attempts=4, probing=True, probe_price=0.01)
+PROBING = api.Limits(can_cancel=True, max_attempts=4, load_probes=True, load_probe_price=0.01)
 
 
 def test_a_heavy_query_asks_for_load_and_waits_but_a_moment() -> None:
-    driver = Driver(make_settings(limits=PROBING, gateways=100, **REPORTING), engines=6)
+    driver = Driver(make_settings(limits=PROBING, gateway_count=100, **REPORTING), engines=6)
     learn_classes(driver)
     driver.pass_time(driver.now + 30.0)
     light = driver.ask(0)
-    assert driver.sends(light) and not driver.of_kind(api.Probe)
-    heavy = driver.ask(1, tables=3.0)
-    probed = [probe.engine for probe in driver.of_kind(api.Probe)]
+    assert driver.sends(light) and not driver.of_kind(api.ProbeLoad)
+    heavy = driver.ask(1, table_group=3.0)
+    probed = [probe.engine for probe in driver.of_kind(api.ProbeLoad)]
     assert not driver.sends(heavy) and 2 <= len(set(probed)) == len(probed) < 6
     for engine in probed:
         active = 1.0 if engine == probed[-1] else 50.0
@@ -134,7 +134,7 @@
 
 
 def test_a_heavy_query_leaves_though_no_probe_is_answered() -> None:
-    driver = Driver(make_settings(limits=PROBING, gateways=100, **REPORTING), engines=6)
+    driver = Driver(make_settings(limits=PROBING, gateway_count=100, **REPORTING), engines=6)
     learn_classes(driver)
     driver.pass_time(driver.now + 30.0)
     heavy = driver.ask(1)
@@ -143,12 +143,12 @@
 
 
 def test_no_probes_where_they_are_dear_or_tell_nothing() -> None:
-    for changes in ({"limits": replace(PROBING, probe_price=0.5), **REPORTING}, {"limits": PROBING}):
-        driver = Driver(make_settings(gateways=100, **changes), engines=6)
+    for changes in ({"limits": replace(PROBING, load_probe_price=0.5), **REPORTING}, {"limits": PROBING}):
+        driver = Driver(make_settings(gateway_count=100, **changes), engines=6)
         learn_classes(driver)
         driver.pass_time(driver.now + 30.0)
         driver.ask(1)
-        assert driver.of_kind(api.Probe) == []
+        assert driver.of_kind(api.ProbeLoad) == []
 
 
 def test_odd_probe_results_are_harmless() -> None:
@@ -156,7 +156,7 @@
     known = driver.gateway.fleet.engines[engine_id(0)]
     for report in ((), (1.0,), (float("nan"), float("nan")), (1.0, -3.0), (1.0, float("inf")), (0.0,) * 4):
         driver.step(api.ProbeResult(engine_id(0), Outcome.OK, 0.001, report))
-    assert known.reported == 0.0
+    assert known.reported_threads_per_core == 0.0
     driver.step(api.ProbeResult(engine_id(99), Outcome.OK, 0.001, (1.0, 5.0)))
     for outcome in Outcome:
         driver.step(api.ProbeResult(engine_id(0), outcome, 0.25))
@@ -167,11 +167,11 @@
 
 
 def test_a_new_engine_counts_as_empty_not_as_loaded_like_the_mean() -> None:
-    driver = Driver(make_settings(gateways=100, **REPORTING), engines=3)
+    driver = Driver(make_settings(gateway_count=100, **REPORTING), engines=3)
     for index in range(3):
         driver.gateway.reports.take(driver.gateway.fleet.engines[engine_id(index)], (1.0, 20.0))
-    entry = api.EngineEntry(engine_id(7), api.EngineState.READY, started=driver.now)
-    driver.list([entry], api.ListMode.DELTA)
+    entry = api.EngineEntry(engine_id(7), api.EngineState.READY, started_at=driver.now)
+    driver.list([entry], api.EndpointListMode.DELTA)
     fresh, *others = (driver.gateway.fleet.engines[engine_id(i)] for i in (7, 0, 1, 2))
     assert driver.gateway.placement.load(fresh) < min(map(driver.gateway.placement.load, others)) / 4.0
 
@@ -182,10 +182,10 @@
 def test_where_crossing_costs_the_own_zone_leads_among_the_first_in_order() -> None:
     crossed = {}
     for price in (0.0, 0.04):
-        driver = Driver(make_settings(zones=("a", "b", "c"), zone=1, zone_price=price), engines=0)
+        driver = Driver(make_settings(zones=("a", "b", "c"), zone=1, cross_zone_price=price), engines=0)
         driver.list([api.EngineEntry(engine_id(i), api.EngineState.READY, zone=i % 3) for i in range(12)])
         for i in range(200):
-            driver.end(driver.ask(tables=float(i)), Outcome.OK)
+            driver.end(driver.ask(table_group=float(i)), Outcome.OK)
             driver.now += 1.0
         crossed[price] = sum(send.engine[3] % 3 != 1 for send in driver.sends())
     assert crossed[0.04] < 0.9 * crossed[0.0], crossed
@@ -210,7 +210,7 @@
     driver.step(*surge)
     driver.step(*steady)
     for _ in range(10):
-        out = [a.job.id for a in driver.gateway.own.attempts.values()]
+        out = [a.request.id for a in driver.gateway.own.attempts.values()]
         for request in out:
             driver.end(request, Outcome.OK, elapsed=0.2, work=0.2)
         driver.now += 0.06
--- a/tests/test_ordinary_path.py
+++ b/tests/test_ordinary_path.py
@@ -30,24 +30,26 @@
 
 def test_deadline_is_ten_times_the_exec_time_seeded_to_the_aim(driver: Driver) -> None:
     request = driver.ask(cls=1)
-    assert driver.gateway.owed.jobs[request].deadline == pytest.approx(100.0 + 10.0 * REPORT.aim)
+    assert driver.gateway.owed.requests[request].deadline == pytest.approx(
+        100.0 + 10.0 * REPORT.latency_objective
+    )
 
 
 def test_batch_competes_before_release_and_smallest_in_group_leaves_first() -> None:
-    driver = crowded_driver(classes=(replace(LOOKUP, late_value=0.5),))
+    driver = crowded_driver(classes=(replace(LOOKUP, late_priority_weight=0.5),))
     for _ in range(20):
-        driver.end(driver.ask(cost=0.1), Outcome.OK, work=0.1, elapsed=0.1)
-    blocker = driver.ask(cost=0.1)
-    large, small = driver.arrival(cost=0.12), driver.arrival(cost=0.10)
+        driver.end(driver.ask(estimated_cost=0.1), Outcome.OK, work=0.1, elapsed=0.1)
+    blocker = driver.ask(estimated_cost=0.1)
+    large, small = driver.arrival(estimated_cost=0.12), driver.arrival(estimated_cost=0.10)
     driver.step(large, small)
-    driver.gateway.owed.jobs[large.request].deadline = driver.now + 1.0
-    driver.gateway.owed.jobs[small.request].deadline = driver.now + 1.05  # within Gr of the earlier one
+    driver.gateway.owed.requests[large.request].deadline = driver.now + 1.0
+    driver.gateway.owed.requests[small.request].deadline = driver.now + 1.05  # within Gr of the earlier one
     driver.end(blocker, Outcome.OK, work=0.1, elapsed=0.1)
     assert driver.sends()[-1].request == small.request
 
 
 def test_queries_of_one_batch_compete_by_deadline() -> None:
-    driver = crowded_driver(classes=(replace(LOOKUP, late_value=0.5), replace(REPORT, threads=1)))
+    driver = crowded_driver(classes=(replace(LOOKUP, late_priority_weight=0.5), replace(REPORT, threads=1)))
     for _ in range(20):
         driver.end(driver.ask(cls=1), Outcome.OK, work=2.0, elapsed=2.0)
     long, short = driver.arrival(cls=1), driver.arrival(cls=0)
@@ -56,30 +58,33 @@
 
 
 def test_earlier_group_leaves_before_a_smaller_query_of_a_later_group() -> None:
-    driver = crowded_driver(classes=(replace(LOOKUP, late_value=0.5),))
+    driver = crowded_driver(classes=(replace(LOOKUP, late_priority_weight=0.5),))
     blocker = driver.ask()
     early = driver.ask()
-    driver.gateway.owed.jobs[early].deadline = driver.now + 0.5
-    late = driver.ask(cost=0.01)
-    driver.gateway.owed.jobs[late].deadline = driver.now + 5.0
+    driver.gateway.owed.requests[early].deadline = driver.now + 0.5
+    late = driver.ask(estimated_cost=0.01)
+    driver.gateway.owed.requests[late].deadline = driver.now + 5.0
     driver.end(blocker, Outcome.OK, work=0.1, elapsed=0.1)
     assert driver.sends()[-1].request == early
 
 
 def test_held_query_is_refused_with_a_retry_after_once_it_lapses() -> None:
-    driver = crowded_driver(classes=(replace(LOOKUP, late_value=0.5),))
+    driver = crowded_driver(classes=(replace(LOOKUP, late_priority_weight=0.5),))
     driver.ask()
     held = driver.ask()
     driver.pass_time(driver.now + 0.5)
     assert not driver.answers(held)
     driver.pass_time(driver.now + 2.5)
     (answer,) = driver.answers(held)
-    assert isinstance(answer, api.Refuse) and 0.0 < answer.retry_after <= 2.0
+    assert isinstance(answer, api.Reject) and 0.0 < answer.retry_after <= 2.0
     assert not driver.sends(held)
 
 
 def test_a_class_whose_late_answers_earn_little_is_limited_by_its_aim_while_engines_are_full() -> None:
-    kept, cut = (crowded_driver(classes=(replace(LOOKUP, aim=0.4, late_value=v),)) for v in (0.9, 0.3))
+    kept, cut = (
+        crowded_driver(classes=(replace(LOOKUP, latency_objective=0.4, late_priority_weight=v),))
+        for v in (0.9, 0.3)
+    )
     for driver, answers in ((kept, 0), (cut, 1)):
         driver.ask()
         held = driver.ask()
@@ -88,7 +93,7 @@
 
 
 def test_hash_order_is_the_same_at_every_gateway_and_differs_by_table_group() -> None:
-    first, second = (Driver(make_settings(position=p), engines=6, seed=p) for p in (0, 1))
+    first, second = (Driver(make_settings(gateway_index=p), engines=6, seed=p) for p in (0, 1))
     orders = []
     for tables in range(20):
         order = [e.id for e in first.gateway.placement.rooms.order(float(tables))]
@@ -100,9 +105,9 @@
 def test_a_table_group_stays_on_its_first_two_engines_and_spills_past_the_limit() -> None:
     driver = Driver(make_settings(), engines=6)
     home = [e.id for e in driver.gateway.placement.rooms.order(3.0)[:2]]
-    few = [driver.sends(driver.ask(tables=3.0))[0].engine for _ in range(3)]
+    few = [driver.sends(driver.ask(table_group=3.0))[0].engine for _ in range(3)]
     assert set(few) <= set(home)
-    many = [driver.sends(driver.ask(tables=3.0))[0].engine for _ in range(30)]
+    many = [driver.sends(driver.ask(table_group=3.0))[0].engine for _ in range(30)]
     assert set(many) - set(home)
 
 
@@ -110,7 +115,7 @@
     def run() -> list[api.Action]:
         driver = Driver(make_settings(), engines=5)
         for i in range(60):
-            request = driver.ask(cls=i % 2, tables=float(i % 7))
+            request = driver.ask(cls=i % 2, table_group=float(i % 7))
             outcome = Outcome.OK if i % 3 else Outcome.ERROR
             if driver.sends(request):
                 driver.end(request, outcome, work=0.2, elapsed=0.2)
@@ -123,11 +128,11 @@
 def test_a_ratio_learned_in_a_bad_spell_does_not_refuse_what_follows() -> None:
     driver = Driver(make_settings(classes=(REPORT,)), engines=2)
     for _ in range(60):
-        driver.end(driver.ask(cost=1.0), Outcome.OK, work=1.0, elapsed=0.3)
+        driver.end(driver.ask(estimated_cost=1.0), Outcome.OK, work=1.0, elapsed=0.3)
     for _ in range(60):
-        driver.end(driver.ask(cost=1.0), Outcome.OK, work=1.0, elapsed=30.0)
+        driver.end(driver.ask(estimated_cost=1.0), Outcome.OK, work=1.0, elapsed=30.0)
     driver.now += 1.0
-    request = driver.ask(cost=1.0)
+    request = driver.ask(estimated_cost=1.0)
     assert driver.sends(request) and not driver.answers(request)
 
 
@@ -140,13 +145,13 @@
 
 @pytest.mark.parametrize("value", [math.nan, math.inf, -5.0, 0.0, 1e300])
 def test_absurd_reports_neither_raise_nor_poison(value: float) -> None:
-    driver = Driver(make_settings(note_period=1.0, classes=one_class(late_value=0.5)))
-    driver.list([api.EngineEntry(engine_id(i), api.EngineState.READY, started=value) for i in range(4)])
+    driver = Driver(make_settings(progress_interval=1.0, classes=one_class(late_priority_weight=0.5)))
+    driver.list([api.EngineEntry(engine_id(i), api.EngineState.READY, started_at=value) for i in range(4)])
     for _ in range(30):
-        request = driver.ask(cost=value, memory_mb=value, tables=0.0)
+        request = driver.ask(estimated_cost=value, estimated_memory_mb=value, table_group=0.0)
         if driver.sends(request):
             engine = driver.sends(request)[0].engine
-            driver.step(api.Note(request, 0, engine, api.NoteKind.PROGRESS, value))
+            driver.step(api.ProgressReport(request, 0, engine, api.ProgressKind.PROGRESS, value))
             driver.end(request, Outcome.OK, work=value, memory_mb=value, elapsed=value)
     driver.ask(remaining=value)
     for _ in range(60):
@@ -154,4 +159,4 @@
     request = driver.ask()
     assert driver.sends(request) and not driver.answers(request)
     assert all(math.isfinite(a.timeout) and a.timeout > 0.0 for a in driver.sends())
-    assert all(math.isfinite(a.at) for a in driver.of_kind(api.SetTimer))
+    assert all(math.isfinite(a.deadline) for a in driver.of_kind(api.SetTimer))
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -16,7 +16,7 @@
 from saffronlane.engines.pool import PoolLimits
 from saffronlane.http2 import ErrorCode
 from saffronlane.http2.transport import local_sockets
-from saffronlane.interface import NoteKind, Outcome
+from saffronlane.interface import Outcome, ProgressKind
 from saffronlane.proto import flight_pb2 as flight
 from saffronlane.proto.orca_pb2 import OrcaLoadReport
 from saffronlane.rpc import Code, Ending, Metadata, RpcError, Server, ServerCall, Status
@@ -62,8 +62,8 @@
     def __init__(self) -> None:
         settings = api.Settings(
             classes=(api.ClassSettings("only", 1.0, 10.0),),
-            kinds=(api.KindSettings("kind", 4.0),),
-            limits=api.Limits(cancel=True, max_attempts=1),
+            machine_types=(api.MachineType("kind", 4.0),),
+            limits=api.Limits(can_cancel=True, max_attempts=1),
             report_columns=("active", "cpu"),
         )
         super().__init__(settings, 1)
@@ -93,7 +93,7 @@
         self.status = status
         self.over.set()
 
-    def note(self, kind: NoteKind, amount: float) -> None:
+    def note(self, kind: ProgressKind, amount: float) -> None:
         return None
 
 
@@ -118,7 +118,7 @@
         bounds = ExecutorLimits(pool=pool, cancel_wait=limits.pop("cancel_wait", 0.3), **limits)
         self.executor = Executor(self.core, FlightLinks(bounds, lambda _: ("127.0.0.1", self.port)))
         entry = api.EngineEntry(b"engine", api.EngineState.READY)
-        self.executor.feed(api.ListUpdate(api.ListMode.FULL, 1, (entry,)))
+        self.executor.feed(api.EndpointListUpdate(api.EndpointListMode.FULL, 1, (entry,)))
 
     def ask(self, remaining: float = 5.0, work: Work | None = None) -> tuple[int, Answer]:
         answer = Answer()
@@ -266,8 +266,8 @@
         # The drain is told in the turn in which the attempt starts: nothing of it may leave.
         peer.executor._step()
         entry = api.EngineEntry(b"engine", api.EngineState.DRAINING)
-        peer.executor.feed(api.ListUpdate(api.ListMode.FULL, 2, (entry,)))
-        assert (await peer.end()).outcome is Outcome.MOOT
+        peer.executor.feed(api.EndpointListUpdate(api.EndpointListMode.FULL, 2, (entry,)))
+        assert (await peer.end()).outcome is Outcome.NOT_SENT
         assert peer.server is not None and peer.server.open_calls == 0
         peer.executor.client_gone(number)
         peer.close()
@@ -287,7 +287,7 @@
         _, answer = peer.ask()
         await inside.wait()
         entry = api.EngineEntry(b"engine", api.EngineState.DRAINING)
-        peer.executor.feed(api.ListUpdate(api.ListMode.FULL, 2, (entry,)))
+        peer.executor.feed(api.EndpointListUpdate(api.EndpointListMode.FULL, 2, (entry,)))
         await asyncio.sleep(0)
         go.set()
         await answer.over.wait()
@@ -357,7 +357,7 @@
         running = peer.executor._requests[number].running[0]
         assert running.task is not None
         running.task.cancel()
-        assert (await peer.end()).outcome is Outcome.MOOT
+        assert (await peer.end()).outcome is Outcome.NOT_SENT
         peer.executor.client_gone(number)
         peer.close()
 
@@ -394,7 +394,7 @@
         await answer.over.wait()
         assert len(answer.messages) == 1
         told = [(n.kind, n.amount) for n in peer.core.notes]
-        assert told == [(NoteKind.PROGRESS, 0.25), (NoteKind.WAITING, 1.0)]
+        assert told == [(ProgressKind.PROGRESS, 0.25), (ProgressKind.WAITING, 1.0)]
         peer.close()
 
     run(work)
--- a/tests/test_platform_parts.py
+++ b/tests/test_platform_parts.py
@@ -48,7 +48,7 @@
     by_lines = params.read_settings(params.Params.of_lines(PARAMS))
     by_object = params.read_settings(params.Params.of_object(nested(PARAMS)))
     assert by_lines == by_object
-    assert by_lines.classes[1].effect is api.Effect.KEYED
+    assert by_lines.classes[1].idempotency is api.Idempotency.KEYED
 
 
 def test_each_key_of_the_nested_form_is_read_as_the_line_says_it() -> None:
@@ -112,7 +112,7 @@
 def test_a_configuration_is_read() -> None:
     config = parse(raw(peers=["10.0.0.1:1", "10.0.0.2:2"], peers_all="10.0.0.255:3"))
     assert config.last == 1 and config.peers[1] == ("10.0.0.2", 2) and config.peers_all == ("10.0.0.255", 3)
-    assert config.idle_close == 30.0 and config.settings.classes[2].effect is api.Effect.UNSAFE
+    assert config.idle_close == 30.0 and config.settings.classes[2].idempotency is api.Idempotency.UNSAFE
 
 
 @pytest.mark.parametrize(
@@ -164,7 +164,7 @@
     one.take(told(member("a", 1), member("b", 2), complete=True))
     update, gone = one.take(told(member("a", 1, "removed")))
     assert gone == [b"a"] and one.address(b"a") is None and len(one) == 1
-    assert update.mode is api.ListMode.DELTA and update.entries[0].state is api.EngineState.GONE
+    assert update.mode is api.EndpointListMode.DELTA and update.entries[0].state is api.EngineState.REMOVED
     _, gone = one.take(told(member("c", 1), complete=True))
     assert gone == [b"b"] and len(one) == 1
 
@@ -174,7 +174,7 @@
     one.take(told(member("a", 1), complete=True))
     update, gone = one.take(told(member("a", 1, "removed"), member("b", 1, up_since_ms=999_990_000.0)))
     assert gone == [b"a"] and one.address(b"b") == ("127.0.0.1", 1)
-    assert update.entries[1].started == pytest.approx(90.0)
+    assert update.entries[1].started_at == pytest.approx(90.0)
 
 
 def test_a_start_is_converted_once() -> None:
@@ -184,7 +184,7 @@
     one = Fleet(settings, lambda: 100.0, lambda: next(walls))
     first, _ = one.take(told(member("a", 1, up_since_ms=999_990_000.0)))
     second, _ = one.take(told(member("a", 1, "draining", up_since_ms=999_990_000.0)))
-    assert first.entries[0].started == second.entries[0].started == pytest.approx(90.0)
+    assert first.entries[0].started_at == second.entries[0].started_at == pytest.approx(90.0)
 
 
 def test_a_member_that_cannot_be_read_is_left_out_alone() -> None:
--- a/tests/test_random_events.py
+++ b/tests/test_random_events.py
@@ -10,28 +10,38 @@
 from hypothesis import strategies as st
 
 from saffronlane import interface as api
-from saffronlane.interface import Effect, EngineState, Group, ListMode, Outcome
+from saffronlane.interface import DeduplicationScope, EndpointListMode, EngineState, Idempotency, Outcome
 
-NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.MOOT)
+NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 CLASSES = (
-    api.ClassSettings("safe", aim=0.5, deadline=3.0, threads=1),
-    api.ClassSettings("keyed", 1.0, 6.0, threads=2, effect=Effect.KEYED, group=Group.ZONE, key_ttl=2.0),
-    api.ClassSettings("unsafe", 1.0, 4.0, threads=1, effect=Effect.UNSAFE, zones_only=(0,)),
-    api.ClassSettings("ordered", 1.0, 5.0, late_value=0.5, threads=2, ordered=True),
-    api.ClassSettings("load", 2.0, 6.0, threads=2, effect=Effect.UNSAFE, ordered=True, is_load=True),
+    api.ClassSettings("safe", latency_objective=0.5, deadline=3.0, threads=1),
+    api.ClassSettings(
+        "keyed",
+        1.0,
+        6.0,
+        threads=2,
+        idempotency=Idempotency.KEYED,
+        deduplication_scope=DeduplicationScope.ZONE,
+        idempotency_ttl=2.0,
+    ),
+    api.ClassSettings("unsafe", 1.0, 4.0, threads=1, idempotency=Idempotency.UNSAFE, allowed_zones=(0,)),
+    api.ClassSettings("ordered", 1.0, 5.0, late_priority_weight=0.5, threads=2, is_ordered=True),
+    api.ClassSettings(
+        "load", 2.0, 6.0, threads=2, idempotency=Idempotency.UNSAFE, is_ordered=True, is_bulk_load=True
+    ),
 )
 ODD = (float("nan"), float("inf"), -float("inf"), -1.0, 0.0, 1e30, 3.0)
 TENANTS = (api.TenantSettings("some", 4.0), api.TenantSettings("none"), api.TenantSettings("odd", ODD[0]))
 BUDGET = api.Guarantees(
-    answer_slack=0.02,
-    order_settle=0.5,
-    budget_free=3.0,
-    budget_ratio=0.2,
-    budget_window=4.0,
-    fall_multiple=3.0,
-    fall_window=1.0,
-    cold_share=0.3,
-    cold_time=8.0,
+    response_slack=0.02,
+    ordering_cooldown=0.5,
+    retry_budget_base=3.0,
+    retry_budget_ratio=0.2,
+    retry_budget_window=4.0,
+    slow_start_overload_factor=3.0,
+    slow_start_overload_window=1.0,
+    slow_start_initial_ratio=0.3,
+    slow_start_duration=8.0,
 )
 
 
@@ -40,15 +50,17 @@
 
     def __init__(self, seed: int) -> None:
         self.random = Random(seed)
-        limits = api.Limits(cancel=True, max_attempts=3, max_retry_after=1.0, probing=True, probe_price=0.01)
+        limits = api.Limits(
+            can_cancel=True, max_attempts=3, max_retry_after=1.0, load_probes=True, load_probe_price=0.01
+        )
         plain = make_settings(
             classes=CLASSES,
             guarantees=BUDGET,
             limits=limits,
-            note_period=1.0,
+            progress_interval=1.0,
             tenants=TENANTS,
             report_columns=("cpu", "active"),
-            zone_price=self.random.choice([0.0, 0.04]),
+            cross_zone_price=self.random.choice([0.0, 0.04]),
         )
         self.driver = Driver(plain, engines=0)
         self.states = {engine_id(i): EngineState.READY for i in range(6)}
@@ -74,43 +86,43 @@
 
     def check(self, actions: list[api.Action]) -> None:
         for action in actions:
-            if isinstance(action, api.Send):
+            if isinstance(action, api.Dispatch):
                 self.check_send(action)
-            elif isinstance(action, (api.Refuse, api.Fail)):
+            elif isinstance(action, (api.Reject, api.Fail)):
                 self.check_answer(action)
 
-    def check_send(self, send: api.Send) -> None:
+    def check_send(self, send: api.Dispatch) -> None:
         now, request = self.driver.now, send.request
         assert request in self.open  # 1: nothing goes out after the end
         arrival, tries = self.open[request], self.outcomes[request]
-        cls = CLASSES[arrival.cls]
+        cls = CLASSES[arrival.class_index]
         assert now + send.timeout <= self.limit[request]
         assert None not in tries  # 2: one attempt at a time
         maybe = [i for i, outcome in enumerate(tries) if outcome not in NEVER_RAN]
-        if cls.effect is Effect.UNSAFE:
+        if cls.idempotency is Idempotency.UNSAFE:
             assert not maybe
-        if cls.effect is Effect.KEYED and maybe:
+        if cls.idempotency is Idempotency.KEYED and maybe:
             first, sent = self.engines[request][maybe[0]]
-            assert first[3] % 2 == send.engine[3] % 2 and now <= sent + cls.key_ttl
+            assert first[3] % 2 == send.engine[3] % 2 and now <= sent + cls.idempotency_ttl
         assert self.states[send.engine] is EngineState.READY  # 3
-        if cls.zones_only:
-            assert send.engine[3] % 2 in cls.zones_only  # 6
-        if cls.ordered:
-            assert self.order[arrival.key][0] == request  # 5
-            assert now >= self.rest.get(arrival.key, 0.0)
+        if cls.allowed_zones:
+            assert send.engine[3] % 2 in cls.allowed_zones  # 6
+        if cls.is_ordered:
+            assert self.order[arrival.ordering_key][0] == request  # 5
+            assert now >= self.rest.get(arrival.ordering_key, 0.0)
         if tries:  # 7
             self.extras.append(now)
-            extras = sum(at > now - BUDGET.budget_window for at in self.extras)
-            taken = sum(at > now - BUDGET.budget_window for at in self.taken)
-            assert extras <= BUDGET.budget_free + BUDGET.budget_ratio * taken
+            extras = sum(at > now - BUDGET.retry_budget_window for at in self.extras)
+            taken = sum(at > now - BUDGET.retry_budget_window for at in self.taken)
+            assert extras <= BUDGET.retry_budget_base + BUDGET.retry_budget_ratio * taken
         tries.append(None)
         self.engines[request].append((send.engine, now))
 
-    def check_answer(self, answer: api.Refuse | api.Fail) -> None:
+    def check_answer(self, answer: api.Reject | api.Fail) -> None:
         request = answer.request
         assert request in self.open and self.driver.now <= self.limit[request]
-        cls, tries = CLASSES[self.open.pop(request).cls], self.outcomes[request]
-        if isinstance(answer, api.Refuse) and cls.effect is not Effect.SAFE:
+        cls, tries = CLASSES[self.open.pop(request).class_index], self.outcomes[request]
+        if isinstance(answer, api.Reject) and cls.idempotency is not Idempotency.SAFE:
             assert all(outcome in NEVER_RAN for outcome in tries)
         self.settle(request)
 
@@ -122,9 +134,13 @@
 
     def arrive(self) -> None:
         cls = self.random.randrange(len(CLASSES))
-        key = self.random.randrange(1, 4) if CLASSES[cls].ordered else 0
+        key = self.random.randrange(1, 4) if CLASSES[cls].is_ordered else 0
         remaining = self.random.uniform(0.1, CLASSES[cls].deadline)
-        fields = {"key": key, "tables": float(self.random.randrange(5)), "tenant": self.random.randrange(6)}
+        fields = {
+            "ordering_key": key,
+            "table_group": float(self.random.randrange(5)),
+            "tenant": self.random.randrange(6),
+        }
         event = self.driver.arrival(cls, remaining, **fields)
         self.open[event.request], self.limit[event.request] = event, self.driver.now + remaining
         self.outcomes[event.request], self.engines[event.request] = [], []
@@ -146,21 +162,21 @@
             self.open.pop(request, None)
         key = next((k for k, queue in self.order.items() if request in queue), 0)
         if key and outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED):
-            self.rest[key] = self.driver.now + BUDGET.order_settle
+            self.rest[key] = self.driver.now + BUDGET.ordering_cooldown
         self.settle(request)
-        if outcome is Outcome.MOOT and n:
+        if outcome is Outcome.NOT_SENT and n:
             self.extras.remove(self.engines[request][n][1])
         engine, sent = self.engines[request][n]
         elapsed = self.driver.now - sent
         work = self.random.choice([0.0, 0.1, 5.0])
         assert event is None or request == event.request
         report = self.odd_report()
-        self.feed(api.AttemptEnded(request, n, engine, outcome, elapsed, final, work, report=report))
+        self.feed(api.AttemptEnded(request, n, engine, outcome, elapsed, final, work, load_report=report))
 
     def change_list(self) -> None:
         engine = self.random.choice(list(self.states))
         self.states[engine] = self.random.choice(list(EngineState))
-        self.feed(api.ListUpdate(ListMode.DELTA, 1, (self.entry(engine),)))
+        self.feed(api.EndpointListUpdate(EndpointListMode.DELTA, 1, (self.entry(engine),)))
 
     def disturb(self) -> None:
         """Late, unknown and repeated events."""
@@ -170,13 +186,13 @@
         event = self.random.choice(
             [
                 api.AttemptEnded(request, 0, engine, Outcome.OK, 1.0, True),
-                api.Note(request, 1, engine, api.NoteKind.PROGRESS, 0.01),
+                api.ProgressReport(request, 1, engine, api.ProgressKind.PROGRESS, 0.01),
                 api.TimerFired(10**9),
                 api.ProbeResult(engine, self.random.choice(list(Outcome)), 0.2, self.odd_report()),
                 api.ProbeResult(engine_id(77), Outcome.OK, 0.2, (1.0, 2.0)),
-                api.Note(request, 0, engine, api.NoteKind.SPILLING, self.random.choice(ODD)),
-                api.Note(request, 0, engine, api.NoteKind.WAITING, self.random.choice(ODD)),
-                api.ClientGone(10**9),
+                api.ProgressReport(request, 0, engine, api.ProgressKind.SPILLING, self.random.choice(ODD)),
+                api.ProgressReport(request, 0, engine, api.ProgressKind.WAITING, self.random.choice(ODD)),
+                api.ClientDisconnected(10**9),
             ]
         )
         self.feed(event)
@@ -220,8 +236,8 @@
     Checker(seed).play(250)
 
 
-@pytest.mark.parametrize("mode", [ListMode.FULL, ListMode.CACHED])
-def test_list_that_shrinks_to_nothing_and_returns(mode: ListMode) -> None:
+@pytest.mark.parametrize("mode", [EndpointListMode.FULL, EndpointListMode.CACHED])
+def test_list_that_shrinks_to_nothing_and_returns(mode: EndpointListMode) -> None:
     checker = Checker(1)
     checker.driver.list([], mode)
     request = checker.driver.ask()
--- a/tests/test_rules_kept.py
+++ b/tests/test_rules_kept.py
@@ -9,7 +9,7 @@
 from conftest import LOOKUP, Driver, engine_id, make_settings, one_class
 
 from saffronlane import interface as api
-from saffronlane.interface import Effect, EngineState, Group, ListMode, Outcome
+from saffronlane.interface import DeduplicationScope, EndpointListMode, EngineState, Idempotency, Outcome
 
 
 def entry(index: int, state: EngineState = EngineState.READY, **fields: object) -> api.EngineEntry:
@@ -37,7 +37,7 @@
     request = driver.ask(remaining=1.0)
     assert driver.sends() == [] and driver.answers(request) == []
     driver.pass_time(101.0)
-    assert len(driver.of_kind(api.Refuse, request)) == 1
+    assert len(driver.of_kind(api.Reject, request)) == 1
 
 
 def test_late_events_on_ended_requests_change_nothing(driver: Driver) -> None:
@@ -45,8 +45,10 @@
     driver.end(request, Outcome.OK)
     before = len(driver.actions)
     driver.end(request, Outcome.ERROR)
-    driver.step(api.ClientGone(request), api.ClientGone(999))
-    driver.step(api.Note(request, 0, engine_id(0), api.NoteKind.PROGRESS, 0.5), api.TimerFired(12345))
+    driver.step(api.ClientDisconnected(request), api.ClientDisconnected(999))
+    driver.step(
+        api.ProgressReport(request, 0, engine_id(0), api.ProgressKind.PROGRESS, 0.5), api.TimerFired(12345)
+    )
     assert driver.actions[before:] == []
 
 
@@ -54,16 +56,16 @@
 
 
 def test_unsafe_request_that_may_have_run_fails_and_is_not_repeated() -> None:
-    driver = Driver(make_settings(classes=one_class(effect=Effect.UNSAFE, key_ttl=5.0)))
+    driver = Driver(make_settings(classes=one_class(idempotency=Idempotency.UNSAFE, idempotency_ttl=5.0)))
     request = driver.ask()
     driver.end(request, Outcome.RESET)
     assert len(driver.sends(request)) == 1
     assert driver.answers(request) == [api.Fail(request)]
 
 
-@pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.MOOT])
+@pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT])
 def test_unsafe_request_that_never_ran_is_repeated_at_once(outcome: Outcome) -> None:
-    driver = Driver(make_settings(classes=one_class(effect=Effect.UNSAFE)))
+    driver = Driver(make_settings(classes=one_class(idempotency=Idempotency.UNSAFE)))
     request = driver.ask()
     driver.end(request, outcome)
     assert len(driver.sends(request)) == 2
@@ -71,7 +73,9 @@
 
 
 def test_keyed_request_is_repeated_only_in_its_zone() -> None:
-    classes = one_class(effect=Effect.KEYED, group=Group.ZONE, key_ttl=30.0)
+    classes = one_class(
+        idempotency=Idempotency.KEYED, deduplication_scope=DeduplicationScope.ZONE, idempotency_ttl=30.0
+    )
     driver = Driver(make_settings(classes=classes), engines=0)
     driver.list([entry(i, zone=i % 3) for i in range(9)])
     request = driver.ask()
@@ -81,7 +85,7 @@
 
 
 def test_keyed_request_is_not_repeated_after_its_window() -> None:
-    driver = Driver(make_settings(classes=one_class(effect=Effect.KEYED, key_ttl=2.0)))
+    driver = Driver(make_settings(classes=one_class(idempotency=Idempotency.KEYED, idempotency_ttl=2.0)))
     request = driver.ask()
     driver.now += 2.0
     driver.end(request, Outcome.RESET)
@@ -90,7 +94,11 @@
 
 
 def test_keyed_window_counts_from_the_first_attempt_that_may_have_run() -> None:
-    driver = Driver(make_settings(classes=one_class(effect=Effect.KEYED, key_ttl=2.0, late_value=0.5)))
+    driver = Driver(
+        make_settings(
+            classes=one_class(idempotency=Idempotency.KEYED, idempotency_ttl=2.0, late_priority_weight=0.5)
+        )
+    )
     request = driver.ask()
     driver.now += 1.5
     driver.end(request, Outcome.REJECTED)
@@ -104,7 +112,9 @@
     connect: float, sent: int
 ) -> None:
     """The margin was a constant: where connections may take longer, a repeat arrived after the key's time."""
-    settings = make_settings(classes=one_class(effect=Effect.KEYED, key_ttl=2.0, late_value=0.5))
+    settings = make_settings(
+        classes=one_class(idempotency=Idempotency.KEYED, idempotency_ttl=2.0, late_priority_weight=0.5)
+    )
     limits = replace(settings.limits, connect_timeout=connect)
     driver = Driver(replace(settings, limits=limits))
     request = driver.ask()
@@ -115,7 +125,7 @@
 
 def test_a_held_repeat_does_not_leave_between_two_looks_for_lapsed_ones() -> None:
     """It is held for want of an engine when its key's time is up to its margin; one comes 20 ms later."""
-    classes = one_class(effect=Effect.KEYED, key_ttl=2.0, late_value=0.5)
+    classes = one_class(idempotency=Idempotency.KEYED, idempotency_ttl=2.0, late_priority_weight=0.5)
     driver = Driver(make_settings(classes=classes), engines=1)
     request = driver.ask()
     driver.now += 1.74
@@ -128,13 +138,13 @@
 
 
 def test_next_send_waits_for_the_outcome_of_a_cancel() -> None:
-    driver = Driver(make_settings(note_period=1.0))
+    driver = Driver(make_settings(progress_interval=1.0))
     for _ in range(6):
         driver.end(driver.ask(), Outcome.OK, work=0.1)
     request = driver.ask()
     engine = driver.sends(request)[0].engine
     driver.now += 1.0
-    driver.step(api.Note(request, 0, engine, api.NoteKind.PROGRESS, 0.01))
+    driver.step(api.ProgressReport(request, 0, engine, api.ProgressKind.PROGRESS, 0.01))
     assert driver.of_kind(api.Cancel, request) == [api.Cancel(request, 0)]
     assert len(driver.sends(request)) == 1
     driver.end(request, Outcome.CANCELLED, elapsed=1.0)
@@ -144,24 +154,29 @@
 # --- 3: drains are kept ---
 
 
-@pytest.mark.parametrize("state", [EngineState.DRAINING, EngineState.GONE])
+@pytest.mark.parametrize("state", [EngineState.DRAINING, EngineState.REMOVED])
 def test_nothing_goes_to_an_engine_that_drains_or_is_gone(state: EngineState) -> None:
     driver = Driver(make_settings(), engines=2)
-    driver.list([entry(0, state)], ListMode.DELTA)
-    requests = [driver.ask(tables=float(i)) for i in range(12)]
+    driver.list([entry(0, state)], EndpointListMode.DELTA)
+    requests = [driver.ask(table_group=float(i)) for i in range(12)]
     assert {driver.sends(r)[0].engine for r in requests} == {engine_id(1)}
 
 
 def test_engine_absent_from_a_full_list_is_gone() -> None:
     driver = Driver(make_settings(), engines=2)
     driver.list([entry(1)])
-    requests = [driver.ask(tables=float(i)) for i in range(12)]
+    requests = [driver.ask(table_group=float(i)) for i in range(12)]
     assert {driver.sends(r)[0].engine for r in requests} == {engine_id(1)}
 
 
 # --- 4: a cold engine is not pushed over ---
 
-COLD = api.Guarantees(fall_multiple=3.0, fall_window=1.5, cold_share=0.35, cold_time=14.0)
+COLD = api.Guarantees(
+    slow_start_overload_factor=3.0,
+    slow_start_overload_window=1.5,
+    slow_start_initial_ratio=0.35,
+    slow_start_duration=14.0,
+)
 COLD_BUDGET = 3.0 * 0.35 * 8.0 * 1.5  # work in any window that the engine survives, from all gateways
 
 
@@ -174,19 +189,19 @@
 
 @pytest.mark.parametrize("gateways", [1, 3])
 def test_cold_engine_gets_at_most_its_budget(gateways: int) -> None:
-    driver = Driver(make_settings(guarantees=COLD, gateways=gateways), engines=1)
+    driver = Driver(make_settings(guarantees=COLD, gateway_count=gateways), engines=1)
     for _ in range(60):
         driver.end(driver.ask(), Outcome.OK, work=0.5, elapsed=0.5)
-    driver.list([entry(0, started=driver.now)], ListMode.DELTA)
+    driver.list([entry(0, started_at=driver.now)], EndpointListMode.DELTA)
     assert 0.0 < burst(driver, 100) <= COLD_BUDGET / gateways
     driver.now += 20.0
-    driver.list([entry(0, started=100.0)], ListMode.DELTA)
+    driver.list([entry(0, started_at=100.0)], EndpointListMode.DELTA)
     assert burst(driver, 100) > COLD_BUDGET / gateways
 
 
 def test_rejected_and_cancelled_work_counts_against_a_cold_engine() -> None:
     driver = Driver(make_settings(guarantees=COLD), engines=1)
-    driver.list([entry(0, started=driver.now)], ListMode.DELTA)
+    driver.list([entry(0, started_at=driver.now)], EndpointListMode.DELTA)
     sent = 0.0
     for _ in range(100):
         request = driver.ask()
@@ -213,13 +228,15 @@
 
 
 def ordered_driver(settle: float = 0.0) -> Driver:
-    guarantees = api.Guarantees(order_settle=settle)
-    return Driver(make_settings(classes=one_class(ordered=True, late_value=0.5), guarantees=guarantees))
+    guarantees = api.Guarantees(ordering_cooldown=settle)
+    return Driver(
+        make_settings(classes=one_class(is_ordered=True, late_priority_weight=0.5), guarantees=guarantees)
+    )
 
 
 def test_requests_of_one_key_run_one_after_another() -> None:
     driver = ordered_driver()
-    first, second, other = driver.ask(key=5), driver.ask(key=5), driver.ask(key=6)
+    first, second, other = driver.ask(ordering_key=5), driver.ask(ordering_key=5), driver.ask(ordering_key=6)
     assert driver.sends(first) and not driver.sends(second) and driver.sends(other)
     driver.end(first, Outcome.OK)
     assert driver.sends(second)
@@ -227,8 +244,8 @@
 
 def test_key_waits_for_the_outcome_of_an_attempt_of_an_ended_request() -> None:
     driver = ordered_driver()
-    first, second = driver.ask(key=5), driver.ask(key=5)
-    driver.step(api.ClientGone(first))
+    first, second = driver.ask(ordering_key=5), driver.ask(ordering_key=5)
+    driver.step(api.ClientDisconnected(first))
     assert not driver.sends(second)
     driver.end(first, Outcome.CANCELLED)
     assert driver.sends(second)
@@ -236,7 +253,7 @@
 
 def test_key_rests_after_a_reset() -> None:
     driver = ordered_driver(settle=1.0)
-    first, second = driver.ask(key=5, remaining=0.5), driver.ask(key=5)
+    first, second = driver.ask(ordering_key=5, remaining=0.5), driver.ask(ordering_key=5)
     driver.pass_time(100.5)
     driver.end(first, Outcome.CANCELLED)
     driver.pass_time(101.4)
@@ -248,9 +265,11 @@
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED])
 def test_unsafe_load_in_order_ends_with_fail_and_the_next_of_its_key_waits(outcome: Outcome) -> None:
     """A lost load may still run: no repeat, no word that a repeat is safe, and the key waits for its end."""
-    classes = one_class(effect=Effect.UNSAFE, ordered=True, is_load=True, late_value=0.5)
-    driver = Driver(make_settings(classes=classes, note_period=0.5))
-    first, second = driver.ask(key=5, remaining=4.0), driver.ask(key=5)
+    classes = one_class(
+        idempotency=Idempotency.UNSAFE, is_ordered=True, is_bulk_load=True, late_priority_weight=0.5
+    )
+    driver = Driver(make_settings(classes=classes, progress_interval=0.5))
+    first, second = driver.ask(ordering_key=5, remaining=4.0), driver.ask(ordering_key=5)
     driver.pass_time(103.0)
     assert len(driver.sends(first)) == 1 and not driver.sends(second)
     assert not driver.of_kind(api.Cancel, first)
@@ -260,17 +279,17 @@
 
 
 def test_unsafe_load_is_never_the_trial_of_a_doubtful_engine() -> None:
-    classes = (LOOKUP, replace(LOOKUP, effect=Effect.UNSAFE))
+    classes = (LOOKUP, replace(LOOKUP, idempotency=Idempotency.UNSAFE))
     driver = Driver(make_settings(classes=classes), engines=3)
     driver.gateway.health.condemn(driver.gateway.fleet.engines[engine_id(0)], "failing")
     used: dict[int, set[bytes]] = {0: set(), 1: set()}
     for i in range(60):
         driver.now += 1.0
         for cls in (1, 0):
-            request = driver.ask(cls, tables=float(i))
+            request = driver.ask(cls, table_group=float(i))
             engine = driver.sends(request)[0].engine
             used[cls].add(engine)
-            driver.end(request, Outcome.ERROR if engine == engine_id(0) else Outcome.OK, final=True)
+            driver.end(request, Outcome.ERROR if engine == engine_id(0) else Outcome.OK, is_final=True)
     assert used[1] == {engine_id(1), engine_id(2)}
     assert engine_id(0) in used[0]
 
@@ -279,12 +298,12 @@
 
 
 def test_bound_class_waits_and_never_strays() -> None:
-    classes = one_class(zones_only=(1,), kinds_only=(0,))
+    classes = one_class(allowed_zones=(1,), allowed_machine_types=(0,))
     driver = Driver(make_settings(classes=classes), engines=0)
     driver.list([entry(i, zone=i % 2) for i in range(6)])
     request = driver.ask()
     assert driver.sends(request)[0].engine[3] % 2 == 1
-    driver.list([entry(i, EngineState.GONE, zone=i % 2) for i in (1, 3, 5)], ListMode.DELTA)
+    driver.list([entry(i, EngineState.REMOVED, zone=i % 2) for i in (1, 3, 5)], EndpointListMode.DELTA)
     waiting = driver.ask(remaining=0.5)
     driver.pass_time(100.5)
     assert not driver.sends(waiting) and len(driver.answers(waiting)) == 1
@@ -294,8 +313,8 @@
 
 
 def test_further_attempts_stay_within_the_sliding_window() -> None:
-    guarantees = api.Guarantees(budget_free=3.0, budget_ratio=0.2, budget_window=10.0)
-    limits = api.Limits(cancel=True, max_attempts=3, max_retry_after=1.0)
+    guarantees = api.Guarantees(retry_budget_base=3.0, retry_budget_ratio=0.2, retry_budget_window=10.0)
+    limits = api.Limits(can_cancel=True, max_attempts=3, max_retry_after=1.0)
     driver = Driver(make_settings(guarantees=guarantees, limits=limits), engines=6)
     driver.now += 10.1
     requests = [driver.ask() for _ in range(20)]
@@ -307,7 +326,7 @@
 
 def test_a_restart_that_forgot_gives_no_free_attempts_for_one_window() -> None:
     """Guards against a gateway that is killed and used what came free before and after, within one window."""
-    guarantees = api.Guarantees(budget_free=3.0, budget_ratio=0.2, budget_window=10.0)
+    guarantees = api.Guarantees(retry_budget_base=3.0, retry_budget_ratio=0.2, retry_budget_window=10.0)
     driver = Driver(make_settings(guarantees=guarantees), engines=6)
     for after, extras in ((1.0, 0), (10.0, 3)):
         driver.now += after
@@ -325,8 +344,8 @@
     widened the ration that their own repeats then used.
     """
     random, wait = Random(seed), 0.25
-    guarantees = api.Guarantees(budget_free=3.0, budget_ratio=0.2, budget_window=10.0)
-    limits = api.Limits(cancel=True, second_copies=True, max_attempts=3, connect_timeout=wait)
+    guarantees = api.Guarantees(retry_budget_base=3.0, retry_budget_ratio=0.2, retry_budget_window=10.0)
+    limits = api.Limits(can_cancel=True, hedged_requests=True, max_attempts=3, connect_timeout=wait)
     driver = Driver(make_settings(guarantees=guarantees, limits=limits), engines=12, seed=seed)
     usual: list[float] = []
     extras: list[float] = []
@@ -337,19 +356,19 @@
         flood, before = random.random() < 0.05, len(driver.actions)
         driver.pass_time(driver.now + random.expovariate(12.0))
         for _ in range(random.randrange(10, 60) if flood else 1):
-            request = driver.ask(tables=float(random.randrange(9)))
+            request = driver.ask(table_group=float(random.randrange(9)))
             if flood:
                 bad.add(request)
             else:
                 usual.append(driver.now)
             if random.random() < 0.1:
-                driver.step(api.ClientGone(request))
+                driver.step(api.ClientDisconnected(request))
         for end, request, attempt, is_bad in sorted(out):
             if end <= driver.now:
                 out.remove((end, request, attempt, is_bad))
                 fails = is_bad or random.random() < 0.2
                 driver.end(request, Outcome.ERROR if fails else Outcome.OK, attempt, work=0.1)
-        for send in (action for action in driver.actions[before:] if isinstance(action, api.Send)):
+        for send in (action for action in driver.actions[before:] if isinstance(action, api.Dispatch)):
             attempt = tries[send.request] = tries.get(send.request, -1) + 1
             arrived = driver.now + random.choice((0.0, random.uniform(0.0, wait)))
             out.append((arrived + random.uniform(0.01, 0.4), send.request, attempt, send.request in bad))
@@ -368,10 +387,10 @@
     "changes",
     [
         {"classes": ()},
-        {"kinds": ()},
-        {"kinds": (api.KindSettings("kind", 0.0),)},
+        {"machine_types": ()},
+        {"machine_types": (api.MachineType("kind", 0.0),)},
         {"classes": (replace(LOOKUP, threads=0),)},
-        {"gateways": 0},
+        {"gateway_count": 0},
     ],
 )
 def test_senseless_settings_raise(changes: dict) -> None:
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -9,11 +9,11 @@
 from conftest import LOOKUP, REPORT, Driver, engine_id, make_settings, one_class
 
 from saffronlane import interface as api
-from saffronlane.interface import EngineState, ListMode, NoteKind, Outcome
+from saffronlane.interface import EndpointListMode, EngineState, Outcome, ProgressKind
 from saffronlane.policy.scheduling.concurrency_limit import PRESSED
 
-LOAD = replace(REPORT, name="load", threads=2, is_load=True)
-NOTED = {"note_period": 1.0}
+LOAD = replace(REPORT, name="load", threads=2, is_bulk_load=True)
+NOTED = {"progress_interval": 1.0}
 COLD_TIME = 14.0
 
 
@@ -41,30 +41,30 @@
     driver.list([api.EngineEntry(engine_id(0), EngineState.READY)])
     for _ in range(10):
         driver.end(driver.ask(), Outcome.TIMEOUT)
-    assert not driver.gateway.fleet.engines[engine_id(0)].ill
+    assert not driver.gateway.fleet.engines[engine_id(0)].is_ejected
 
 
 def test_errors_condemn_an_engine_and_trials_bring_it_back(driver: Driver) -> None:
     bad = driver.gateway.placement.rooms.order(0.0)[0]
     for _ in range(100):
-        request = driver.ask(tables=0.0)
+        request = driver.ask(table_group=0.0)
         if driver.sends(request)[0].engine == bad.id:
             driver.end(request, Outcome.ERROR)
             driver.end(request, Outcome.OK, attempt=1, work=0.1)
         else:
             driver.end(request, Outcome.OK, work=0.1)
-        if bad.ill:
+        if bad.is_ejected:
             break
-    assert bad.ill
-    requests = [driver.ask(tables=0.0) for _ in range(6)]
+    assert bad.is_ejected
+    requests = [driver.ask(table_group=0.0) for _ in range(6)]
     assert bad.id not in {driver.sends(r)[0].engine for r in requests}
     for request in requests:
         driver.end(request, Outcome.OK, work=0.1)
     start = driver.now
-    while bad.ill and driver.now < start + 20.0:
+    while bad.is_ejected and driver.now < start + 20.0:
         driver.pass_time(driver.now + 0.2)
         for _ in range(3):
-            driver.end(driver.ask(tables=0.0), Outcome.OK, work=0.1)
+            driver.end(driver.ask(table_group=0.0), Outcome.OK, work=0.1)
     assert driver.now - start < 10.0
 
 
@@ -72,55 +72,55 @@
     for engine in list(driver.gateway.fleet.engines.values())[:3]:
         driver.gateway.health.condemn(engine, "failing")
     driver.gateway.health.trust()
-    used = {driver.sends(driver.ask(tables=float(i)))[0].engine for i in range(12)}
+    used = {driver.sends(driver.ask(table_group=float(i)))[0].engine for i in range(12)}
     assert len(used) > 1
 
 
 def test_silent_engine_loses_its_work_and_one_answer_brings_it_back() -> None:
     driver = warmed(**NOTED)
-    request = driver.ask(tables=1.0)
+    request = driver.ask(table_group=1.0)
     silent = driver.gateway.fleet.engines[driver.sends(request)[0].engine]
-    (late,) = silent.out.values()
-    other = next(r for r in (driver.ask(tables=float(i), cls=1) for i in range(9))
+    (late,) = silent.in_flight.values()
+    other = next(r for r in (driver.ask(table_group=float(i), cls=1) for i in range(9))
                  if driver.sends(r)[0].engine != silent.id)  # fmt: skip
     for _ in range(5):
         driver.pass_time(driver.now + 0.7)
         engine = driver.sends(other)[0].engine
-        driver.step(api.Note(other, 0, engine, NoteKind.PROGRESS, 0.9))
-    assert silent.ill and driver.of_kind(api.Cancel, request)
+        driver.step(api.ProgressReport(other, 0, engine, ProgressKind.PROGRESS, 0.9))
+    assert silent.is_ejected and driver.of_kind(api.Cancel, request)
     driver.gateway.health.ended(late, Outcome.OK)
-    assert not silent.ill
+    assert not silent.is_ejected
 
 
 def test_engine_with_only_a_long_query_is_not_silent_where_no_notes_come() -> None:
-    driver = Driver(make_settings(classes=(LOOKUP, replace(REPORT, aim=3.0))), engines=4)
+    driver = Driver(make_settings(classes=(LOOKUP, replace(REPORT, latency_objective=3.0))), engines=4)
     first = driver.gateway.placement.rooms.order(0.0)[0].id
-    long = driver.ask(cls=1, tables=0.0)
+    long = driver.ask(cls=1, table_group=0.0)
     assert driver.sends(long)[0].engine == first
     order = driver.gateway.placement.rooms.order
     others = [t for t in map(float, range(1, 40)) if first not in [e.id for e in order(t)[:2]]]
     for _ in range(20):
-        requests = [driver.ask(tables=tables) for tables in others[:4]]
+        requests = [driver.ask(table_group=tables) for tables in others[:4]]
         driver.pass_time(driver.now + 0.2)
         for request in requests:
             driver.end(request, Outcome.OK, work=0.1)
-    assert len(driver.gateway.fleet.engines[first].out) == 1
-    assert not driver.gateway.fleet.engines[first].ill
+    assert len(driver.gateway.fleet.engines[first].in_flight) == 1
+    assert not driver.gateway.fleet.engines[first].is_ejected
 
 
 def test_a_load_avoids_an_engine_that_holds_a_load_of_its_group() -> None:
     driver = Driver(make_settings(classes=(LOAD,)), engines=6)
-    engines = [driver.sends(driver.ask(tables=4.0))[0].engine for _ in range(6)]
+    engines = [driver.sends(driver.ask(table_group=4.0))[0].engine for _ in range(6)]
     assert len(set(engines)) == 6
 
 
 def test_grants_stay_within_the_gateways_part_of_an_engines_memory() -> None:
-    driver = Driver(make_settings(grants_heeded=True, gateways=2), engines=1)
+    driver = Driver(make_settings(memory_grants_enabled=True, gateway_count=2), engines=1)
     for _ in range(10):
-        driver.ask(cls=1, memory_mb=3000.0)
-    size = driver.gateway.batch.settings.kinds[0].memory_mb
+        driver.ask(cls=1, estimated_memory_mb=3000.0)
+    size = driver.gateway.batch.settings.machine_types[0].memory_mb
     assert len(driver.sends()) >= 2
-    assert sum(terms.grant_mb for terms in driver.of_kind(api.SetTerms)) <= size / 2
+    assert sum(terms.memory_mb for terms in driver.of_kind(api.SetResourceGrant)) <= size / 2
 
 
 def test_long_queries_leave_the_short_ones_a_lane() -> None:
@@ -136,7 +136,7 @@
 def slow_run(driver: Driver, request: int, attempt: int, seconds: float = 1.0) -> None:
     driver.now += seconds
     engine = driver.sends(request)[attempt].engine
-    driver.step(api.Note(request, attempt, engine, NoteKind.PROGRESS, 0.02))
+    driver.step(api.ProgressReport(request, attempt, engine, ProgressKind.PROGRESS, 0.02))
 
 
 def test_second_slow_run_is_given_up_at_once_when_it_cannot_end_in_time() -> None:
@@ -147,12 +147,12 @@
     driver.end(request, Outcome.CANCELLED, elapsed=1.0)
     slow_run(driver, request, 1)
     (answer,) = driver.answers(request)
-    assert isinstance(answer, api.Refuse) and answer.retry_after > 0.0
+    assert isinstance(answer, api.Reject) and answer.retry_after > 0.0
     assert driver.of_kind(api.Cancel, request)[-1] == api.Cancel(request, 1)
 
 
 def test_a_lasting_jam_still_counts_as_pressure() -> None:
-    driver = Driver(make_settings(classes=one_class(late_value=0.5)), engines=1)
+    driver = Driver(make_settings(classes=one_class(late_priority_weight=0.5)), engines=1)
     for _ in range(40):
         driver.end(driver.ask(), Outcome.OK, work=0.1, elapsed=0.1)
     for _ in range(150):
@@ -161,49 +161,61 @@
 
 
 def test_engine_back_with_its_old_start_time_counts_as_cold() -> None:
-    guarantees = api.Guarantees(fall_multiple=3.0, fall_window=1.5, cold_share=0.35, cold_time=COLD_TIME)
+    guarantees = api.Guarantees(
+        slow_start_overload_factor=3.0,
+        slow_start_overload_window=1.5,
+        slow_start_initial_ratio=0.35,
+        slow_start_duration=COLD_TIME,
+    )
     driver = Driver(make_settings(guarantees=guarantees), engines=2)
-    driver.list([api.EngineEntry(engine_id(0), EngineState.GONE)], ListMode.DELTA)
-    driver.list([api.EngineEntry(engine_id(0), EngineState.READY)], ListMode.DELTA)
+    driver.list([api.EngineEntry(engine_id(0), EngineState.REMOVED)], EndpointListMode.DELTA)
+    driver.list([api.EngineEntry(engine_id(0), EngineState.READY)], EndpointListMode.DELTA)
     engine = driver.gateway.fleet.engines[engine_id(0)]
-    assert engine.coldness(driver.now, COLD_TIME) > 0.0
+    assert engine.warmup_remaining(driver.now, COLD_TIME) > 0.0
 
 
 def test_a_moot_attempt_gives_back_its_own_budget_entry() -> None:
-    guarantees = api.Guarantees(budget_free=3.0, budget_window=10.0)
-    driver = Driver(make_settings(guarantees=guarantees, classes=one_class(late_value=0.5)), engines=4)
+    guarantees = api.Guarantees(retry_budget_base=3.0, retry_budget_window=10.0)
+    driver = Driver(
+        make_settings(guarantees=guarantees, classes=one_class(late_priority_weight=0.5)), engines=4
+    )
     driver.now += 11.0
     first, second = driver.ask(), driver.ask()
     driver.end(first, Outcome.REJECTED)
     driver.now += 0.5
     driver.end(second, Outcome.REJECTED)
-    driver.end(first, Outcome.MOOT, attempt=1)
-    assert list(driver.gateway.answers.permits.ration.extras)[0] == 111.5
+    driver.end(first, Outcome.NOT_SENT, attempt=1)
+    assert list(driver.gateway.answers.permits.ration.retries)[0] == 111.5
 
 
 def test_a_failed_subscription_is_asked_for_again() -> None:
-    driver = Driver(make_settings(ask_for_list=True))
+    driver = Driver(make_settings(subscribes_to_endpoints=True))
     driver.pass_time(101.0)
     assert len(driver.of_kind(api.Subscribe)) == 1
-    driver.step(api.ListUpdate(ListMode.FAILED))
+    driver.step(api.EndpointListUpdate(EndpointListMode.FAILED))
     driver.pass_time(102.0)
     assert len(driver.of_kind(api.Subscribe)) == 2
 
 
 def test_an_ill_engine_is_tried_also_where_the_short_class_is_unsafe() -> None:
-    classes = (replace(LOOKUP, effect=api.Effect.UNSAFE), REPORT)
+    classes = (replace(LOOKUP, idempotency=api.Idempotency.UNSAFE), REPORT)
     driver = Driver(make_settings(classes=classes), engines=3)
     for _ in range(20):
         driver.end(driver.ask(), Outcome.OK, work=0.1, elapsed=0.1)
     bad = driver.gateway.placement.rooms.order(0.0)[0]
     driver.gateway.health.condemn(bad, "failing")
     driver.now += 5.0
-    assert driver.sends(driver.ask(cls=0, tables=0.0))[0].engine != bad.id
-    assert driver.sends(driver.ask(cls=1, tables=0.0))[0].engine == bad.id
+    assert driver.sends(driver.ask(cls=0, table_group=0.0))[0].engine != bad.id
+    assert driver.sends(driver.ask(cls=1, table_group=0.0))[0].engine == bad.id
 
 
 def test_a_broken_link_to_an_engine_that_kept_its_work_is_no_cold_start() -> None:
-    guarantees = api.Guarantees(fall_multiple=3.0, fall_window=1.5, cold_share=0.35, cold_time=COLD_TIME)
+    guarantees = api.Guarantees(
+        slow_start_overload_factor=3.0,
+        slow_start_overload_window=1.5,
+        slow_start_initial_ratio=0.35,
+        slow_start_duration=COLD_TIME,
+    )
     driver = Driver(make_settings(guarantees=guarantees), engines=1)
     engine = driver.gateway.fleet.engines[engine_id(0)]
     kept, broken = driver.ask(), driver.ask()
@@ -212,28 +224,35 @@
     driver.end(broken, Outcome.CONNECT_FAILED, attempt=1)
     driver.now += 0.5
     driver.end(broken, Outcome.OK, attempt=2, work=0.1)
-    assert engine.coldness(driver.now, COLD_TIME) > 0.0
+    assert engine.warmup_remaining(driver.now, COLD_TIME) > 0.0
     driver.end(kept, Outcome.OK, work=0.1)
-    assert engine.coldness(driver.now, COLD_TIME) == 0.0
+    assert engine.warmup_remaining(driver.now, COLD_TIME) == 0.0
 
 
 def test_a_jam_does_not_become_the_norm_where_many_answers_come():
     """Guards the best latency's drift: for each answer, a fleet's worth of traffic forgot it in seconds."""
-    driver = Driver(make_settings(work_told=True), engines=2)
+    driver = Driver(make_settings(reports_work=True), engines=2)
     for _ in range(50):
         driver.end(driver.ask(), api.Outcome.OK, elapsed=0.05, work=0.05)
     for _ in range(1000):  # ten seconds of a jam, a hundred answers a second
         driver.now += 0.01
         driver.end(driver.ask(), api.Outcome.OK, elapsed=0.5, work=0.05)
-    assert driver.gateway.classes.learned[0].best < 1.5 and driver.gateway.pressure.crowd > PRESSED
+    assert (
+        driver.gateway.classes.learned[0].baseline_inflation < 1.5 and driver.gateway.pressure.crowd > PRESSED
+    )
 
 
 def test_a_cold_engine_is_slow_and_that_is_no_pressure():
     """Guards a rolling deploy: the one limit over all engines fell because the newest one was still cold."""
-    kept = api.Guarantees(cold_share=0.25, cold_time=10.0, fall_multiple=3.0, fall_window=1.0)
-    driver = Driver(make_settings(work_told=True, guarantees=kept), engines=0)
-    driver.list([api.EngineEntry(engine_id(0), api.EngineState.READY, started=driver.now)])
-    driver.gateway.batch.born = -math.inf
+    kept = api.Guarantees(
+        slow_start_initial_ratio=0.25,
+        slow_start_duration=10.0,
+        slow_start_overload_factor=3.0,
+        slow_start_overload_window=1.0,
+    )
+    driver = Driver(make_settings(reports_work=True, guarantees=kept), engines=0)
+    driver.list([api.EngineEntry(engine_id(0), api.EngineState.READY, started_at=driver.now)])
+    driver.gateway.batch.started_at = -math.inf
     for _ in range(60):
         request = driver.ask()
         if driver.sends(request):
@@ -243,14 +262,19 @@
 
 def test_a_cold_engine_goes_first_only_while_it_is_not_loaded_beyond_its_part():
     """Guards queries that waited on a cold engine while warm ones were idle."""
-    kept = api.Guarantees(cold_share=0.25, cold_time=100.0, fall_multiple=30.0, fall_window=10.0)
+    kept = api.Guarantees(
+        slow_start_initial_ratio=0.25,
+        slow_start_duration=100.0,
+        slow_start_overload_factor=30.0,
+        slow_start_overload_window=10.0,
+    )
     driver = Driver(make_settings(guarantees=kept), engines=0)
-    cold = api.EngineEntry(engine_id(0), api.EngineState.READY, started=driver.now - 50.0)
+    cold = api.EngineEntry(engine_id(0), api.EngineState.READY, started_at=driver.now - 50.0)
     driver.list([cold, *(api.EngineEntry(engine_id(n), api.EngineState.READY) for n in range(1, 4))])
-    driver.gateway.batch.born = -math.inf
+    driver.gateway.batch.started_at = -math.inf
     for _ in range(24):
         driver.ask()
-    out = [len(e.out) for e in driver.gateway.fleet.engines.values()]
+    out = [len(e.in_flight) for e in driver.gateway.fleet.engines.values()]
     assert sum(out) == 24 and 0 < out[0] <= 8
 
 
@@ -264,26 +288,31 @@
     driver.now += 0.05
     events = [api.AttemptEnded(r, 0, engine.id, Outcome.RESET, 0.05) for r in carried]
     driver.step(*events)
-    assert not engine.ill
+    assert not engine.is_ejected
     driver.now += 0.05
     driver.end(carried[0], Outcome.RESET, attempt=1)
-    assert engine.ill  # a second break soon after is another
+    assert engine.is_ejected  # a second break soon after is another
 
 
 def test_an_answer_to_what_left_right_after_a_break_is_no_cold_start() -> None:
     """Guards against taking a reset connection for a restart: the engine got a third of its load then."""
-    guarantees = api.Guarantees(fall_multiple=3.0, fall_window=1.5, cold_share=0.35, cold_time=COLD_TIME)
+    guarantees = api.Guarantees(
+        slow_start_overload_factor=3.0,
+        slow_start_overload_window=1.5,
+        slow_start_initial_ratio=0.35,
+        slow_start_duration=COLD_TIME,
+    )
     driver = Driver(make_settings(guarantees=guarantees), engines=1)
     engine = driver.gateway.fleet.engines[engine_id(0)]
     first, second = driver.ask(), driver.ask()
     driver.now += 0.1
     driver.end(first, Outcome.RESET)
     driver.end(first, Outcome.OK, attempt=1, work=0.1)
-    assert engine.coldness(driver.now, COLD_TIME) == 0.0
+    assert engine.warmup_remaining(driver.now, COLD_TIME) == 0.0
     driver.end(second, Outcome.RESET)  # and one sent so much later that a process may have come back
     driver.now += 0.5
     driver.end(driver.ask(), Outcome.OK, work=0.1)
-    assert engine.coldness(driver.now, COLD_TIME) > 0.0
+    assert engine.warmup_remaining(driver.now, COLD_TIME) > 0.0
 
 
 def test_requests_that_no_engine_can_run_condemn_none() -> None:
@@ -294,11 +323,11 @@
         for attempt in range(4):
             if len(driver.sends(request)) > attempt:
                 driver.end(request, Outcome.ERROR, attempt=attempt)
-    assert not any(engine.ill for engine in driver.gateway.fleet.engines.values())
+    assert not any(engine.is_ejected for engine in driver.gateway.fleet.engines.values())
 
 
 def test_an_error_that_may_not_be_repeated_blames_its_engine() -> None:
-    driver = Driver(make_settings(classes=one_class(effect=api.Effect.UNSAFE)), engines=1)
+    driver = Driver(make_settings(classes=one_class(idempotency=api.Idempotency.UNSAFE)), engines=1)
     for _ in range(10):
         driver.end(driver.ask(), Outcome.ERROR)
-    assert driver.gateway.fleet.engines[engine_id(0)].ill
+    assert driver.gateway.fleet.engines[engine_id(0)].is_ejected
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -24,7 +24,7 @@
 def test_each_worker_is_a_gateway_of_its_own(tmp_path: Path) -> None:
     config = load_config(write_config(tmp_path, gateway={"count": 6, "position": 2, "workers": 3, "seed": 9}))
     workers = [as_worker(config, n, 4000) for n in range(3)]
-    assert [w.settings.position for w in workers] == [2, 3, 4]
+    assert [w.settings.gateway_index for w in workers] == [2, 3, 4]
     assert [w.seed for w in workers] == [9, 10, 11]
     assert {w.port for w in workers} == {4000}
 
