--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -80,7 +80,9 @@
         for n in range(count):
             now += 0.01
             number = core.new_request()
-            effects = core.step(now, [d.Submit(number, 0, 4.0, cost=0.1, tables=float(n % tables))])
+            effects = core.step(
+                now, [d.Submit(number, 0, 4.0, estimated_cost=0.1, table_group=float(n % tables))]
+            )
             for effect in effects:
                 if isinstance(effect, d.StartAttempt):
                     done = d.AttemptDone(number, effect.attempt, api.Outcome.OK, 0.1, 0.1)
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -27,7 +27,7 @@
 from saffronlane import dispatch as d
 from saffronlane import interface as api
 from saffronlane.lab.model import EngineShape, Machine, Run
-from saffronlane.learned_state import Memory, Moment
+from saffronlane.learned_state import PersistedState, Timestamp
 from saffronlane.learned_state import records as k
 from saffronlane.storage import Entry
 
@@ -179,7 +179,7 @@
         engine = self.engines[number]
         engine.machine.advance(self.now)
         for one in engine.running.values():
-            note = d.AttemptNote(one.request, one.attempt, api.ProgressKind.PROGRESS, one.run.progress)
+            note = d.AttemptProgress(one.request, one.attempt, api.ProgressKind.PROGRESS, one.run.progress)
             self.inputs[one.gateway].append(note)
         self.look_at(number)
         self.at(self.now + NOTES, lambda: self.note(number))
@@ -202,9 +202,11 @@
     # --- gateways ---
 
     def start(self, number: int, folder: Folder, wall: float) -> None:
-        memory = Memory(tuple(folder.items()), Moment(self.now, wall, "boot", "place"))
+        memory = PersistedState(tuple(folder.items()), Timestamp(self.now, wall, "boot", "place"))
         settings = replace(SETTINGS, gateway_index=number)
-        core = self.cores[number] = d.Dispatcher(settings, self.seed, memory=memory, keeping=True)
+        core = self.cores[number] = d.Dispatcher(
+            settings, self.seed, persisted_state=memory, is_persistent=True
+        )
         self.folders[number] = folder
         self.write(number, core.first_changes)
         self.inputs[number] = [api.EndpointListUpdate(api.EndpointListMode.FULL, 1, self.entries())]
@@ -217,7 +219,7 @@
                 self.folders[number][change.key] = change.entry
 
     def sign(self, number: int) -> None:
-        run = k.RunKept(self.now, 1e9 + self.now, "boot", "place", "", number, GATEWAYS, False)
+        run = k.RunRecord(self.now, 1e9 + self.now, "boot", "place", "", number, GATEWAYS, False)
         self.write(number, [k.change(k.RUN, run)])
 
     def kill(self) -> None:
@@ -236,7 +238,7 @@
         request = core.new_request()
         self.asked[gateway, request] = (self.now, cls, work)
         self.worth.append((self.now, settings.priority_weight, 0.0))
-        self.inputs[gateway].append(d.Submit(request, cls, settings.deadline, tables=tables))
+        self.inputs[gateway].append(d.Submit(request, cls, settings.deadline, table_group=tables))
 
     def answer(self, gateway: int, request: int, served: bool) -> None:
         asked = self.asked.pop((gateway, request), None)
@@ -260,10 +262,10 @@
                 one = self.out.get((number, effect.request, effect.attempt))
                 if one is not None:
                     self.end(one, api.Outcome.CANCELLED)
-            elif isinstance(effect, d.Keep):
+            elif isinstance(effect, d.Persist):
                 self.write(number, effect.changes)
-            elif isinstance(effect, d.Serve | d.RefuseRequest | d.FailRequest):
-                self.answer(number, effect.request, isinstance(effect, d.Serve))
+            elif isinstance(effect, d.CompleteRequest | d.RejectRequest | d.FailRequest):
+                self.answer(number, effect.request, isinstance(effect, d.CompleteRequest))
 
     def send(self, number: int, effect: d.StartAttempt) -> None:
         target = int(effect.engine[1:])
@@ -291,7 +293,7 @@
 
     def run(self, until: float) -> None:
         while True:
-            wakes = [core.next_wake for core in self.cores if core is not None]
+            wakes = [core.next_timer for core in self.cores if core is not None]
             pending = any(self.inputs[n] for n in range(GATEWAYS) if self.cores[n] is not None)
             due = min([*wakes, self.events[0][0] if self.events else math.inf])
             due = self.now if pending else max(self.now, due)
@@ -302,7 +304,7 @@
             while self.events and self.events[0][0] <= self.now:
                 heapq.heappop(self.events)[2]()
             for number, core in enumerate(self.cores):
-                if core is not None and (self.inputs[number] or core.next_wake <= self.now):
+                if core is not None and (self.inputs[number] or core.next_timer <= self.now):
                     self.step(number)
 
 
@@ -311,10 +313,10 @@
     changed = dict(folder)
     for key, entry in folder.items():
         value = k.decode(key, entry)
-        if isinstance(value, k.ClassKept):
+        if isinstance(value, k.ClassRecord):
             times = {name: getattr(value, name) * factor for name in ("latency", "work", "calm")}
             value = with_fields(value, **times)
-        elif isinstance(value, k.EngineKept) and int(key[3:]) % 2:
+        elif isinstance(value, k.EngineRecord) and int(key[3:]) % 2:
             value = with_fields(value, ill=True, fails=1.0, judged=value.seen, trial_gap=0.4)
         changed[key] = k.change(key, value).entry or entry
     return changed
@@ -348,7 +350,7 @@
         run = folder.get(k.RUN)
         if run is not None and age > GAP:
             old = k.decode(k.RUN, run)
-            assert isinstance(old, k.RunKept)
+            assert isinstance(old, k.RunRecord)
             made = k.change(k.RUN, with_fields(old, boot="older", wall=1e9 + back - age)).entry
             assert made is not None
             folder = folder | {k.RUN: made}
--- a/benchmarks/step.py
+++ b/benchmarks/step.py
@@ -38,7 +38,7 @@
     for _ in range(QUERIES):
         now += 0.002
         request = core.new_request()
-        submit = d.Submit(request, int(random.random() < 0.15), 20.0, tables=float(random.randrange(50)))
+        submit = d.Submit(request, int(random.random() < 0.15), 20.0, table_group=float(random.randrange(50)))
         effects = core.step(now, [submit])
         out += [e for e in effects if isinstance(e, d.StartAttempt)]
         if len(out) > 20:
@@ -51,7 +51,7 @@
 def held(engines: int, number: int) -> float:
     """Milliseconds a step while so many queries are held."""
     core = fleet(engines, 1)
-    core.gateway.pressure.limit = 20.0
+    core.gateway.concurrency_limit.limit = 20.0
     core.step(1.0, [d.Submit(core.new_request(), n % 2, 30.0) for n in range(number)])
     began = time.perf_counter()
     for n in range(20):
--- a/saffronlane/cli/learned_state.py
+++ b/saffronlane/cli/learned_state.py
@@ -14,12 +14,12 @@
 import click
 
 from ..config import ConfigError, load_config
-from ..learned_state import Memory, Moment, Recall
+from ..learned_state import PersistedState, StateRestorer, Timestamp
 from ..learned_state import confidence as weigh
 from ..learned_state import records as k
 from ..learned_state.clock import between
 from ..learned_state.errors import Unreadable
-from ..learned_state.purge import What, in_entries
+from ..learned_state.purge import PurgeCategory, in_entries
 from ..state_directory import FORGET, boot_id
 from ..storage import FolderBusy, FolderLock, RealFiles, Recovery, Store, StoreFailed, recover
 from ..storage.files import LOCK_NAME, place_of
@@ -45,7 +45,7 @@
         sys.exit(2)
 
 
-def _values(found: Recovery) -> tuple[dict[bytes, k.Kept], list[str]]:
+def _values(found: Recovery) -> tuple[dict[bytes, k.Record], list[str]]:
     values, problems = {}, []
     for key, value in k.decode_all(sorted(found.state.items())):
         if isinstance(value, Unreadable):
@@ -72,12 +72,12 @@
     return ""
 
 
-def _now(folder: Path) -> Moment:
+def _now(folder: Path) -> Timestamp:
     try:
         place = place_of((folder / LOCK_NAME).stat())
     except OSError:
         place = ""
-    return Moment(time.monotonic(), time.time(), boot_id(), place)
+    return Timestamp(time.monotonic(), time.time(), boot_id(), place)
 
 
 def _told(folder: Path, found: Recovery) -> dict[str, Any]:
@@ -94,8 +94,8 @@
         "newer": found.newer,
     }
     run = values.get(k.RUN)
-    if isinstance(run, k.RunKept):
-        gap = between(Moment(run.mono, run.wall, run.boot, run.place), now)
+    if isinstance(run, k.RunRecord):
+        gap = between(Timestamp(run.mono, run.wall, run.boot, run.place), now)
         told["last_sign"] = {
             "seconds_ago": round(gap.most, 3),
             "sure": gap.sure,
@@ -125,14 +125,14 @@
     run = values.get(k.RUN)
     age = told.get("last_sign", {}).get("seconds_ago", float("inf"))
     for key, value in values.items():
-        if isinstance(value, k.ClassKept):
-            since = age + (run.mono - value.at if isinstance(run, k.RunKept) else 0.0)
+        if isinstance(value, k.ClassRecord):
+            since = age + (run.mono - value.at if isinstance(run, k.RunRecord) else 0.0)
             worth = weigh.mass(value.mass, since, 1.0)
             click.echo(
                 f"{k.name_of(key)}: {value.mass:.1f} answers, {worth:.1f} by now; "
                 f"latency {value.latency:.4g} s, work {value.work:.4g} s a unit of cost {value.cost:.4g}"
             )
-        elif isinstance(value, k.EngineKept):
+        elif isinstance(value, k.EngineRecord):
             state = "silent" if value.silent else "ill" if value.ill else "well"
             click.echo(
                 f"{k.name_of(key)}: {state}, failures {value.fails:.2f}, {len(value.sent)} sent while cold"
@@ -158,7 +158,7 @@
         except ConfigError as error:
             click.echo(str(error), err=True)
             sys.exit(2)
-        recall = Recall(config.settings, Memory(tuple(found.state.items()), _now(folder)))
+        recall = StateRestorer(config.settings, PersistedState(tuple(found.state.items()), _now(folder)))
         trust, summary = recall.trust, recall.summary
         click.echo(f"age {summary.age:.1f} s, exact {trust.exact}, weight {trust.factor:g}")
         for note in summary.notes:
@@ -182,10 +182,10 @@
 
 @knowledge.command()
 @click.argument("folder", type=FOLDER)
-@click.argument("what", type=click.Choice([w.value for w in What]), nargs=-1, required=True)
+@click.argument("what", type=click.Choice([w.value for w in PurgeCategory]), nargs=-1, required=True)
 def forget(folder: Path, what: tuple[str, ...]) -> None:
     """Forget CLASSES (times, needs), ENGINES (health) or ALL. A running gateway is asked to, but for ALL."""
-    chosen = [What(w) for w in what]
+    chosen = [PurgeCategory(w) for w in what]
     try:
         lock = FolderLock(folder)
     except FolderBusy as error:
@@ -211,8 +211,8 @@
     click.echo(f"{len(changes)} entries changed")
 
 
-def _ask(folder: Path, chosen: Iterable[What], busy: str) -> None:
-    if What.ALL in chosen:
+def _ask(folder: Path, chosen: Iterable[PurgeCategory], busy: str) -> None:
+    if PurgeCategory.ALL in chosen:
         click.echo(f"{busy}; rules stand on its ledgers, so stop it first to forget all", err=True)
         sys.exit(2)
     request = folder / FORGET
--- a/saffronlane/daemon.py
+++ b/saffronlane/daemon.py
@@ -49,7 +49,7 @@
             recording = RecordingWriter(self._record, config.settings, seed, config.most_owed, memory)
         self.view = View(self._loop.time, time.time)
         self.dispatcher = d.Dispatcher(
-            config.settings, seed, recording, config.most_owed, memory, keeping=memory is not None
+            config.settings, seed, recording, config.most_owed, memory, is_persistent=memory is not None
         )
         http = ConnectionLimits(max_streams=config.max_streams, keepalive_after=config.keepalive)
         limits = ExecutorLimits(
@@ -94,8 +94,8 @@
         """Listen. OSError where the address cannot be had."""
         if self.folder is not None:
             self.folder.unsaved = lambda: self.executor.unsaved
-            self.folder.on_attach = lambda memory: self.executor.feed(d.Attach(memory))
-            self.folder.on_forget = lambda what: self.executor.feed(d.Forget(what))
+            self.folder.on_attach = lambda memory: self.executor.feed(d.AttachLearnedState(memory))
+            self.folder.on_forget = lambda what: self.executor.feed(d.PurgeLearnedState(what))
             self.folder.start(self.dispatcher)
         if not self.source.look():
             log.warning("no engine list yet", file=str(self.config.engine_file))
@@ -116,19 +116,19 @@
     def stop(self) -> None:
         """The first call drains; a second one ends at once."""
         if self._stopping is None:
-            log.info("stopping", owed=self.dispatcher.owed, grace=self.config.grace)
+            log.info("stopping", owed=self.dispatcher.pending_count, grace=self.config.grace)
             self._stopping = self._loop.create_task(self._drain())
         else:
-            log.warning("ended at once", owed=self.dispatcher.owed)
+            log.warning("ended at once", owed=self.dispatcher.pending_count)
             self._close()
 
     async def _drain(self) -> None:
         """Refuse what is new, let what runs end, and give every client its answer before the end."""
-        self.executor.feed(d.StopTaking(self.config.grace))
+        self.executor.feed(d.BeginDrain(self.config.grace))
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self.config.grace):
                 await self._nothing_owed()
-        self.executor.feed(d.StopNow())
+        self.executor.feed(d.FinishDrain())
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(LAST_WORDS):
                 await self._nothing_owed()
@@ -140,7 +140,7 @@
 
     async def _nothing_owed(self) -> None:
         await asyncio.sleep(0)
-        while self.dispatcher.owed:
+        while self.dispatcher.pending_count:
             await asyncio.sleep(0.01)
 
     def _close(self) -> None:
--- a/saffronlane/dispatch/core.py
+++ b/saffronlane/dispatch/core.py
@@ -15,14 +15,14 @@
 from typing import Any
 
 from .. import interface as api
-from ..learned_state import PATIENCE, Keeper, Memory
+from ..learned_state import DURABILITY_TIMEOUT, Checkpointer, PersistedState
 from ..policy import Gateway
 from ..state import NEVER_RAN
 from ..storage import Change
 from . import effects as fx
 from . import inputs as inp
 
-MOST_OWED = 20_000
+MAX_PENDING = 20_000
 Record = Callable[[float, list[inp.Input], list[fx.Effect]], None]
 
 
@@ -69,21 +69,21 @@
         settings: api.Settings,
         seed: int,
         record: Record | None = None,
-        most_owed: int = MOST_OWED,
-        memory: Memory | None = None,
-        keeping: bool = False,
+        max_pending: int = MAX_PENDING,
+        persisted_state: PersistedState | None = None,
+        is_persistent: bool = False,
     ) -> None:
         self.settings = settings
         self.seed = seed
         self.gateway = Gateway(settings, seed)
-        self.keeper = Keeper(settings, memory, keeping)
-        self.keeper.begin(self.gateway)
+        self.checkpointer = Checkpointer(settings, persisted_state, is_persistent)
+        self.checkpointer.begin(self.gateway)
         # To be written before anything else: what was recalled, on this run's clock.
-        self.first_changes = self.keeper.first(self.gateway) if keeping else []
+        self.first_changes = self.checkpointer.first(self.gateway) if is_persistent else []
         self._listed = False  # the gateway has had a list
         self._ahead: dict[bytes, None] = {}  # keys of entries that attempts of this step wait for, in order
-        self.faults = 0  # times that the decisions failed and were begun anew
-        self.most_owed = most_owed
+        self.fault_count = 0  # times that the decisions failed and were begun anew
+        self.max_pending = max_pending
         self._record = record
         self._requests: dict[int, _Request] = {}
         self._closing: set[int] = set()  # ended in this step
@@ -99,12 +99,12 @@
             inp.Submit: self._on_submit,
             inp.ResultReady: self._on_ready,
             inp.AttemptDone: self._on_done,
-            inp.AttemptNote: self._on_note,
-            inp.ClientLeft: self._on_left,
-            inp.Forget: self._on_forget,
-            inp.Attach: self._on_attach,
-            inp.StopTaking: self._on_stop_taking,
-            inp.StopNow: self._on_stop_now,
+            inp.AttemptProgress: self._on_note,
+            inp.ClientDisconnected: self._on_left,
+            inp.PurgeLearnedState: self._on_forget,
+            inp.AttachLearnedState: self._on_attach,
+            inp.BeginDrain: self._on_stop_taking,
+            inp.FinishDrain: self._on_stop_now,
             api.EndpointListUpdate: self._on_list,
             api.ProbeResult: lambda event: [event],
             api.PeerMessage: lambda event: [event],
@@ -124,21 +124,21 @@
         return number
 
     @property
-    def next_wake(self) -> float:
+    def next_timer(self) -> float:
         """When `step` wants to be called even if nothing happens; infinity: never."""
-        return min(self._timers[0][0] if self._timers else math.inf, self.keeper.next_look)
+        return min(self._timers[0][0] if self._timers else math.inf, self.checkpointer.next_look)
 
-    def kept(self) -> list[Change]:
+    def unwritten_changes(self) -> list[Change]:
         """All changes of what is known that have not been given out, for the end of a run."""
-        return self.keeper.changes(self.gateway)
+        return self.checkpointer.changes(self.gateway)
 
     @property
-    def owed(self) -> int:
+    def pending_count(self) -> int:
         """Requests without a final answer."""
         return self._owed
 
     @property
-    def attempts_out(self) -> int:
+    def in_flight_count(self) -> int:
         """Attempts whose end has not been told, those of ended requests included."""
         return sum(len(r.out) for r in self._requests.values())
 
@@ -148,9 +148,9 @@
         return list(self._engines)
 
     @property
-    def held(self) -> int:
+    def queued_count(self) -> int:
         """Requests that wait for an engine."""
-        return len(self.gateway.owed.queued)
+        return len(self.gateway.pending.queued)
 
     def step(self, now: float, inputs: list[inp.Input]) -> list[fx.Effect]:
         """Take in all that happened up to `now`, in order; return what to do, in order.
@@ -168,7 +168,7 @@
             events.append(api.TimerFired(heapq.heappop(self._timers)[1]))
         if events:
             self._decide(now, events)
-            self.keeper.touch()
+            self.checkpointer.touch()
         self._keep(now)
         effects, self._effects = self._effects, []
         if self._record is not None:
@@ -178,21 +178,21 @@
     def _keep(self, now: float) -> None:
         """What attempts wait for comes before them."""
         if self._ahead:
-            changes = self.keeper.changes_ahead(self.gateway, self._ahead)
+            changes = self.checkpointer.changes_ahead(self.gateway, self._ahead)
             self._ahead.clear()
-            self._effects.insert(0, fx.Keep(tuple(changes), ahead=True))
-        if now >= self.keeper.next_look and (changes := self.keeper.changes(self.gateway)):
-            self._effects.append(fx.Keep(tuple(changes)))
+            self._effects.insert(0, fx.Persist(tuple(changes), is_write_ahead=True))
+        if now >= self.checkpointer.next_look and (changes := self.checkpointer.changes(self.gateway)):
+            self._effects.append(fx.Persist(tuple(changes)))
 
     def _decide(self, now: float, events: list[api.Event]) -> None:
         try:
             if entries := self._first_list(events):
-                self.keeper.before_list(self.gateway, entries)
+                self.checkpointer.before_list(self.gateway, entries)
             actions = self.gateway.step(now, events)
             if entries:
                 self._listed = True
-                self.keeper.after_list(self.gateway)
-                if said := self.keeper.recalled:
+                self.checkpointer.after_list(self.gateway)
+                if said := self.checkpointer.recalled:
                     self._effects.append(api.Log(said))
         except Exception as error:
             # Guards against a fault in the decisions: no request may be lost by it, and no later one harmed.
@@ -225,19 +225,19 @@
         """Answers tell whether what was recalled holds, and so does their absence."""
         for event in events:
             if isinstance(event, api.Arrival):
-                self.keeper.asked(self.gateway, event.class_index)
+                self.checkpointer.asked(self.gateway, event.class_index)
             elif isinstance(event, api.AttemptEnded) and event.outcome is api.Outcome.OK:
                 request = self._requests[event.request]
-                said = self.keeper.answered(
+                said = self.checkpointer.answered(
                     self.gateway, request.cls, request.cost, event.elapsed, event.work
                 )
                 if said:
                     self._effects.append(api.Log(said))
-        self._effects += [api.Log(said) for said in self.keeper.unheard(self.gateway)]
+        self._effects += [api.Log(said) for said in self.checkpointer.unheard(self.gateway)]
 
     def _begin_anew(self, now: float, why: str) -> None:
         """A new gateway takes over what the old one knew, as if it had been restarted."""
-        self.faults += 1
+        self.fault_count += 1
         self._ahead.clear()
         self._effects.append(api.Log(f"decisions failed and begin anew: {why}"))
         for request in list(self._requests.values()):
@@ -245,24 +245,27 @@
             self._leave(request)
         self._timers.clear()
         try:
-            self._take_over(now, self.keeper.anew(self.gateway, now))
+            self._take_over(now, self.checkpointer.anew(self.gateway, now))
         except Exception as error:  # what failed may have left anything behind
             self._effects.append(api.Log(f"what was known is lost: {error!r}"))
             self._take_over(now, None)
 
-    def _take_over(self, now: float, memory: Memory | None) -> None:
-        self.gateway = Gateway(self.settings, self.seed + self.faults)
-        before, self.keeper = self.keeper, Keeper(self.settings, memory, self.keeper.keeping)
-        self.keeper.succeed(before)
-        self.keeper.begin(self.gateway)
+    def _take_over(self, now: float, memory: PersistedState | None) -> None:
+        self.gateway = Gateway(self.settings, self.seed + self.fault_count)
+        before, self.checkpointer = (
+            self.checkpointer,
+            Checkpointer(self.settings, memory, self.checkpointer.keeping),
+        )
+        self.checkpointer.succeed(before)
+        self.checkpointer.begin(self.gateway)
         entries = tuple(self._engines.values())
         self._listed = bool(entries)
         if entries:
-            self.keeper.before_list(self.gateway, entries)
+            self.checkpointer.before_list(self.gateway, entries)
             actions = self.gateway.step(
                 now, [api.EndpointListUpdate(api.EndpointListMode.FULL, self._version, entries)]
             )
-            self.keeper.after_list(self.gateway)
+            self.checkpointer.after_list(self.gateway)
             for action in actions:
                 if isinstance(action, api.SetTimer):
                     self._set_timer(action)
@@ -272,35 +275,41 @@
     def _on_submit(self, event: inp.Submit) -> list[api.Event]:
         if event.request in self._requests:
             raise ValueError(f"request {event.request} was submitted before")
-        request = _Request(event.request, cls=event.cls, cost=event.cost, identity=event.identity)
+        request = _Request(
+            event.request, cls=event.class_index, cost=event.estimated_cost, identity=event.idempotency_key
+        )
         self._requests[event.request] = request
         self._owed += 1
         if self._stop_at is not None:  # a successor or another gateway takes it once this one is gone
             wait = min(max(0.0, self._stop_at - self._now), self.settings.limits.max_retry_after)
             return self._turn_away(request, wait, "the gateway is stopping")
-        if self._owed > self.most_owed:
+        if self._owed > self.max_pending:
             wait = self.settings.limits.max_retry_after if self.settings.limits.sends_retry_after else 0.0
-            return self._turn_away(request, wait, f"{self.most_owed} requests wait already")
-        earlier = self.keeper.ledger.earlier(event.identity, self._now) if event.identity else None
+            return self._turn_away(request, wait, f"{self.max_pending} requests wait already")
+        earlier = (
+            self.checkpointer.ledger.earlier(event.idempotency_key, self._now)
+            if event.idempotency_key
+            else None
+        )
         request.repeated = earlier is not None
         return [
             api.Arrival(
                 event.request,
-                event.cls,
-                event.remaining,
+                event.class_index,
+                event.timeout,
                 event.tenant,
-                event.key,
-                event.cost,
-                event.memory_mb,
-                event.tables,
-                event.repeat,
-                event.write,
+                event.ordering_key,
+                event.estimated_cost,
+                event.estimated_memory_mb,
+                event.table_group,
+                event.is_retry,
+                event.is_write,
                 earlier,
             )
         ]
 
     def _turn_away(self, request: _Request, wait: float, why: str) -> list[api.Event]:
-        self._end(request, fx.RefuseRequest(request.id, wait, why))
+        self._end(request, fx.RejectRequest(request.id, wait, why))
         self._leave(request)
         return []
 
@@ -330,7 +339,7 @@
         attempt.done = True
         outcome, final = event.outcome, False
         if request.identity:
-            self.keeper.ledger.ended(request.identity, outcome in NEVER_RAN)
+            self.checkpointer.ledger.ended(request.identity, outcome in NEVER_RAN)
         if request.ended:
             self._closing.add(request.id)
         elif attempt.cancelled:
@@ -338,12 +347,12 @@
             outcome = outcome if outcome in NEVER_RAN else api.Outcome.CANCELLED
         elif outcome is api.Outcome.OK:
             final = True
-            self._end(request, fx.Serve(request.id, attempt.n))
-        elif event.fault:
+            self._end(request, fx.CompleteRequest(request.id, attempt.n))
+        elif event.is_query_fault:
             # The query is wrong on every engine: the engine's word is the answer. It says nothing of the
             # engine's health or speed, and CANCELLED is the outcome that teaches neither.
             final, outcome = True, api.Outcome.CANCELLED
-            self._end(request, fx.Serve(request.id, attempt.n, fault=True))
+            self._end(request, fx.CompleteRequest(request.id, attempt.n, is_query_fault=True))
         return [
             api.AttemptEnded(
                 request.id,
@@ -354,17 +363,17 @@
                 final,
                 event.work,
                 event.memory_mb,
-                event.report,
+                event.load_report,
             )
         ]
 
-    def _on_note(self, event: inp.AttemptNote) -> list[api.Event]:
+    def _on_note(self, event: inp.AttemptProgress) -> list[api.Event]:
         request, attempt = self._find(event.request, event.attempt)
         if request is None or attempt is None or attempt.done:
             return []
         return [api.ProgressReport(request.id, attempt.n, attempt.engine, event.kind, event.amount)]
 
-    def _on_left(self, event: inp.ClientLeft) -> list[api.Event]:
+    def _on_left(self, event: inp.ClientDisconnected) -> list[api.Event]:
         request = self._requests.get(event.request)
         if request is None or request.ended:
             return []
@@ -390,24 +399,24 @@
             for attempt in request.out:
                 entry = self._engines.get(attempt.engine)
                 if entry is None or entry.state is not api.EngineState.READY:
-                    self._effects.append(fx.RecallAttempt(request.id, attempt.n))
+                    self._effects.append(fx.WithdrawAttempt(request.id, attempt.n))
 
-    def _on_forget(self, event: inp.Forget) -> list[api.Event]:
-        self.keeper.forget(self.gateway, event.what)
+    def _on_forget(self, event: inp.PurgeLearnedState) -> list[api.Event]:
+        self.checkpointer.forget(self.gateway, event.categories)
         return []
 
-    def _on_attach(self, event: inp.Attach) -> list[api.Event]:
+    def _on_attach(self, event: inp.AttachLearnedState) -> list[api.Event]:
         """The first commit holds all that was recalled and all that is known here."""
-        self.first_changes = self.keeper.attach(self.gateway, event.memory)
-        self._effects.append(fx.Keep(tuple(self.first_changes)))
+        self.first_changes = self.checkpointer.attach(self.gateway, event.persisted_state)
+        self._effects.append(fx.Persist(tuple(self.first_changes)))
         return []
 
-    def _on_stop_taking(self, event: inp.StopTaking) -> list[api.Event]:
+    def _on_stop_taking(self, event: inp.BeginDrain) -> list[api.Event]:
         if self._stop_at is None:
-            self._stop_at = self._now + event.grace
+            self._stop_at = self._now + event.grace_period
         return []
 
-    def _on_stop_now(self, event: inp.StopNow) -> list[api.Event]:
+    def _on_stop_now(self, event: inp.FinishDrain) -> list[api.Event]:
         self._stop_at = min(self._now, self._stop_at or self._now)
         return [api.Shutdown()]
 
@@ -422,8 +431,8 @@
         request.terms = None
         attempt = _Attempt(len(request.attempts), action.engine)
         request.attempts.append(attempt)
-        ahead = self.keeper.ahead(self.gateway, request.id, attempt.n, request.identity)
-        wait = PATIENCE if ahead and self.keeper.keeping else 0.0
+        ahead = self.checkpointer.ahead(self.gateway, request.id, attempt.n, request.identity)
+        wait = DURABILITY_TIMEOUT if ahead and self.checkpointer.keeping else 0.0
         if wait:
             self._ahead.update(dict.fromkeys(ahead))
         self._effects.append(
@@ -450,7 +459,7 @@
 
     def _refuse(self, action: api.Reject) -> None:
         why = "no engine can serve it in time"
-        self._answer(action.request, fx.RefuseRequest(action.request, action.retry_after, why))
+        self._answer(action.request, fx.RejectRequest(action.request, action.retry_after, why))
 
     def _fail(self, action: api.Fail) -> None:
         why = "no answer in time, and it may have run"
--- a/saffronlane/dispatch/effects.py
+++ b/saffronlane/dispatch/effects.py
@@ -18,15 +18,17 @@
     timeout: float
     grant_mb: float = 0.0
     priority: int | None = None
-    ahead: float = 0.0  # seconds to wait for this step's `Keep` with `ahead` to be durable; 0: none
+    durability_timeout: float = (
+        0.0  # seconds to wait for this step's `Keep` with `ahead` to be durable; 0: none
+    )
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
+class Persist:
     """Write these changes of what is known. With `ahead`, attempts of this step wait for them."""
 
     changes: tuple[Change, ...]
-    ahead: bool = False
+    is_write_ahead: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RecallAttempt:
+class WithdrawAttempt:
     """Do not send it if it has not left: its engine drains or is gone."""
 
     request: int
@@ -62,21 +64,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Serve:
+class CompleteRequest:
     """Final answer: the whole result of this attempt, status OK (or, with `fault`, the engine's status)."""
 
     request: int
     attempt: int
-    fault: bool = False
+    is_query_fault: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class RefuseRequest:
+class RejectRequest:
     """Final answer: not done, safe to try again after so many seconds."""
 
     request: int
     retry_after: float
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,18 +86,18 @@
     """Final answer: failed, no promise."""
 
     request: int
-    why: str
+    reason: str
 
 
 Effect = (
     StartAttempt
-    | Keep
+    | Persist
     | CancelAttempt
     | DiscardAttempt
-    | RecallAttempt
+    | WithdrawAttempt
     | Commit
-    | Serve
-    | RefuseRequest
+    | CompleteRequest
+    | RejectRequest
     | FailRequest
     | api.ProbeLoad
     | api.CloseIdleConnections
--- a/saffronlane/dispatch/inputs.py
+++ b/saffronlane/dispatch/inputs.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from .. import interface as api
-from ..learned_state import Memory, What
+from ..learned_state import PersistedState, PurgeCategory
 
 
 @dataclass(frozen=True, slots=True)
@@ -13,16 +13,16 @@
     """A client's request; `request` comes from `Dispatcher.new_request`."""
 
     request: int
-    cls: int
-    remaining: float
+    class_index: int
+    timeout: float
     tenant: int = 0
-    key: int = 0
-    cost: float = 0.0
-    memory_mb: float = 0.0
-    tables: float = 0.0
-    repeat: bool = False
-    write: bool = False
-    identity: bytes = b""  # the key that the client knows the request by; empty: none
+    ordering_key: int = 0
+    estimated_cost: float = 0.0
+    estimated_memory_mb: float = 0.0
+    table_group: float = 0.0
+    is_retry: bool = False
+    is_write: bool = False
+    idempotency_key: bytes = b""  # the key that the client knows the request by; empty: none
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,12 +43,12 @@
     elapsed: float
     work: float = 0.0
     memory_mb: float = 0.0
-    report: tuple[float, ...] = ()
-    fault: bool = False
+    load_report: tuple[float, ...] = ()
+    is_query_fault: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class AttemptNote:
+class AttemptProgress:
     request: int
     attempt: int
     kind: api.ProgressKind
@@ -56,33 +56,33 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Forget:
+class PurgeLearnedState:
     """An operator wants what was learned forgotten."""
 
-    what: tuple[What, ...]
+    categories: tuple[PurgeCategory, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Attach:
+class AttachLearnedState:
     """A folder that was not free at the start is, and this is what it holds."""
 
-    memory: Memory
+    persisted_state: PersistedState
 
 
 @dataclass(frozen=True, slots=True)
-class ClientLeft:
+class ClientDisconnected:
     request: int
 
 
 @dataclass(frozen=True, slots=True)
-class StopTaking:
+class BeginDrain:
     """New requests are turned away from now on; what is taken has so many seconds to end."""
 
-    grace: float
+    grace_period: float
 
 
 @dataclass(frozen=True, slots=True)
-class StopNow:
+class FinishDrain:
     """Everything that is still owed an answer gets one now."""
 
 
@@ -90,12 +90,12 @@
     Submit
     | ResultReady
     | AttemptDone
-    | AttemptNote
-    | ClientLeft
-    | Forget
-    | Attach
-    | StopTaking
-    | StopNow
+    | AttemptProgress
+    | ClientDisconnected
+    | PurgeLearnedState
+    | AttachLearnedState
+    | BeginDrain
+    | FinishDrain
     | api.EndpointListUpdate
     | api.ProbeResult
     | api.PeerMessage
@@ -104,12 +104,12 @@
     Submit,
     ResultReady,
     AttemptDone,
-    AttemptNote,
-    ClientLeft,
-    Attach,
-    Forget,
-    StopTaking,
-    StopNow,
+    AttemptProgress,
+    ClientDisconnected,
+    AttachLearnedState,
+    PurgeLearnedState,
+    BeginDrain,
+    FinishDrain,
     api.EndpointListUpdate,
     api.ProbeResult,
     api.PeerMessage,
--- a/saffronlane/dispatch/recording.py
+++ b/saffronlane/dispatch/recording.py
@@ -15,8 +15,8 @@
 import msgspec
 
 from .. import interface as api
-from ..learned_state import Memory
-from .core import MOST_OWED, Dispatcher
+from ..learned_state import PersistedState
+from .core import MAX_PENDING, Dispatcher
 from .effects import Effect
 from .errors import RecordingError
 from .inputs import Input
@@ -34,8 +34,8 @@
         sink: BinaryIO,
         settings: api.Settings,
         seed: int,
-        max_pending: int = MOST_OWED,
-        memory: Memory | None = None,
+        max_pending: int = MAX_PENDING,
+        memory: PersistedState | None = None,
     ) -> None:
         self._sink = sink
         self._write([encode(settings), seed, max_pending, encode(memory), VERSION])
@@ -99,11 +99,13 @@
     """Build the dispatcher that a recording's first record describes."""
     try:
         plain, seed, max_pending, *optional = header
-        memory = decode(optional[0], Memory) if optional and optional[0] is not None else None
+        memory = decode(optional[0], PersistedState) if optional and optional[0] is not None else None
         settings = decode(plain, api.Settings)
     except (ValueError, TypeError, msgspec.ValidationError) as error:
         raise RecordingError(f"{path} has no settings at its start: {error}") from error
     version = optional[1] if len(optional) > 1 else VERSION
     if version != VERSION:
         raise RecordingError(f"{path} is a recording of version {version}; this program reads {VERSION}")
-    return Dispatcher(settings, seed, most_owed=max_pending, memory=memory, keeping=memory is not None)
+    return Dispatcher(
+        settings, seed, max_pending=max_pending, persisted_state=memory, is_persistent=memory is not None
+    )
--- a/saffronlane/dispatch/recording_forms.py
+++ b/saffronlane/dispatch/recording_forms.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from .. import interface as api
-from ..learned_state import Memory, Moment
+from ..learned_state import PersistedState, Timestamp
 from ..storage import Change, Entry
 from . import effects as fx
 from . import inputs as inp
@@ -107,8 +107,8 @@
 _STORED = {
     Change: RecordForm("Change", ("key", "entry")),
     Entry: RecordForm("Entry", ("version", "value")),
-    Memory: RecordForm("Memory", ("entries", "now")),
-    Moment: RecordForm("Moment", ("mono", "wall", "boot", "place")),
+    PersistedState: RecordForm("Memory", ("entries", "now")),
+    Timestamp: RecordForm("Moment", ("mono", "wall", "boot", "place")),
 }
 _INPUTS = {
     inp.Submit: RecordForm(
@@ -131,12 +131,12 @@
     inp.AttemptDone: RecordForm(
         "AttemptDone", ("request", "attempt", "outcome", "elapsed", "work", "memory_mb", "report", "fault")
     ),
-    inp.AttemptNote: RecordForm("AttemptNote", ("request", "attempt", "kind", "amount")),
-    inp.ClientLeft: RecordForm("ClientLeft", ("request",)),
-    inp.Attach: RecordForm("Attach", ("memory",)),
-    inp.Forget: RecordForm("Forget", ("what",)),
-    inp.StopTaking: RecordForm("StopTaking", ("grace",)),
-    inp.StopNow: RecordForm("StopNow", ()),
+    inp.AttemptProgress: RecordForm("AttemptNote", ("request", "attempt", "kind", "amount")),
+    inp.ClientDisconnected: RecordForm("ClientLeft", ("request",)),
+    inp.AttachLearnedState: RecordForm("Attach", ("memory",)),
+    inp.PurgeLearnedState: RecordForm("Forget", ("what",)),
+    inp.BeginDrain: RecordForm("StopTaking", ("grace",)),
+    inp.FinishDrain: RecordForm("StopNow", ()),
     api.EngineEntry: RecordForm(
         "EngineEntry", ("engine", "state", "started", "zone", "kind", "cell", "weight")
     ),
@@ -148,13 +148,13 @@
     fx.StartAttempt: RecordForm(
         "StartAttempt", ("request", "attempt", "engine", "timeout", "grant_mb", "priority", "ahead")
     ),
-    fx.Keep: RecordForm("Keep", ("changes", "ahead")),
+    fx.Persist: RecordForm("Keep", ("changes", "ahead")),
     fx.CancelAttempt: RecordForm("CancelAttempt", ("request", "attempt")),
     fx.DiscardAttempt: RecordForm("DiscardAttempt", ("request", "attempt")),
-    fx.RecallAttempt: RecordForm("RecallAttempt", ("request", "attempt")),
+    fx.WithdrawAttempt: RecordForm("RecallAttempt", ("request", "attempt")),
     fx.Commit: RecordForm("Commit", ("request", "attempt")),
-    fx.Serve: RecordForm("Serve", ("request", "attempt", "fault")),
-    fx.RefuseRequest: RecordForm("RefuseRequest", ("request", "retry_after", "why")),
+    fx.CompleteRequest: RecordForm("Serve", ("request", "attempt", "fault")),
+    fx.RejectRequest: RecordForm("RefuseRequest", ("request", "retry_after", "why")),
     fx.FailRequest: RecordForm("FailRequest", ("request", "why")),
     api.ProbeLoad: RecordForm("Probe", ("engine",)),
     api.CloseIdleConnections: RecordForm("CloseIdle", ("engine",)),
--- a/saffronlane/engines/executor.py
+++ b/saffronlane/engines/executor.py
@@ -55,7 +55,7 @@
             return True
         loop = asyncio.get_running_loop()
         began = loop.time()
-        done, _ = await asyncio.wait({self.saved}, timeout=self.effect.ahead)
+        done, _ = await asyncio.wait({self.saved}, timeout=self.effect.durability_timeout)
         self.waited = loop.time() - began
         return bool(done) and self.saved.result()
 
@@ -135,13 +135,13 @@
         self._requests: dict[int, Request] = {}
         self._doers: dict[type, Callable[..., None]] = {
             d.StartAttempt: self._start,
-            d.Keep: self._write,
+            d.Persist: self._write,
             d.CancelAttempt: self._cancel,
             d.DiscardAttempt: self._discard,
-            d.RecallAttempt: self._recall,
+            d.WithdrawAttempt: self._recall,
             d.Commit: self._commit,
-            d.Serve: self._serve,
-            d.RefuseRequest: self._refuse,
+            d.CompleteRequest: self._serve,
+            d.RejectRequest: self._refuse,
             d.FailRequest: self._fail,
             api.ProbeLoad: self._probe,
             api.CloseIdleConnections: self._close_idle,
@@ -169,7 +169,7 @@
         request = self.open_request(number)
         if request is not None:
             request.answered = True
-            self.feed(d.ClientLeft(number))
+            self.feed(d.ClientDisconnected(number))
             self._forget(request)
 
     # --- stepping ---
@@ -206,7 +206,7 @@
         self.feed(d.AttemptDone(effect.request, effect.attempt, api.Outcome.NOT_SENT, 0.0))
 
     def _set_timer(self) -> None:
-        at = self.dispatcher.next_wake
+        at = self.dispatcher.next_timer
         if at == self._timer_at and self._timer is not None:
             return
         if self._timer is not None:
@@ -224,7 +224,7 @@
     # --- effects ---
 
     def _find(
-        self, effect: d.CancelAttempt | d.DiscardAttempt | d.RecallAttempt | d.Commit | d.Serve
+        self, effect: d.CancelAttempt | d.DiscardAttempt | d.WithdrawAttempt | d.Commit | d.CompleteRequest
     ) -> Attempt | None:
         request = self._requests.get(effect.request)
         return request.running.get(effect.attempt) if request is not None else None
@@ -235,14 +235,14 @@
             self._never_left(effect)
             return
         attempt = self.transport.start(request, effect, self._loop.time())
-        attempt.saved = self._saving if effect.ahead else None
+        attempt.saved = self._saving if effect.durability_timeout else None
         request.running[effect.attempt] = attempt
         self.transport.begin(attempt)
 
-    def _write(self, effect: d.Keep) -> None:
+    def _write(self, effect: d.Persist) -> None:
         if self._keep is not None:
-            saving = self._keep(effect.changes, effect.ahead)
-            self._saving = saving if effect.ahead else self._saving
+            saving = self._keep(effect.changes, effect.is_write_ahead)
+            self._saving = saving if effect.is_write_ahead else self._saving
 
     def _cancel(self, effect: d.CancelAttempt) -> None:
         attempt = self._find(effect)
@@ -254,7 +254,7 @@
         if attempt is not None:
             self.transport.discard(attempt)
 
-    def _recall(self, effect: d.RecallAttempt) -> None:
+    def _recall(self, effect: d.WithdrawAttempt) -> None:
         attempt = self._find(effect)
         if attempt is not None:
             self.transport.recall(attempt)
@@ -264,25 +264,25 @@
         if attempt is not None:
             self.transport.commit(attempt)
 
-    def _serve(self, effect: d.Serve) -> None:
+    def _serve(self, effect: d.CompleteRequest) -> None:
         request, attempt = self.open_request(effect.request), self._find(effect)
         if request is not None and attempt is not None:
             request.answered = True
-            self.transport.serve(request, attempt, effect.fault)
+            self.transport.serve(request, attempt, effect.is_query_fault)
             self._forget(request)
 
-    def _refuse(self, effect: d.RefuseRequest) -> None:
+    def _refuse(self, effect: d.RejectRequest) -> None:
         request = self.open_request(effect.request)
         if request is not None:
             request.answered = True
-            self.transport.refuse(request, effect.retry_after, effect.why)
+            self.transport.refuse(request, effect.retry_after, effect.reason)
             self._forget(request)
 
     def _fail(self, effect: d.FailRequest) -> None:
         request = self.open_request(effect.request)
         if request is not None:
             request.answered = True
-            self.transport.fail(request, effect.why)
+            self.transport.fail(request, effect.reason)
             self._forget(request)
 
     def _forget(self, request: Request) -> None:
--- a/saffronlane/engines/flight.py
+++ b/saffronlane/engines/flight.py
@@ -391,7 +391,7 @@
         while (message := await call.read()) is not None:
             note = orca.read_note(message)
             if note is not None:
-                self._executor.feed(d.AttemptNote(request.id, running.n, *note))
+                self._executor.feed(d.AttemptProgress(request.id, running.n, *note))
                 request.sink.note(*note)
                 continue
             if running.cancelled:
--- a/saffronlane/flight/service.py
+++ b/saffronlane/flight/service.py
@@ -232,8 +232,8 @@
                 identity.cost,
                 identity.memory_mb,
                 statement.group,
-                write=statement.writes,
-                identity=bytes.fromhex(identity.key),
+                is_write=statement.writes,
+                idempotency_key=bytes.fromhex(identity.key),
             ),
             identity.key,
         )
--- a/saffronlane/lab/fleet/virtual.py
+++ b/saffronlane/lab/fleet/virtual.py
@@ -108,7 +108,7 @@
     def _look(self) -> None:
         if self.now < self.schedule.seconds:
             nodes = [sum(run.threads for run in node.machine.running) for node in self.ready()]
-            self.watch.look(nodes, sum(core.held for core in self.cores))
+            self.watch.look(nodes, sum(core.queued_count for core in self.cores))
             self.at(self.now + LOOK, self._look)
 
     # --- dispatchers ---
@@ -121,7 +121,7 @@
         core = self.cores[place]
         for effect in core.step(self.now, list(inputs)):
             self._do(place, effect)
-        wake = core.next_wake
+        wake = core.next_timer
         if wake < self._wakes[place]:
             self._wakes[place] = wake
             self.at(max(wake, self.now), lambda: self._wake(place, wake))
@@ -149,21 +149,21 @@
         key = int(asking.key, 16) if asking.key else 0
         self._step(
             asking.dispatcher,
-            d.Submit(number, index, asking.sort.deadline, key=key, cost=cost, memory_mb=1.0,
-                     tables=float(asking.tables)),
+            d.Submit(number, index, asking.sort.deadline, ordering_key=key, estimated_cost=cost, estimated_memory_mb=1.0,
+                     table_group=float(asking.tables)),
         )  # fmt: skip
 
     def _do(self, place: int, effect: d.Effect) -> None:
         if isinstance(effect, d.StartAttempt):
             asking = self._askings[place, effect.request]
             self._send(asking, place, effect.request, effect.attempt, effect.engine)
-        elif isinstance(effect, (d.CancelAttempt, d.DiscardAttempt, d.RecallAttempt)):
+        elif isinstance(effect, (d.CancelAttempt, d.DiscardAttempt, d.WithdrawAttempt)):
             for node in self.nodes.values():
                 for run, out in list(node.out.items()):
                     if (out.place, out.request, out.attempt) == (place, effect.request, effect.attempt):
                         self._end(node, run, api.Outcome.CANCELLED)
-        elif isinstance(effect, (d.Serve, d.RefuseRequest, d.FailRequest)):
-            codes = {d.Serve: "OK", d.RefuseRequest: "UNAVAILABLE", d.FailRequest: "ABORTED"}
+        elif isinstance(effect, (d.CompleteRequest, d.RejectRequest, d.FailRequest)):
+            codes = {d.CompleteRequest: "OK", d.RejectRequest: "UNAVAILABLE", d.FailRequest: "ABORTED"}
             self._answer(self._askings[place, effect.request], codes[type(effect)])
         elif isinstance(effect, api.SendGossip):
             for other in range(len(self.cores)):
--- a/saffronlane/learned_state/__init__.py
+++ b/saffronlane/learned_state/__init__.py
@@ -2,22 +2,22 @@
 
 from . import confidence as weigh
 from . import records as kept
-from .checkpointer import PATIENCE, Keeper
-from .clock import Gap, Moment, between
+from .checkpointer import DURABILITY_TIMEOUT, Checkpointer
+from .clock import Gap, Timestamp, between
 from .ledger import Ledger
-from .purge import What
-from .restore import Memory, Recall, Summary
+from .purge import PurgeCategory
+from .restore import PersistedState, StateRestorer, Summary
 
 __all__ = [
-    "PATIENCE",
+    "DURABILITY_TIMEOUT",
     "Gap",
-    "Keeper",
+    "Checkpointer",
     "Ledger",
-    "Memory",
-    "Moment",
-    "Recall",
+    "PersistedState",
+    "Timestamp",
+    "StateRestorer",
     "Summary",
-    "What",
+    "PurgeCategory",
     "between",
     "kept",
     "weigh",
--- a/saffronlane/learned_state/checkpointer.py
+++ b/saffronlane/learned_state/checkpointer.py
@@ -14,19 +14,21 @@
 from ..storage import Change, Entry
 from . import export
 from . import records as k
-from .clock import Moment
+from .clock import Timestamp
 from .ledger import Ledger
-from .purge import What, in_gateway
-from .restore import Memory, Recall, Summary
+from .purge import PurgeCategory, in_gateway
+from .restore import PersistedState, StateRestorer, Summary
 from .validation import Scatter, Wash
 
 LAG = 0.5  # seconds between two looks at what has changed
-PATIENCE = 0.25  # seconds that an attempt waits for a disk that hangs; then it goes, and that is told
+DURABILITY_TIMEOUT = (
+    0.25  # seconds that an attempt waits for a disk that hangs; then it goes, and that is told
+)
 FADING = (k.ORDER, k.ENGINE)  # kinds whose entries go when nothing speaks for them any more
 SEEN = 60.0  # seconds; how exactly it is kept when an engine was last listed
 
 
-class Keeper:
+class Checkpointer:
     """The memory of one gateway, beside its decisions.
 
     Args:
@@ -35,12 +37,14 @@
         keeping: whether what it finds changed goes anywhere.
     """
 
-    def __init__(self, settings: api.Settings, memory: Memory | None = None, keeping: bool = False) -> None:
+    def __init__(
+        self, settings: api.Settings, memory: PersistedState | None = None, keeping: bool = False
+    ) -> None:
         self.settings, self.keeping = settings, keeping
         self.ledger = Ledger()
         self.summary = Summary()
         self.wash = Wash()
-        self._recall = Recall(settings, memory) if memory is not None else None
+        self._recall = StateRestorer(settings, memory) if memory is not None else None
         self._written: dict[bytes, Entry] = {}
         # Keys that fade when nothing speaks for them; requests are told by the ledger, and may be many.
         self._fading: dict[bytes, None] = {}  # in order, so that a replay writes alike
@@ -69,14 +73,14 @@
             self._try_out(self._recall)
         self._listed = True
 
-    def _try_out(self, recall: Recall) -> None:
+    def _try_out(self, recall: StateRestorer) -> None:
         """Put on trial what was recalled of classes."""
         for index, mass in recall.masses.items():
             kept = recall.class_named(self.settings.classes[index].name)
             assert kept is not None
             self.wash.begin(index, kept, mass)
 
-    def _hold(self, memory: Memory) -> None:
+    def _hold(self, memory: PersistedState) -> None:
         """What a folder holds is what has been written."""
         self._written = {key: entry for key, entry in memory.entries if key != k.RUN}
         self._fading = dict.fromkeys(key for key in self._written if k.kind_of(key) in FADING)
@@ -94,10 +98,10 @@
         if self._recall is not None:
             self._recall.tell(gateway)
 
-    def forget(self, gateway: Gateway, what: Iterable[What]) -> None:
+    def forget(self, gateway: Gateway, what: Iterable[PurgeCategory]) -> None:
         """Begin anew with what an operator names, here and on disk."""
         in_gateway(gateway, what)
-        if What.CLASSES in what:
+        if PurgeCategory.CLASSES in what:
             self.wash, self._counts = Wash(), {}
             if self._recall is not None:
                 self._recall.masses.clear()
@@ -111,21 +115,25 @@
 
     def unheard(self, gateway: Gateway) -> list[str]:
         """Words for the log on classes that were dropped because no answer came."""
-        return self.wash.unheard(gateway.classes.learned, gateway.batch.now) if self.wash.under_way else []
+        return (
+            self.wash.unheard(gateway.workload_estimates.estimators, gateway.batch.now)
+            if self.wash.under_way
+            else []
+        )
 
     def answered(self, gateway: Gateway, cls: int, cost: float, elapsed: float, work: float) -> str:
         """One answer that was learned from; words for the log, or none."""
         self._scatters[cls].add(math.log(max(1e-6, work if work > 0.0 else elapsed) / (cost or 1.0)))
         if not self.wash.under_way:
             return ""
-        said = self.wash.answered(cls, gateway.classes.learned[cls], cost or 1.0, elapsed, work)
+        said = self.wash.answered(cls, gateway.workload_estimates.estimators[cls], cost or 1.0, elapsed, work)
         if said and self._recall is not None:
             self._recall.masses.pop(cls, None)
         return said
 
     def ahead(self, gateway: Gateway, request: int, attempt: int, identity: bytes) -> list[bytes]:
         """What must be on disk before an attempt leaves that the gateway has just sent: keys of entries."""
-        sent = gateway.own.attempts.get((request, attempt))
+        sent = gateway.in_flight.attempts.get((request, attempt))
         if sent is None:
             return []
         job, rules, found = sent.request, gateway.batch.guarantees, []
@@ -158,15 +166,15 @@
 
     def first(self, gateway: Gateway) -> list[Change]:
         """What goes with this run's first sign of life: all that was recalled, on this run's clock."""
-        values: dict[bytes, k.Kept | None] = dict(self._recall.rebased) if self._recall is not None else {}
+        values: dict[bytes, k.Record | None] = dict(self._recall.rebased) if self._recall is not None else {}
         for key in self._written:
             if k.kind_of(key) == k.SENT:
                 values[key] = self.ledger.get(key[2:])
         return self._differing(values | {k.FLEET: export.fleet(gateway)})
 
-    def attach(self, gateway: Gateway, memory: Memory) -> list[Change]:
+    def attach(self, gateway: Gateway, memory: PersistedState) -> list[Change]:
         """Take a folder in that another process had until now, and begin to keep. Gives the first commit."""
-        self._recall = recall = Recall(self.settings, memory)
+        self._recall = recall = StateRestorer(self.settings, memory)
         self.keeping, self._newer, self.summary = True, recall.newer, recall.summary
         self._hold(memory)
         recall.attach(gateway, self.ledger)
@@ -183,29 +191,29 @@
 
     def entries(self, gateway: Gateway) -> tuple[tuple[bytes, Entry], ...]:
         """All of it, for a gateway that takes over in this very process."""
-        values: dict[bytes, k.Kept | None] = {
+        values: dict[bytes, k.Record | None] = {
             k.SENT + i: self.ledger.get(i) for i in self.ledger.identities()
         }
         values |= self._all(gateway, every=True)
         made = [k.change(key, value) for key, value in values.items() if value is not None]
         return tuple((one.key, one.entry) for one in made if one.entry is not None)
 
-    def anew(self, gateway: Gateway, now: float) -> Memory:
+    def anew(self, gateway: Gateway, now: float) -> PersistedState:
         """A memory for a gateway that begins in the place of this one."""
-        run = k.RunKept(
+        run = k.RunRecord(
             now, 0.0, "here", "here", "", self.settings.gateway_index, self.settings.gateway_count, True
         )
         made = k.change(k.RUN, run).entry
         assert made is not None
-        return Memory((*self.entries(gateway), (k.RUN, made)), Moment(now, 0.0, "here", "here"))
+        return PersistedState((*self.entries(gateway), (k.RUN, made)), Timestamp(now, 0.0, "here", "here"))
 
-    def succeed(self, before: Keeper) -> None:
+    def succeed(self, before: Checkpointer) -> None:
         """Go on in the place of another one: what it gave out to be written is what the disk holds."""
         self._written, self._fading = before._written, before._fading
 
-    def _all(self, gateway: Gateway, every: bool = False) -> dict[bytes, k.Kept | None]:
+    def _all(self, gateway: Gateway, every: bool = False) -> dict[bytes, k.Record | None]:
         masses = self._recall.masses if self._recall is not None else {}
-        found: dict[bytes, k.Kept | None] = dict.fromkeys(self._dropped)
+        found: dict[bytes, k.Record | None] = dict.fromkeys(self._dropped)
         self._dropped = []
         for name, one in export.classes(gateway, masses, self._deviations()).items():
             if every or self._counts.get(one.mark) != one.count:
@@ -235,12 +243,12 @@
             found.append(scatter.deviation or (old.scatter if old is not None else 0.0))
         return found
 
-    def _value(self, gateway: Gateway, key: bytes) -> k.Kept | None:
+    def _value(self, gateway: Gateway, key: bytes) -> k.Record | None:
         kind = k.kind_of(key)
         if kind == k.SENT:
             return self.ledger.get(key[2:])
         if kind == k.ORDER:
-            return k.OrderKept(True, 0.0)
+            return k.OrderingRecord(True, 0.0)
         if kind == k.ENGINE:
             return export.engine(gateway, gateway.fleet.engines[key[2:]], self._seen(gateway))
         return export.budget(gateway)
@@ -249,7 +257,7 @@
     def _seen(gateway: Gateway) -> float:
         return math.floor(gateway.batch.now / SEEN) * SEEN
 
-    def _differing(self, values: dict[bytes, k.Kept | None]) -> list[Change]:
+    def _differing(self, values: dict[bytes, k.Record | None]) -> list[Change]:
         found = []
         for key, value in values.items():
             made = k.change(key, value)
--- a/saffronlane/learned_state/clock.py
+++ b/saffronlane/learned_state/clock.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Moment:
+class Timestamp:
     """One reading of all clocks, and of where it was taken.
 
     Attributes:
@@ -23,10 +23,10 @@
         place: names this folder, and no copy of it; empty: not known.
     """
 
-    mono: float
-    wall: float
-    boot: str = ""
-    place: str = ""
+    monotonic_s: float
+    wall_s: float
+    boot_id: str = ""
+    directory_id: str = ""
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,18 +51,18 @@
         return self.same_boot and self.same_place
 
 
-def between(last: Moment, now: Moment) -> Gap:
+def between(last: Timestamp, now: Timestamp) -> Gap:
     """The gap from an earlier run's last sign to now.
 
     Rules must hold on the shortest gap that there may have been, and knowledge must be discounted by the
     longest. A wall clock that stands before the last sign was set back: then nothing bounds the gap.
     """
-    place = bool(last.place) and last.place == now.place
-    walls = now.wall - last.wall
-    if last.boot and last.boot == now.boot and now.mono >= last.mono:
-        monos = now.mono - last.mono
+    place = bool(last.directory_id) and last.directory_id == now.directory_id
+    walls = now.wall_s - last.wall_s
+    if last.boot_id and last.boot_id == now.boot_id and now.monotonic_s >= last.monotonic_s:
+        monos = now.monotonic_s - last.monotonic_s
         slept = walls > monos + SLEEP_SLACK  # a suspended machine, or a clock set forward
         return Gap(monos, walls if slept else monos, 0.0, True, place)
     if 0.0 <= walls < MONTH * 12.0:
-        return Gap(0.0, walls, now.mono - last.mono, False, place)
-    return Gap(0.0, float("inf"), now.mono - last.mono, False, place)
+        return Gap(0.0, walls, now.monotonic_s - last.monotonic_s, False, place)
+    return Gap(0.0, float("inf"), now.monotonic_s - last.monotonic_s, False, place)
--- a/saffronlane/learned_state/export.py
+++ b/saffronlane/learned_state/export.py
@@ -6,10 +6,19 @@
 
 from .. import interface as api
 from ..policy import Gateway
-from ..policy.estimation.run_time_estimator import Learned
+from ..policy.estimation.run_time_estimator import RunTimeEstimator
 from ..state import Engine
 from . import confidence as weigh
-from .records import NEVER, BudgetKept, ClassKept, EngineKept, FleetKept, OrderKept, ToldKept, class_mark
+from .records import (
+    NEVER,
+    ClassRecord,
+    EngineRecord,
+    FleetRecord,
+    OrderingRecord,
+    PeerLoadRecord,
+    RetryBudgetRecord,
+    class_mark,
+)
 
 BIN = 0.1  # seconds; arrivals of rule 7's window are counted in such bins, each from its start on
 
@@ -18,17 +27,17 @@
     return max(time, NEVER)
 
 
-def classes(gateway: Gateway, recalled: dict[int, float], scatters: list[float]) -> dict[bytes, ClassKept]:
+def classes(gateway: Gateway, recalled: dict[int, float], scatters: list[float]) -> dict[bytes, ClassRecord]:
     """Each class of which an answer is known. `recalled`: answers that earlier knowledge stood for."""
     found = {}
-    for index, known in enumerate(gateway.classes.learned):
+    for index, known in enumerate(gateway.workload_estimates.estimators):
         kept = _class(gateway, known, recalled.get(index, 0.0), scatters[index])
         if kept is not None:
             found[known.class_settings.name.encode()] = kept
     return found
 
 
-def _class(gateway: Gateway, known: Learned, recalled: float, scatter: float) -> ClassKept | None:
+def _class(gateway: Gateway, known: RunTimeEstimator, recalled: float, scatter: float) -> ClassRecord | None:
     answers = known.answer_count - known.recalled_count
     seed = [part * weigh.left(1.0, answers) for part in known.prior]
     estimates, latencies, works, calm = (
@@ -42,7 +51,7 @@
     mass = weigh.left(recalled, answers) + weigh.own(answers)
     if mass < 0.5 or not estimates > 0.0 or min(latencies, works, calm) <= 0.0:
         return None
-    return ClassKept(
+    return ClassRecord(
         mark=class_mark(gateway.batch.settings, known.class_settings),
         at=gateway.batch.now,
         mass=mass,
@@ -57,9 +66,9 @@
     )
 
 
-def engine(gateway: Gateway, one: Engine, seen: float) -> EngineKept:
+def engine(gateway: Gateway, one: Engine, seen: float) -> EngineRecord:
     cold = one.warmup_remaining(gateway.batch.now, gateway.batch.guarantees.slow_start_duration) > 0.0
-    return EngineKept(
+    return EngineRecord(
         cores=one.cores,
         zone=one.zone,
         kind=one.machine_type,
@@ -82,30 +91,30 @@
     )
 
 
-def budget(gateway: Gateway) -> BudgetKept | None:
+def budget(gateway: Gateway) -> RetryBudgetRecord | None:
     """Rule 7's window; None where no budget is set."""
     rules = gateway.batch.guarantees
     if rules.retry_budget_base is None:
         return None
     since = gateway.batch.now - rules.retry_budget_window - 2.0 * gateway.batch.settings.min_step_interval
     bins: dict[int, int] = {}
-    for at in gateway.answers.permits.ration.served_arrivals:
+    for at in gateway.completion.retry_policy.budget.served_arrivals:
         if at > since:
             number = math.floor(at / BIN)
             bins[number] = bins.get(number, 0) + 1
-    extras = [at for at in gateway.answers.permits.ration.retries if at > since]
-    return BudgetKept(extras, [(number * BIN, count) for number, count in bins.items()])
+    extras = [at for at in gateway.completion.retry_policy.budget.retries if at > since]
+    return RetryBudgetRecord(extras, [(number * BIN, count) for number, count in bins.items()])
 
 
-def orders(gateway: Gateway) -> dict[bytes, OrderKept]:
+def orders(gateway: Gateway) -> dict[bytes, OrderingRecord]:
     """Ordering keys with an attempt out, or at rest."""
     found = {}
-    for job in dict.fromkeys(attempt.request for attempt in gateway.own.attempts.values()):
+    for job in dict.fromkeys(attempt.request for attempt in gateway.in_flight.attempts.values()):
         if job.class_settings.is_ordered and job.ordering_key:
-            found[order_name(job.ordering_key)] = OrderKept(True, 0.0)
-    for key, until in gateway.owed.ordering.cooldowns.items():
+            found[order_name(job.ordering_key)] = OrderingRecord(True, 0.0)
+    for key, until in gateway.pending.ordering.cooldowns.items():
         if until > gateway.batch.now and order_name(key) not in found:
-            found[order_name(key)] = OrderKept(False, until)
+            found[order_name(key)] = OrderingRecord(False, until)
     return found
 
 
@@ -113,25 +122,25 @@
     return key.to_bytes(8, "big")
 
 
-def fleet(gateway: Gateway) -> FleetKept:
-    limit = gateway.pressure.limit if gateway.pressure.limit < 1e9 else 0.0
-    recent = gateway.own.recent_work
-    return FleetKept(
+def fleet(gateway: Gateway) -> FleetRecord:
+    limit = gateway.concurrency_limit.limit if gateway.concurrency_limit.limit < 1e9 else 0.0
+    recent = gateway.in_flight.recent_work
+    return FleetRecord(
         gateway.batch.now,
         past(gateway.batch.started_at),
         limit,
-        gateway.pressure.crowd,
+        gateway.concurrency_limit.latency_inflation,
         recent.value,
         past(recent.updated_at),
         gateway.fleet.mean_reported_threads,
     )
 
 
-def told(gateway: Gateway) -> ToldKept | None:
+def told(gateway: Gateway) -> PeerLoadRecord | None:
     """What other gateways told of, as far as it is not over."""
     if not gateway.batch.limits.gossip:
         return None
-    return ToldKept(
+    return PeerLoadRecord(
         [
             (
                 sender,
@@ -142,7 +151,7 @@
                 one.memory_mb,
                 one.bulk_load_table_digest,
             )
-            for (sender, number), one in gateway.telling.board.entries.items()
+            for (sender, number), one in gateway.load_gossip.peer_load.entries.items()
             if one.expires_at > gateway.batch.now
         ]
     )
--- a/saffronlane/learned_state/ledger.py
+++ b/saffronlane/learned_state/ledger.py
@@ -11,14 +11,14 @@
 
 from .. import interface as api
 from . import confidence as weigh
-from .records import SentKept
+from .records import IdempotencyRecord
 
 MOST = 100_000  # requests remembered; past it those that would be forgotten first are
 
 
 @dataclass(slots=True, eq=False)
 class _Line:
-    kept: SentKept
+    kept: IdempotencyRecord
     certain: bool = False  # that none of its attempts ran so far; `out` ones are open
     out: int = 0
 
@@ -34,14 +34,14 @@
     def __len__(self) -> int:
         return len(self._lines)
 
-    def get(self, identity: bytes) -> SentKept | None:
+    def get(self, identity: bytes) -> IdempotencyRecord | None:
         line = self._lines.get(identity)
         return line.kept if line is not None else None
 
     def identities(self) -> list[bytes]:
         return list(self._lines)
 
-    def recall(self, identity: bytes, kept: SentKept) -> None:
+    def recall(self, identity: bytes, kept: IdempotencyRecord) -> None:
         """Take an entry of an earlier run in, as of this run's clock."""
         self.changed[identity] = None
         line = self._lines.get(identity)
@@ -65,7 +65,9 @@
         line = self._lines.get(identity)
         if line is None:
             until = now + cls.idempotency_ttl + weigh.REPEATS * cls.deadline
-            kept = SentKept(cls.name, now, entry.engine, entry.zone, entry.machine_type, entry.cell, until)
+            kept = IdempotencyRecord(
+                cls.name, now, entry.engine, entry.zone, entry.machine_type, entry.cell, until
+            )
             line = self._lines[identity] = _Line(kept, certain=True)
             heapq.heappush(self._ends, (until, identity))
             self.changed[identity] = None
--- a/saffronlane/learned_state/purge.py
+++ b/saffronlane/learned_state/purge.py
@@ -12,25 +12,27 @@
 from msgspec.structs import replace
 
 from ..policy import Gateway
-from ..policy.estimation.run_time_estimator import Learned
+from ..policy.estimation.run_time_estimator import RunTimeEstimator
 from ..storage import Change, Entry
 from . import records as k
 from .errors import Unreadable
 
 
-class What(Enum):
+class PurgeCategory(Enum):
     CLASSES = "classes"  # times, ratios, needs, and the limit that came of them
     ENGINES = "engines"  # health, reports
     ALL = "all"
 
 
-def in_gateway(gateway: Gateway, what: Iterable[What]) -> None:
+def in_gateway(gateway: Gateway, what: Iterable[PurgeCategory]) -> None:
     """Begin anew with these, while it runs. ALL is not for a running gateway: ValueError."""
     for one in what:
-        if one is What.CLASSES:
-            gateway.classes.learned[:] = [Learned(cls) for cls in gateway.batch.settings.classes]
-            gateway.pressure.limit, gateway.pressure.crowd = float("inf"), 1.0
-        elif one is What.ENGINES:
+        if one is PurgeCategory.CLASSES:
+            gateway.workload_estimates.estimators[:] = [
+                RunTimeEstimator(cls) for cls in gateway.batch.settings.classes
+            ]
+            gateway.concurrency_limit.limit, gateway.concurrency_limit.latency_inflation = float("inf"), 1.0
+        elif one is PurgeCategory.ENGINES:
             for engine in gateway.fleet.engines.values():
                 engine.failure_ratio, engine.last_outcome_at, engine.last_rejection_at = (
                     0.0,
@@ -38,24 +40,24 @@
                     float("-inf"),
                 )
                 engine.is_ejected = engine.is_unresponsive = False
-            gateway.health.trust()
+            gateway.outlier_detector.update_panic_mode()
         else:
             raise ValueError("the ledgers of a running gateway are not forgotten")
 
 
-def in_entries(entries: Iterable[tuple[bytes, Entry]], what: Iterable[What]) -> list[Change]:
+def in_entries(entries: Iterable[tuple[bytes, Entry]], what: Iterable[PurgeCategory]) -> list[Change]:
     """The changes that make kept entries forget these."""
     chosen, found = set(what), []
     for key, entry in entries:
         kind = k.kind_of(key)
-        if What.ALL in chosen or (What.CLASSES in chosen and kind in (k.CLASS, k.FLEET)):
+        if PurgeCategory.ALL in chosen or (PurgeCategory.CLASSES in chosen and kind in (k.CLASS, k.FLEET)):
             found.append(Change(key, None))
-        elif What.ENGINES in chosen and kind == k.ENGINE:
+        elif PurgeCategory.ENGINES in chosen and kind == k.ENGINE:
             try:
                 engine = k.decode(key, entry)
             except Unreadable:
                 continue
-            if isinstance(engine, k.EngineKept):
+            if isinstance(engine, k.EngineRecord):
                 well = replace(
                     engine,
                     fails=0.0,
--- a/saffronlane/learned_state/rebase.py
+++ b/saffronlane/learned_state/rebase.py
@@ -27,11 +27,11 @@
         """The earliest; never, where nothing bounds it."""
         return max(k.NEVER, self.late(time) - self._slack)
 
-    def __call__(self, value: k.Kept) -> k.Kept:
+    def __call__(self, value: k.Record) -> k.Record:
         late, early = self.late, self.early
-        if isinstance(value, k.ClassKept):
+        if isinstance(value, k.ClassRecord):
             return replace(value, at=early(value.at))
-        if isinstance(value, k.EngineKept):
+        if isinstance(value, k.EngineRecord):
             return replace(
                 value,
                 started=late(value.started) if value.started > 0.0 else 0.0,
@@ -44,16 +44,18 @@
                 seen=early(value.seen),
                 sent=[(late(at), work) for at, work in value.sent],  # rule 4
             )
-        if isinstance(value, k.BudgetKept):  # rule 7: arrivals allow further attempts, attempts use them up
+        if isinstance(
+            value, k.RetryBudgetRecord
+        ):  # rule 7: arrivals allow further attempts, attempts use them up
             taken = [(early(at), count) for at, count in value.taken]
-            return k.BudgetKept([late(at) for at in value.extras], taken)
-        if isinstance(value, k.SentKept):  # rule 2: the key's window ends rather too early
+            return k.RetryBudgetRecord([late(at) for at in value.extras], taken)
+        if isinstance(value, k.IdempotencyRecord):  # rule 2: the key's window ends rather too early
             return replace(value, at=early(value.at), until=late(value.until))
-        if isinstance(value, k.OrderKept):  # rule 5
+        if isinstance(value, k.OrderingRecord):  # rule 5
             return replace(value, until=late(value.until))
-        if isinstance(value, k.FleetKept):
+        if isinstance(value, k.FleetRecord):
             at, lately_at, born = early(value.at), early(value.lately_at), late(value.born)
             return replace(value, at=at, lately_at=lately_at, born=born)
-        if isinstance(value, k.ToldKept):
-            return k.ToldKept([(s, n, early(until), *rest) for s, n, until, *rest in value.entries])  # type: ignore[misc]
+        if isinstance(value, k.PeerLoadRecord):
+            return k.PeerLoadRecord([(s, n, early(until), *rest) for s, n, until, *rest in value.entries])  # type: ignore[misc]
         return value
--- a/saffronlane/learned_state/records.py
+++ b/saffronlane/learned_state/records.py
@@ -20,7 +20,7 @@
 NEVER = -1e12  # a time that was never: long before any clock's start, and finite, as files want it
 
 
-class RunKept(msgspec.Struct, array_like=True, frozen=True):
+class RunRecord(msgspec.Struct, array_like=True, frozen=True):
     """The last sign of life of the run that wrote the folder. `clean`: it ended of its own will."""
 
     mono: float
@@ -33,7 +33,7 @@
     clean: bool
 
 
-class ClassKept(msgspec.Struct, array_like=True, frozen=True):
+class ClassRecord(msgspec.Struct, array_like=True, frozen=True):
     """What answers of one class have taught: means per unit of cost, and how many answers they stand for."""
 
     mark: str  # of the settings that the figures hold for
@@ -49,7 +49,7 @@
     scatter: float  # standard deviation of the logarithm of one answer; 0: not known
 
 
-class EngineKept(msgspec.Struct, array_like=True, frozen=True):
+class EngineRecord(msgspec.Struct, array_like=True, frozen=True):
     """One engine: what it is, how it fares, and what it was sent while cold."""
 
     cores: float
@@ -73,14 +73,14 @@
     sent: list[tuple[float, float]]  # (time, work)
 
 
-class BudgetKept(msgspec.Struct, array_like=True, frozen=True):
+class RetryBudgetRecord(msgspec.Struct, array_like=True, frozen=True):
     """Rule 7's window: further attempts, and arrivals in bins (start, count)."""
 
     extras: Times
     taken: list[tuple[float, int]]
 
 
-class SentKept(msgspec.Struct, array_like=True, frozen=True):
+class IdempotencyRecord(msgspec.Struct, array_like=True, frozen=True):
     """A request, known by its key, of which an attempt may have run."""
 
     cls: str
@@ -92,14 +92,14 @@
     until: float  # after this it is forgotten
 
 
-class OrderKept(msgspec.Struct, array_like=True, frozen=True):
+class OrderingRecord(msgspec.Struct, array_like=True, frozen=True):
     """An ordering key: an attempt of it is out, or it rests until a time."""
 
     open: bool
     until: float
 
 
-class FleetKept(msgspec.Struct, array_like=True, frozen=True):
+class FleetRecord(msgspec.Struct, array_like=True, frozen=True):
     """The limit on own threads, how crowded engines are, and recent own work.
 
     `born`: before this time sends to cold engines are not known of, for all that the ledgers show.
@@ -114,27 +114,36 @@
     mean_reported: float
 
 
-class ToldKept(msgspec.Struct, array_like=True, frozen=True):
+class PeerLoadRecord(msgspec.Struct, array_like=True, frozen=True):
     """Attempts that other gateways told of: (sender, number, until, engine, threads, memory, load's mark)."""
 
     entries: list[tuple[int, int, float, bytes, float, float, int | None]]
 
 
-Kept = RunKept | ClassKept | EngineKept | BudgetKept | SentKept | OrderKept | FleetKept | ToldKept
-K = TypeVar("K", bound=Kept)
+Record = (
+    RunRecord
+    | ClassRecord
+    | EngineRecord
+    | RetryBudgetRecord
+    | IdempotencyRecord
+    | OrderingRecord
+    | FleetRecord
+    | PeerLoadRecord
+)
+K = TypeVar("K", bound=Record)
 
 RUN, BUDGET, FLEET, TOLD = b"run", b"budget", b"fleet", b"told"
 CLASS, ENGINE, SENT, ORDER = b"c/", b"e/", b"s/", b"o/"
 
-_TYPES: dict[bytes, type[Kept]] = {
-    RUN: RunKept,
-    BUDGET: BudgetKept,
-    FLEET: FleetKept,
-    TOLD: ToldKept,
-    CLASS: ClassKept,
-    ENGINE: EngineKept,
-    SENT: SentKept,
-    ORDER: OrderKept,
+_TYPES: dict[bytes, type[Record]] = {
+    RUN: RunRecord,
+    BUDGET: RetryBudgetRecord,
+    FLEET: FleetRecord,
+    TOLD: PeerLoadRecord,
+    CLASS: ClassRecord,
+    ENGINE: EngineRecord,
+    SENT: IdempotencyRecord,
+    ORDER: OrderingRecord,
 }
 VERSIONS: dict[bytes, int] = dict.fromkeys(_TYPES, 1) | {CLASS: 2}
 # (kind, version) to what makes the fields of the next version of them. They stay for good.
@@ -159,7 +168,7 @@
     return key.decode("ascii") if kind_of(key) == key else f"{kind.decode('ascii', 'replace')}{rest.hex()}"
 
 
-def change(key: bytes, value: Kept | None) -> Change:
+def change(key: bytes, value: Record | None) -> Change:
     if value is None:
         return Change(key, None)
     kind = kind_of(key)
@@ -167,7 +176,7 @@
     return Change(key, Entry(VERSIONS[kind], _ENCODER.encode(value)))
 
 
-def decode(key: bytes, entry: Entry) -> Kept:
+def decode(key: bytes, entry: Entry) -> Record:
     """Read a value of this or an older version. Unreadable, Newer."""
     kind = kind_of(key)
     if kind is None:
@@ -183,7 +192,7 @@
         raise Unreadable(f"{name_of(key)}: {error}") from None
 
 
-def decode_all(items: Iterable[tuple[bytes, Entry]]) -> Iterator[tuple[bytes, Kept | Unreadable]]:
+def decode_all(items: Iterable[tuple[bytes, Entry]]) -> Iterator[tuple[bytes, Record | Unreadable]]:
     for key, entry in items:
         try:
             yield key, decode(key, entry)
@@ -191,7 +200,7 @@
             yield key, error
 
 
-def plain(value: Kept) -> dict[str, Any]:
+def plain(value: Record) -> dict[str, Any]:
     """For people and other programs: the fields by name."""
     return {name: getattr(value, name) for name in value.__struct_fields__}
 
--- a/saffronlane/learned_state/restore.py
+++ b/saffronlane/learned_state/restore.py
@@ -12,13 +12,13 @@
 
 from .. import interface as api
 from ..policy import Gateway
-from ..policy.estimation.run_time_estimator import SEED_ANSWERS, Learned
+from ..policy.estimation.run_time_estimator import SEED_ANSWERS, RunTimeEstimator
 from ..state import Engine, PeerAttempt
 from ..storage import Entry
 from . import confidence as weigh
 from . import export
 from . import records as k
-from .clock import Gap, Moment, between
+from .clock import Gap, Timestamp, between
 from .errors import Newer, Unreadable
 from .ledger import Ledger
 from .rebase import Rebase
@@ -28,11 +28,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Memory:
+class PersistedState:
     """The entries of a folder and the moment of the start that reads them."""
 
     entries: tuple[tuple[bytes, Entry], ...]
-    now: Moment
+    now: Timestamp
 
 
 @dataclass(slots=True)
@@ -48,22 +48,22 @@
     notes: list[str] = field(default_factory=list)
 
 
-class Recall:
+class StateRestorer:
     """What a folder says, read once. `begin` before the first event, `listed` with the first list."""
 
-    def __init__(self, settings: api.Settings, memory: Memory) -> None:
-        self.settings, self.now = settings, memory.now.mono
+    def __init__(self, settings: api.Settings, memory: PersistedState) -> None:
+        self.settings, self.now = settings, memory.now.monotonic_s
         self.summary = Summary()
         self.masses: dict[int, float] = {}  # by class, what it counted as when it was recalled
-        self._engines: dict[bytes, k.EngineKept] = {}
-        self._classes: dict[str, k.ClassKept] = {}
-        self._sent: dict[bytes, k.SentKept] = {}
-        self._orders: dict[int, k.OrderKept] = {}
-        self._budget: k.BudgetKept | None = None
-        self._fleet: k.FleetKept | None = None
-        self._told: k.ToldKept | None = None
+        self._engines: dict[bytes, k.EngineRecord] = {}
+        self._classes: dict[str, k.ClassRecord] = {}
+        self._sent: dict[bytes, k.IdempotencyRecord] = {}
+        self._orders: dict[int, k.OrderingRecord] = {}
+        self._budget: k.RetryBudgetRecord | None = None
+        self._fleet: k.FleetRecord | None = None
+        self._told: k.PeerLoadRecord | None = None
         self.newer: frozenset[bytes] = frozenset()  # keys that a later version wrote
-        values: dict[bytes, k.Kept] = {}
+        values: dict[bytes, k.Record] = {}
         for key, value in k.decode_all(memory.entries):
             if isinstance(value, Unreadable):
                 self.summary.notes.append(str(value))
@@ -72,33 +72,33 @@
             else:
                 values[key] = value
         run = values.pop(k.RUN, None)
-        self._gap, self.trust = self._weigh(run if isinstance(run, k.RunKept) else None, memory.now)
+        self._gap, self.trust = self._weigh(run if isinstance(run, k.RunRecord) else None, memory.now)
         rebase = Rebase(self._gap)
         self.rebased = {key: rebase(value) for key, value in values.items()}
         for key, value in self.rebased.items():
             self._sort(key, value)
 
-    def _sort(self, key: bytes, value: k.Kept) -> None:
-        if isinstance(value, k.ClassKept):
+    def _sort(self, key: bytes, value: k.Record) -> None:
+        if isinstance(value, k.ClassRecord):
             self._classes[key[2:].decode("utf-8", "replace")] = value
-        elif isinstance(value, k.EngineKept):
+        elif isinstance(value, k.EngineRecord):
             self._engines[key[2:]] = value
-        elif isinstance(value, k.SentKept):
+        elif isinstance(value, k.IdempotencyRecord):
             self._sent[key[2:]] = value
-        elif isinstance(value, k.OrderKept):
+        elif isinstance(value, k.OrderingRecord):
             self._orders[int.from_bytes(key[2:], "big")] = value
-        elif isinstance(value, k.BudgetKept):
+        elif isinstance(value, k.RetryBudgetRecord):
             self._budget = value
-        elif isinstance(value, k.FleetKept):
+        elif isinstance(value, k.FleetRecord):
             self._fleet = value
-        elif isinstance(value, k.ToldKept):
+        elif isinstance(value, k.PeerLoadRecord):
             self._told = value
 
-    def _weigh(self, run: k.RunKept | None, now: Moment) -> tuple[Gap, weigh.Trust]:
+    def _weigh(self, run: k.RunRecord | None, now: Timestamp) -> tuple[Gap, weigh.Trust]:
         if run is None:
             nothing = Gap(0.0, math.inf, 0.0, False, False)
             return nothing, weigh.trust(nothing, False, False)
-        gap = between(Moment(run.mono, run.wall, run.boot, run.place), now)
+        gap = between(Timestamp(run.mono, run.wall, run.boot, run.place), now)
         here = (run.position, run.gateways) == (self.settings.gateway_index, self.settings.gateway_count)
         trust = weigh.trust(gap, run.clean, here)
         self.summary.age, self.summary.exact = gap.most, trust.exact
@@ -133,10 +133,10 @@
         self._take_ledgers(gateway, ledger)
         if (fleet := self._fleet) is not None:
             age = self._age(fleet.at)
-            gateway.pressure.limit = weigh.limit(fleet.limit, age)
-            if gateway.pressure.limit < math.inf:
-                gateway.pressure.crowd = max(1.0, min(fleet.crowd, 100.0))
-            gateway.own.recent_work.value, gateway.own.recent_work.updated_at = (
+            gateway.concurrency_limit.limit = weigh.limit(fleet.limit, age)
+            if gateway.concurrency_limit.limit < math.inf:
+                gateway.concurrency_limit.latency_inflation = max(1.0, min(fleet.crowd, 100.0))
+            gateway.in_flight.recent_work.value, gateway.in_flight.recent_work.updated_at = (
                 fleet.lately,
                 self._time(fleet.lately_at),
             )
@@ -153,8 +153,8 @@
         for key, one in self._orders.items():
             until = self.now + settle if one.open else min(one.until, self.now + settle)
             if until > self.now:
-                gateway.owed.ordering.cooldowns[key] = max(
-                    until, gateway.owed.ordering.cooldowns.get(key, -math.inf)
+                gateway.pending.ordering.cooldowns[key] = max(
+                    until, gateway.pending.ordering.cooldowns.get(key, -math.inf)
                 )
                 self.summary.orders += 1
         names = {c.name: c for c in self.settings.classes}
@@ -169,7 +169,7 @@
     def _take_budget(self, gateway: Gateway) -> None:
         if self._budget is None or gateway.batch.guarantees.retry_budget_base is None:
             return
-        ration = gateway.answers.permits.ration
+        ration = gateway.completion.retry_policy.budget
         since = (
             self.now
             - gateway.batch.guarantees.retry_budget_window
@@ -188,7 +188,7 @@
         kinds = self.settings.machine_types
         listed = {e.engine: kinds[min(e.machine_type, len(kinds) - 1)].cores for e in entries}
         fleet = weigh.fleet_factor({name: e.cores for name, e in self._engines.items()}, listed)
-        for index, known in enumerate(gateway.classes.learned):
+        for index, known in enumerate(gateway.workload_estimates.estimators):
             one = self._classes.get(known.class_settings.name)
             if one is None or known.answer_count:
                 continue
@@ -204,11 +204,12 @@
     def _share_counts(self, gateway: Gateway) -> None:
         """The mix of classes, by counts: small enough that a new mix soon shows."""
         recalled = {
-            i: self._classes[gateway.classes.learned[i].class_settings.name].count for i in self.masses
+            i: self._classes[gateway.workload_estimates.estimators[i].class_settings.name].count
+            for i in self.masses
         }
         whole = sum(recalled.values())
         for index, count in recalled.items():
-            known = gateway.classes.learned[index]
+            known = gateway.workload_estimates.estimators[index]
             known.answer_count = round(min(1.0, weigh.COUNT_MOST / max(1, whole)) * count)
             if self.masses[index] >= SEED_ANSWERS:  # enough is known to judge a query by
                 known.answer_count = max(known.answer_count, int(SEED_ANSWERS))
@@ -243,20 +244,20 @@
         engine.reported_threads_per_core = one.reported
         engine.reported_at = self._time(one.reported_at)
 
-    def class_named(self, name: str) -> k.ClassKept | None:
+    def class_named(self, name: str) -> k.ClassRecord | None:
         return self._classes.get(name)
 
     def tell(self, gateway: Gateway) -> None:
         """What other gateways told, once the engines are known."""
         for sender, number, until, name, threads, memory, loads in self._told.entries if self._told else ():
-            engine, board = gateway.fleet.engines.get(name), gateway.telling.board
+            engine, board = gateway.fleet.engines.get(name), gateway.load_gossip.peer_load
             if engine is not None and until > self.now and (sender, number) not in board.entries:
                 board.insert((sender, number), PeerAttempt(until, engine, threads, memory, loads))
         self._told = None
 
-    def unlisted(self) -> dict[bytes, k.EngineKept]:
+    def unlisted(self) -> dict[bytes, k.EngineRecord]:
         """Engines that no list has named yet, on this run's clock; the old and the many are forgotten."""
-        recent: dict[bytes, k.EngineKept] = {}
+        recent: dict[bytes, k.EngineRecord] = {}
         for name, one in sorted(self._engines.items(), key=lambda item: -item[1].seen):
             if self._age(one.seen) <= weigh.ENGINE_MOST and len(recent) < weigh.KNOWN_MOST:
                 recent[name] = one
@@ -272,13 +273,13 @@
     return answers * cost, answers * cls.latency_objective, work, work
 
 
-def recalled_sums(one: k.ClassKept, mass: float) -> Sums:
+def recalled_sums(one: k.ClassRecord, mass: float) -> Sums:
     """What so many answers of recalled knowledge come to."""
     whole = mass * one.cost
     return whole, whole * one.latency, whole * one.work, whole * one.calm
 
 
-def teach(known: Learned, one: k.ClassKept, mass: float) -> bool:
+def teach(known: RunTimeEstimator, one: k.ClassRecord, mass: float) -> bool:
     """Put so many answers' worth of knowledge in the place of as many seeds. False if it makes no sense."""
     figures = (one.cost, one.latency, one.work, one.calm, one.best)
     if not all(math.isfinite(f) and 0.0 < f < 1e9 for f in figures) or not 0.0 <= one.need < 1e9:
@@ -293,7 +294,7 @@
     return True
 
 
-def unteach(known: Learned, cost: float, recalled: Sums, answers: int) -> None:
+def unteach(known: RunTimeEstimator, cost: float, recalled: Sums, answers: int) -> None:
     """Take recalled sums out again, as far as they still count, and seeds back in; new answers stay."""
     part, seeds = weigh.left(1.0, answers), seed_sums(known.class_settings, cost, SEED_ANSWERS)
     now = (known.estimated_costs, known.latency_total, known.work_total, known.uncontended_work_total)
--- a/saffronlane/learned_state/validation.py
+++ b/saffronlane/learned_state/validation.py
@@ -10,9 +10,9 @@
 import math
 from dataclasses import dataclass
 
-from ..policy.estimation.run_time_estimator import DECAY, Learned
+from ..policy.estimation.run_time_estimator import DECAY, RunTimeEstimator
 from . import confidence as weigh
-from .records import ClassKept
+from .records import ClassRecord
 from .restore import Sums, recalled_sums, unteach
 
 LEAST = 8.0  # answers from which a scatter is told
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class _Trial:
-    kept: ClassKept
+    kept: ClassRecord
     sums: Sums  # recalled, without seeds
     total: float = 0.0
     answers: int = 0
@@ -59,7 +59,7 @@
     def under_way(self) -> int:
         return len(self._trials)
 
-    def begin(self, index: int, kept: ClassKept, mass: float) -> None:
+    def begin(self, index: int, kept: ClassRecord, mass: float) -> None:
         self._trials[index] = _Trial(kept, recalled_sums(kept, mass))
 
     def asked(self, index: int, now: float) -> None:
@@ -68,7 +68,7 @@
         if trial is not None:
             trial.asked = min(trial.asked, now)
 
-    def unheard(self, learned: list[Learned], now: float) -> list[str]:
+    def unheard(self, learned: list[RunTimeEstimator], now: float) -> list[str]:
         """Drop what may itself be the reason that no answer comes; words for the log."""
         said = []
         for index, trial in list(self._trials.items()):
@@ -81,7 +81,7 @@
                 )
         return said
 
-    def answered(self, index: int, known: Learned, cost: float, elapsed: float, work: float) -> str:
+    def answered(self, index: int, known: RunTimeEstimator, cost: float, elapsed: float, work: float) -> str:
         """One answer of a class, after it was learned from. Returns words for the log if the class fails."""
         trial = self._trials.get(index)
         if trial is None:
--- a/saffronlane/platform/server.py
+++ b/saffronlane/platform/server.py
@@ -125,7 +125,7 @@
     def stop(self) -> None:
         """Take what still comes, give every answer, end. A second call answers what is owed at once."""
         self.process.terminate(self._loop.time())
-        log.info("stopping", owed=self.dispatcher.owed, hurried=self.process.hurried)
+        log.info("stopping", owed=self.dispatcher.pending_count, hurried=self.process.hurried)
         if self._ending is None:
             self._ending = self._loop.create_task(self._finish())
         self._hurry()
@@ -134,8 +134,8 @@
         """Answer all that is owed, once, when there is no more time for it."""
         if self.process.hurried and not self._hurrying:
             self._hurrying = True
-            log.warning("answering what is owed", owed=self.dispatcher.owed)
-            self.executor.feed(d.StopNow())
+            log.warning("answering what is owed", owed=self.dispatcher.pending_count)
+            self.executor.feed(d.FinishDrain())
 
     async def _finish(self) -> None:
         try:
@@ -156,7 +156,7 @@
 
     def _debts(self) -> Debts:
         front = self.front
-        owed = bool(self.dispatcher.owed or self.executor.pending or front.owed)
+        owed = bool(self.dispatcher.pending_count or self.executor.pending or front.owed)
         unread = self.process.phase is Phase.DRAINING and not owed and front.unread()
         # Guards against an end while connections are full: the system has taken those that wait outside,
         # and what they sent is owed. Room is made in some hundredths of a second, if the end can wait.
@@ -199,15 +199,15 @@
                 accepted=self.front.accepted,
                 displaced=self.front.displaced,
                 pauses=self.front.listener.pauses,
-                owed=self.dispatcher.owed,
-                held=self.dispatcher.held,
-                out=self.dispatcher.attempts_out,
-                crowd=round(gateway.pressure.crowd, 2),
+                owed=self.dispatcher.pending_count,
+                held=self.dispatcher.queued_count,
+                out=self.dispatcher.in_flight_count,
+                crowd=round(gateway.concurrency_limit.latency_inflation, 2),
                 ill=sum(engine.is_ejected for engine in gateway.fleet.ready),
                 cold=sum(engine.warmup_remaining(now, cold_time) > 0.0 for engine in gateway.fleet.ready),
                 ready=len(gateway.fleet.ready),
-                threads=round(gateway.own.threads, 1),
-                limit=round(min(gateway.pressure.limit, 1e6), 1),
+                threads=round(gateway.in_flight.threads, 1),
+                limit=round(min(gateway.concurrency_limit.limit, 1e6), 1),
             )
             self._lag = 0.0
         self._reports = self._loop.call_later(LAG_STEP, self._watch_lag)
--- a/saffronlane/policy/estimation/load_reports.py
+++ b/saffronlane/policy/estimation/load_reports.py
@@ -3,15 +3,15 @@
 import math
 
 from ...state import Engine, EngineRegistry, Request, StepContext
-from .workload_estimates import Classes
+from .workload_estimates import WorkloadEstimates
 
 PROBED, PROBE_GAP, PROBE_WAIT = 3, 0.1, 0.025  # engines asked, if not asked so lately; seconds for their word
 PROBE_PRICE = 0.02  # points of service for a probe a query up to which asking for heavy queries pays
 REPORT_MOST, REPORT_MEMORY = 100.0, 15.0  # threads a core, more is absurd; seconds until it says little
 
 
-class Reports:
-    def __init__(self, batch: StepContext, fleet: EngineRegistry, classes: Classes) -> None:
+class LoadReports:
+    def __init__(self, batch: StepContext, fleet: EngineRegistry, classes: WorkloadEstimates) -> None:
         self.batch, self.fleet, self.classes = batch, fleet, classes
         columns, limits = batch.settings.report_columns, batch.limits
         self.column = columns.index("active") if "active" in columns else None
@@ -19,9 +19,9 @@
             limits.load_probes and limits.load_probe_price <= PROBE_PRICE and self.column is not None
         )
 
-    def take(self, engine: Engine, report: tuple[float, ...]) -> float:
+    def record(self, engine: Engine, report: tuple[float, ...]) -> float:
         """Threads a core that an engine says it runs, by the usual threads of a query; 0: not told."""
-        column, learned = self.column, self.classes.learned
+        column, learned = self.column, self.classes.estimators
         if column is None or column >= len(report) or not 0.0 < report[column] < math.inf:
             return 0.0
         spans = [max(1, known.answer_count) * known.exec_time() for known in learned]
@@ -31,14 +31,14 @@
         )
         return engine.reported_threads_per_core
 
-    def of(self, engine: Engine) -> float:
+    def threads_per_core(self, engine: Engine) -> float:
         """Threads a core by the engine's last report, drawn to the fleet's mean as it ages."""
         fresh = math.exp(min(0.0, engine.reported_at - self.batch.now) / REPORT_MEMORY)
         return self.fleet.mean_reported_threads + fresh * (
             engine.reported_threads_per_core - self.fleet.mean_reported_threads
         )
 
-    def wanted(self, job: Request, engines: list[Engine]) -> list[Engine]:
+    def select_probe_targets(self, job: Request, engines: list[Engine]) -> list[Engine]:
         """Those of a heavy query's first engines to ask what they hold; it waits a moment for their word."""
         asked = [e for e in engines if max(e.last_probe_at, e.reported_at) < self.batch.now - PROBE_GAP]
         for engine in asked:
--- a/saffronlane/policy/estimation/run_time_estimator.py
+++ b/saffronlane/policy/estimation/run_time_estimator.py
@@ -11,7 +11,7 @@
 NEED_SEED, NEED_UP, NEED_DOWN = 1.25, 0.15, 0.02  # memory needed over told: a high quantile, a spill is dear
 
 
-class Learned(ClassStatistics):
+class RunTimeEstimator(ClassStatistics):
     """What the answers of one class have taught. Where no estimates are told, each counts as 1."""
 
     def __init__(self, cls: api.ClassSettings) -> None:
--- a/saffronlane/policy/estimation/workload_estimates.py
+++ b/saffronlane/policy/estimation/workload_estimates.py
@@ -2,35 +2,35 @@
 
 from ... import interface as api
 from ...state import Request
-from .run_time_estimator import NEED_SEED, Learned
+from .run_time_estimator import NEED_SEED, RunTimeEstimator
 
 HEAVY = 2.0  # a query of more than this x the mean work is told: each message costs all gateways time
 
 
-class Classes:
+class WorkloadEstimates:
     def __init__(self, settings: api.Settings) -> None:
         self.settings = settings
-        self.learned = [Learned(cls) for cls in settings.classes]
+        self.estimators = [RunTimeEstimator(cls) for cls in settings.classes]
 
     def exec_time(self, job: Request) -> float:
-        return self.learned[job.class_index].exec_time(job.estimated_cost)
+        return self.estimators[job.class_index].exec_time(job.estimated_cost)
 
     def work(self, job: Request) -> float:
         return max(
-            self.learned[job.class_index].work(), self.learned[job.class_index].work(job.estimated_cost)
+            self.estimators[job.class_index].work(), self.estimators[job.class_index].work(job.estimated_cost)
         )
 
-    def heavy(self, job: Request) -> bool:
-        return job.class_settings.is_bulk_load or 0.0 < HEAVY * self.usual()[0] < self.work(job)
+    def is_heavy(self, job: Request) -> bool:
+        return job.class_settings.is_bulk_load or 0.0 < HEAVY * self.mean_query()[0] < self.work(job)
 
-    def usual(self) -> tuple[float, float]:  # work and worth of the mean query
-        count = max(1, sum(k.answer_count for k in self.learned))
-        work = sum(k.answer_count * k.work() for k in self.learned) / count
-        return work, sum(k.answer_count * k.class_settings.priority_weight for k in self.learned) / count
+    def mean_query(self) -> tuple[float, float]:  # work and worth of the mean query
+        count = max(1, sum(k.answer_count for k in self.estimators))
+        work = sum(k.answer_count * k.work() for k in self.estimators) / count
+        return work, sum(k.answer_count * k.class_settings.priority_weight for k in self.estimators) / count
 
-    def terms(self, job: Request) -> tuple[float, int]:
+    def resource_grant(self, job: Request) -> tuple[float, int]:
         """Memory from learned need; priority by worth per second of work against the usual mix."""
-        known, settings = self.learned[job.class_index], self.settings
+        known, settings = self.estimators[job.class_index], self.settings
         grant = (
             (known.memory_requirement or NEED_SEED) * job.estimated_memory_mb
             if job.estimated_memory_mb
@@ -38,7 +38,7 @@
         )
         if settings.max_memory_grant:
             grant = min(grant, settings.max_memory_grant)
-        work, worth = self.usual()
+        work, worth = self.mean_query()
         if not settings.priorities_enabled or not work or not worth:
             return grant, 1
         density = (
--- a/saffronlane/policy/execution/attempts.py
+++ b/saffronlane/policy/execution/attempts.py
@@ -3,24 +3,24 @@
 from ... import interface as api
 from ...interface import Outcome
 from ...state import Attempt, Engine, Request, clamp
-from ..gossip.load_gossip import Telling
-from ..routing.engine_selection import HORIZON, Placement
+from ..gossip.load_gossip import LoadGossip
+from ..routing.engine_selection import HORIZON, EngineSelector
 from ..scheduling.concurrency_limit import PRESSED
-from .completion import END_MARGIN, Answers
+from .completion import END_MARGIN, RequestCompletion
 
 SILENT_NOTES = 1.1  # note periods without a word, and up to one more of calm run, until an attempt is lost
 OVERDUE, SILENT_FLOOR = 5.0, 0.5  # without notes: this x its ExecTime, and at least this many seconds
 
 
-class Attempts:
-    def __init__(self, answers: Answers, placement: Placement, telling: Telling) -> None:
-        self.batch, self.own, self.classes = answers.batch, placement.own, answers.classes
+class AttemptManager:
+    def __init__(self, answers: RequestCompletion, placement: EngineSelector, telling: LoadGossip) -> None:
+        self.batch, self.own, self.classes = answers.batch, placement.in_flight, answers.classes
         self.answers, self.placement, self.telling = answers, placement, telling
-        self.health = placement.rooms.health
+        self.health = placement.eligibility.health
 
     def send(self, job: Request, engine: Engine) -> None:
         batch, now, settings = self.batch, self.batch.now, self.batch.settings
-        grant, priority = self.classes.terms(job)
+        grant, priority = self.classes.resource_grant(job)
         if settings.memory_grants_enabled or settings.priorities_enabled:
             batch.emit(
                 api.SetResourceGrant(job.id, grant if settings.memory_grants_enabled else 0.0, priority)
@@ -36,9 +36,9 @@
             last_progress_at=now,
         )
         if attempt.index:
-            self.answers.permits.ration.retries.append(now)
+            self.answers.retry_policy.budget.retries.append(now)
         self.health.sent(engine)
-        self.answers.let_go(job)
+        self.answers.dequeue(job)
         self.own.add(attempt, self.classes.work(job), HORIZON, batch.guarantees.slow_start_duration)
         batch.schedule(now + self.patience(job), attempt)
         batch.emit(api.Dispatch(job.id, engine.id, max(1e-3, job.expires_at - END_MARGIN - now)))
@@ -47,7 +47,7 @@
     def patience(self, job: Request) -> float:
         if period := self.batch.settings.progress_interval:
             return SILENT_NOTES * period + min(
-                period, self.classes.learned[job.class_index].calm_time(job.estimated_cost)
+                period, self.classes.estimators[job.class_index].calm_time(job.estimated_cost)
             )
         copies = self.batch.limits.hedged_requests
         return max(SILENT_FLOOR, OVERDUE * self.classes.exec_time(job)) * (1.0 if copies else 2.0)
@@ -60,24 +60,24 @@
         job, engine = attempt.request, attempt.engine
         self.telling.ended(attempt)
         if outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED):
-            answers.owed.ordering.start_cooldown(
+            answers.pending.ordering.start_cooldown(
                 job, self.batch.now + self.batch.guarantees.ordering_cooldown
             )
         if outcome is Outcome.NOT_SENT and attempt.index:
-            answers.permits.ration.forget_unsent(attempt.sent_at)
+            answers.retry_policy.budget.forget_unsent(attempt.sent_at)
         self.health.ended(attempt, outcome)
-        self.health.blame(attempt, last=answers.permits.expired(job))
+        self.health.blame(attempt, last=answers.retry_policy.is_exhausted(job))
         self.learn(attempt, event)
         if outcome in (Outcome.REJECTED, Outcome.TIMEOUT):
-            self.placement.pressure.feel(PRESSED * 2.0)
+            self.placement.concurrency_limit.record_latency_inflation(PRESSED * 2.0)
             if outcome is Outcome.REJECTED:
                 self.telling.rejected(engine)
             engine.last_rejection_at = self.batch.now
         if job.is_ended:
-            answers.owed.ordering.release(job)
+            answers.pending.ordering.release(job)
         elif event.is_final or outcome is Outcome.OK:
             if outcome is Outcome.OK:
-                answers.permits.ration.record_served(
+                answers.retry_policy.budget.record_served(
                     job.arrived_at, self.batch.now - self.batch.guarantees.retry_budget_window
                 )
             answers.finish(job, answer=False)
@@ -87,13 +87,15 @@
     def learn(self, attempt: Attempt, event: api.AttemptEnded) -> None:
         job, placement = attempt.request, self.placement
         threads, known = (
-            placement.reports.take(attempt.engine, event.load_report),
-            self.classes.learned[job.class_index],
+            placement.load_reports.record(attempt.engine, event.load_report),
+            self.classes.estimators[job.class_index],
         )
         if event.outcome is Outcome.OK:
             elapsed, work = clamp(event.elapsed, 1e-4, 1e4), clamp(event.work)
             crowd = known.answered(self.batch.now, job, elapsed, work, clamp(event.memory_mb), threads)
-            placement.pressure.answered(attempt.engine, crowd, 0.0 if event.work > 0.0 else threads)
+            placement.concurrency_limit.record_response(
+                attempt.engine, crowd, 0.0 if event.work > 0.0 else threads
+            )
         elif not self.batch.settings.reports_work and event.outcome in (Outcome.CANCELLED, Outcome.TIMEOUT):
             known.cut_short(job, clamp(event.elapsed))
 
@@ -102,8 +104,8 @@
         job, answers = attempt.request, self.answers
         if attempt.outcome is not Outcome.CANCELLED and attempt.engine.id not in job.failed_engines:
             job.failed_engines.append(attempt.engine.id)
-        if answers.permits.expired(job) or job.is_streaming:
+        if answers.retry_policy.is_exhausted(job) or job.is_streaming:
             answers.finish(job)
         else:
             job.deadline = max(job.deadline, answers.deadline(job))
-            answers.owed.queued[job.id] = job
+            answers.pending.queued[job.id] = job
--- a/saffronlane/policy/execution/completion.py
+++ b/saffronlane/policy/execution/completion.py
@@ -5,25 +5,25 @@
 from ... import interface as api
 from ...interface import DeduplicationScope, Idempotency
 from ...state import Attempt, EngineRegistry, PendingRequests, Request, StepContext
-from ..estimation.workload_estimates import Classes
-from ..scheduling.retry_budget import Permits
+from ..estimation.workload_estimates import WorkloadEstimates
+from ..scheduling.retry_budget import RetryPolicy
 
 MULTIPLIER = 10.0  # deadline = arrival + this x ExecTime; the paper's value
 END_MARGIN = 0.03  # seconds before a client's time ends: what leaves must arrive
 
 
-class Answers:
-    def __init__(self, batch: StepContext, fleet: EngineRegistry, classes: Classes) -> None:
+class RequestCompletion:
+    def __init__(self, batch: StepContext, fleet: EngineRegistry, classes: WorkloadEstimates) -> None:
         self.batch, self.fleet, self.classes = batch, fleet, classes
-        self.permits, self.owed = Permits(batch), PendingRequests()
+        self.retry_policy, self.pending = RetryPolicy(batch), PendingRequests()
         self.backlog: float | None = None  # thread seconds held, summed once a batch: refusals are many
 
     def deadline(self, job: Request) -> float:
         return self.batch.now + MULTIPLIER * self.classes.exec_time(job)
 
-    def owe(self, job: Request) -> None:
+    def add_pending(self, job: Request) -> None:
         job.deadline = self.deadline(job)
-        self.owed.add(job)
+        self.pending.add(job)
         self.batch.schedule(job.expires_at - END_MARGIN, job)
 
     def finish(self, job: Request, answer: bool = True) -> None:
@@ -31,29 +31,29 @@
         if job.is_ended:
             return
         job.is_ended = True
-        self.owed.requests.pop(job.id, None)
-        self.let_go(job)
+        self.pending.requests.pop(job.id, None)
+        self.dequeue(job)
         if answer:
             alone = (
                 job.class_settings.idempotency is not Idempotency.SAFE
                 and job.class_settings.deduplication_scope is not DeduplicationScope.ALL
             )
-            refused = self.permits.open(job) and not (alone and job.first_possible_execution())
+            refused = self.retry_policy.is_retry_safe(job) and not (alone and job.first_possible_execution())
             self.batch.emit(api.Reject(job.id, self.retry_after(job)) if refused else api.Fail(job.id))
         for attempt in job.attempts:
             if attempt.outcome is None:
                 self.cancel(attempt)
-        self.owed.ordering.release(job)
+        self.pending.ordering.release(job)
 
-    def let_go(self, job: Request) -> None:
-        if self.owed.queued.pop(job.id, None) and self.backlog is not None:
+    def dequeue(self, job: Request) -> None:
+        if self.pending.queued.pop(job.id, None) and self.backlog is not None:
             self.backlog -= self.classes.exec_time(job) * job.class_settings.threads
 
     def retry_after(self, job: Request) -> float:
         """The time in which the work held here would drain, within what clients honour; 0 where none do."""
         exec_time, limits, cores = self.classes.exec_time, self.batch.limits, self.fleet.ready_cores
         if self.backlog is None:
-            self.backlog = sum(exec_time(j) * j.class_settings.threads for j in self.owed.queued.values())
+            self.backlog = sum(exec_time(j) * j.class_settings.threads for j in self.pending.queued.values())
         wait = max(0.0, self.backlog) * self.batch.settings.gateway_count / cores if cores else math.inf
         return min(limits.max_retry_after if limits.sends_retry_after else 0.0, max(wait, exec_time(job)))
 
--- a/saffronlane/policy/execution/hedging.py
+++ b/saffronlane/policy/execution/hedging.py
@@ -4,16 +4,16 @@
 from ...interface import Idempotency, ProgressKind
 from ...state import Attempt, clamp
 from ..scheduling.concurrency_limit import PRESSED
-from .attempts import Attempts
+from .attempts import AttemptManager
 
 BEHIND = 4.0  # cancel when the remainder would take this x a fresh run: far outside the usual scatter
 HOPELESS = 1.5  # progress is rough: give up only if the remainder is this x the time that is left
 
 
-class Repeating:
-    def __init__(self, attempts: Attempts) -> None:
+class HedgingAndRetry:
+    def __init__(self, attempts: AttemptManager) -> None:
         self.batch, self.attempts, self.answers = attempts.batch, attempts, attempts.answers
-        self.permits, self.pressure = attempts.answers.permits, attempts.placement.pressure
+        self.permits, self.pressure = attempts.answers.retry_policy, attempts.placement.concurrency_limit
 
     def look_after(self, attempt: Attempt) -> None:
         """Try elsewhere what has no word for long: lost answers, hangs, cut links, unseen deaths.
@@ -31,14 +31,14 @@
         unheard = noted and engine.last_response_at < attempt.sent_at and not engine.is_ejected
         if unheard and self.attempts.health.unheard(engine):
             for other in engine.in_flight.values():  # what has had no word there will hardly get one
-                if other.last_progress_at <= other.sent_at and self.permits.repeat(other.request):
+                if other.last_progress_at <= other.sent_at and self.permits.can_retry(other.request):
                     self.answers.cancel(other)
-        if not self.permits.repeat(job) or now + self.answers.classes.exec_time(job) > job.expires_at:
+        if not self.permits.can_retry(job) or now + self.answers.classes.exec_time(job) > job.expires_at:
             return
         if noted or not self.batch.limits.hedged_requests:
             self.answers.cancel(attempt)
-        elif self.pressure.crowd < PRESSED and job.in_flight_count < 2:
-            self.answers.owed.queued[job.id] = job
+        elif self.pressure.latency_inflation < PRESSED and job.in_flight_count < 2:
+            self.answers.pending.queued[job.id] = job
 
     def on_note(self, event: api.ProgressReport) -> None:
         attempt = self.attempts.own.attempts.get((event.request, event.attempt))
@@ -54,9 +54,9 @@
         """It waits, for memory or a load: try elsewhere. Harmful if its place is far up: once an engine."""
         job, engine = attempt.request, attempt.engine
         engine.last_rejection_at = self.batch.now
-        if not attempt.is_cancelled and self.permits.repeat(job):
+        if not attempt.is_cancelled and self.permits.can_retry(job):
             job.failed_engines.append(engine.id)
-            if next(self.attempts.placement.rooms.usable(job, strict=True), None) is not None:
+            if next(self.attempts.placement.eligibility.usable(job, strict=True), None) is not None:
                 self.answers.cancel(attempt)
 
     def check_plan(self, attempt: Attempt, done: float) -> None:
@@ -70,8 +70,8 @@
         if attempt.is_cancelled or job.is_ended or job.is_streaming or remainder <= BEHIND * fresh:
             return
         hopeless = remainder > HOPELESS * (job.expires_at - now)
-        if not job.was_restarted and self.permits.repeat(job) and now + fresh < job.expires_at:
+        if not job.was_restarted and self.permits.can_retry(job) and now + fresh < job.expires_at:
             job.was_restarted = True
             self.answers.cancel(attempt)
-        elif job.class_settings.idempotency is Idempotency.SAFE and (self.pressure.blocked or hopeless):
+        elif job.class_settings.idempotency is Idempotency.SAFE and (self.pressure.is_blocked or hopeless):
             self.answers.finish(job)
--- a/saffronlane/policy/gateway.py
+++ b/saffronlane/policy/gateway.py
@@ -10,16 +10,16 @@
 
 from .. import interface as api
 from ..state import Attempt, EngineRegistry, GossipExpiry, StepContext
-from .estimation.load_reports import Reports
-from .estimation.workload_estimates import Classes
-from .execution.attempts import Attempts
-from .execution.completion import Answers
-from .execution.hedging import Repeating
-from .gossip.load_gossip import Telling
-from .health.outlier_detection import Health
-from .routing.engine_selection import Placement
-from .scheduling.admission import Arrivals
-from .scheduling.group_edf import Release
+from .estimation.load_reports import LoadReports
+from .estimation.workload_estimates import WorkloadEstimates
+from .execution.attempts import AttemptManager
+from .execution.completion import RequestCompletion
+from .execution.hedging import HedgingAndRetry
+from .gossip.load_gossip import LoadGossip
+from .health.outlier_detection import OutlierDetector
+from .routing.engine_selection import EngineSelector
+from .scheduling.admission import AdmissionController
+from .scheduling.group_edf import GroupEdfScheduler
 
 HOUSEKEEPING = 0.15  # seconds between wakes while queries are held or the list is to be asked for
 ASK_GAP = 0.5  # seconds before a failed subscription is tried again: the list service may be overloaded
@@ -31,76 +31,94 @@
     """The decisions of one gateway. Feed `step` every batch of events; carry out what it returns."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        batch, fleet = StepContext(settings, seed), EngineRegistry(settings.machine_types)
-        self.batch, self.fleet, self.classes = batch, fleet, Classes(settings)
-        self.reports, self.health = Reports(batch, fleet, self.classes), Health(batch, fleet, self.classes)
-        self.telling = Telling(batch, fleet, self.classes)
-        self.placement = Placement(self.reports, self.health, self.telling.board)
-        self.own, self.pressure = self.placement.own, self.placement.pressure
-        self.answers = Answers(batch, fleet, self.classes)
-        self.attempts, self.owed = Attempts(self.answers, self.placement, self.telling), self.answers.owed
-        self.release, self.repeating = Release(self.attempts), Repeating(self.attempts)
-        arrivals = Arrivals(self.answers, self.placement)
+        step_context, engine_registry = StepContext(settings, seed), EngineRegistry(settings.machine_types)
+        self.batch, self.fleet, self.workload_estimates = (
+            step_context,
+            engine_registry,
+            WorkloadEstimates(settings),
+        )
+        self.load_reports, self.outlier_detector = (
+            LoadReports(step_context, engine_registry, self.workload_estimates),
+            OutlierDetector(step_context, engine_registry, self.workload_estimates),
+        )
+        self.load_gossip = LoadGossip(step_context, engine_registry, self.workload_estimates)
+        self.engine_selector = EngineSelector(
+            self.load_reports, self.outlier_detector, self.load_gossip.peer_load
+        )
+        self.in_flight, self.concurrency_limit = (
+            self.engine_selector.in_flight,
+            self.engine_selector.concurrency_limit,
+        )
+        self.completion = RequestCompletion(step_context, engine_registry, self.workload_estimates)
+        self.attempt_manager, self.pending = (
+            AttemptManager(self.completion, self.engine_selector, self.load_gossip),
+            self.completion.pending,
+        )
+        self.scheduler, self.hedging = (
+            GroupEdfScheduler(self.attempt_manager),
+            HedgingAndRetry(self.attempt_manager),
+        )
+        arrivals = AdmissionController(self.completion, self.engine_selector)
         self.handlers: dict[type, Callable[[Any], None]] = {
             api.EndpointListUpdate: self.on_list,
             api.Arrival: arrivals.on_arrival,
-            api.ProgressReport: self.repeating.on_note,
-            api.AttemptEnded: self.attempts.on_ended,
-            api.PeerMessage: self.telling.on_peer,
+            api.ProgressReport: self.hedging.on_note,
+            api.AttemptEnded: self.attempt_manager.on_ended,
+            api.PeerMessage: self.load_gossip.on_peer,
             api.StreamStarted: self.on_stream,
             api.ClientDisconnected: self.on_gone,
             api.TimerFired: self.on_timer,
             api.ProbeResult: arrivals.on_probe,
             api.Shutdown: self.on_stop,
         }
-        self.asked, self.next_ask, self.wake = False, -math.inf, -math.inf
+        self.is_subscribed, self.next_subscribe_at, self.next_maintenance_at = False, -math.inf, -math.inf
 
     def on_list(self, event: api.EndpointListUpdate) -> None:
         if event.mode is api.EndpointListMode.FAILED:
-            self.asked, self.next_ask = False, self.batch.now + ASK_GAP
+            self.is_subscribed, self.next_subscribe_at = False, self.batch.now + ASK_GAP
             return
         self.fleet.apply(event, self.batch.now, self.batch.guarantees.slow_start_duration, GONE_MOST)
-        self.placement.rooms.order.known.clear()
-        self.health.trust()
+        self.engine_selector.eligibility.rendezvous_order.cached_orders.clear()
+        self.outlier_detector.update_panic_mode()
 
     def on_timer(self, event: api.TimerFired) -> None:
         whom = self.batch.timers.pop(event.token, None)
         if isinstance(whom, Attempt):
-            self.repeating.look_after(whom)
+            self.hedging.look_after(whom)
         elif isinstance(whom, GossipExpiry):
-            self.telling.overdue(whom.attempt)
+            self.load_gossip.overdue(whom.attempt)
         elif whom is not None and not whom.is_streaming:
-            self.answers.finish(whom)
+            self.completion.finish(whom)
 
     def on_gone(self, event: api.ClientDisconnected) -> None:
-        if event.request in self.owed.requests:
-            self.answers.finish(self.owed.requests[event.request], answer=False)
+        if event.request in self.pending.requests:
+            self.completion.finish(self.pending.requests[event.request], answer=False)
 
     def on_stop(self, event: api.Shutdown) -> None:
-        for job in list(self.owed.requests.values()):
-            self.answers.finish(job)
+        for job in list(self.pending.requests.values()):
+            self.completion.finish(job)
 
     def on_stream(self, event: api.StreamStarted) -> None:
-        if event.request in self.owed.requests:
-            self.owed.requests[event.request].is_streaming = True
+        if event.request in self.pending.requests:
+            self.pending.requests[event.request].is_streaming = True
 
     def keep_house(self) -> None:
-        now, asking = self.batch.now, self.batch.settings.subscribes_to_endpoints and not self.asked
-        if asking and now >= self.next_ask:
-            self.asked, asking = True, False
+        now, asking = self.batch.now, self.batch.settings.subscribes_to_endpoints and not self.is_subscribed
+        if asking and now >= self.next_subscribe_at:
+            self.is_subscribed, asking = True, False
             self.batch.emit(api.Subscribe(True))
-        if (self.owed.queued or asking) and self.wake <= now:
-            self.wake = now + HOUSEKEEPING
-            self.batch.schedule(self.wake, None)
+        if (self.pending.queued or asking) and self.next_maintenance_at <= now:
+            self.next_maintenance_at = now + HOUSEKEEPING
+            self.batch.schedule(self.next_maintenance_at, None)
 
     def step(self, now: float, events: list[api.Event]) -> list[api.Action]:
         """Take in a whole batch, then release once, so that queries arriving together compete by deadline."""
         self.batch.begin(now)
-        self.answers.backlog = None
+        self.completion.backlog = None
         for event in events:
             if handler := self.handlers.get(type(event)):
                 handler(event)
-        if self.owed.queued and any(type(event) not in NEWS for event in events):
-            self.release.release()
+        if self.pending.queued and any(type(event) not in NEWS for event in events):
+            self.scheduler.release()
         self.keep_house()
         return self.batch.actions
--- a/saffronlane/policy/gossip/load_gossip.py
+++ b/saffronlane/policy/gossip/load_gossip.py
@@ -3,7 +3,7 @@
 from ... import gossip_messages as messages
 from ... import interface as api
 from ...state import Attempt, Engine, EngineRegistry, GossipExpiry, PeerLoadTable, StepContext
-from ..estimation.workload_estimates import HEAVY, Classes
+from ..estimation.workload_estimates import HEAVY, WorkloadEstimates
 from ..routing.eligibility import FULL_MEMORY
 
 TOLD_MANY = 512  # told queries open at once past which the bar rises: each message costs all gateways time
@@ -11,20 +11,20 @@
 SENDERS_MOST = 2  # senders up to this x the gateway count are known: it may be a little out of date
 
 
-class Telling:
-    def __init__(self, batch: StepContext, fleet: EngineRegistry, classes: Classes) -> None:
+class LoadGossip:
+    def __init__(self, batch: StepContext, fleet: EngineRegistry, classes: WorkloadEstimates) -> None:
         self.batch, self.fleet, self.classes = batch, fleet, classes
-        self.board, self.number = PeerLoadTable(), 0
+        self.peer_load, self.number = PeerLoadTable(), 0
 
     def say(self, message: messages.GossipMessage) -> None:
         self.batch.emit(api.SendGossip(None, messages.encode(message)))
 
     def started(self, attempt: Attempt) -> None:
         job, classes, work = attempt.request, self.classes, self.classes.work(attempt.request)
-        bar = len(self.board.entries) / TOLD_MANY * HEAVY * classes.usual()[0]
+        bar = len(self.peer_load.entries) / TOLD_MANY * HEAVY * classes.mean_query()[0]
         if (
             self.batch.limits.gossip
-            and classes.heavy(job)
+            and classes.is_heavy(job)
             and (work >= bar or job.class_settings.is_bulk_load)
         ):
             self.number = attempt.gossip_number = (self.number + 1) % 256
@@ -33,7 +33,7 @@
                 TOLD_PATIENCE
                 * work
                 / job.class_settings.threads
-                * classes.learned[job.class_index].baseline_inflation,
+                * classes.estimators[job.class_index].baseline_inflation,
             )
 
     def tell(self, attempt: Attempt, span: float) -> None:
@@ -80,6 +80,6 @@
                     engine.last_rejection_at, batch.now + batch.random.random() * FULL_MEMORY
                 )
             return
-        self.board.remove((sender, message.number))  # ended, or the sender counts anew after a restart
+        self.peer_load.remove((sender, message.number))  # ended, or the sender counts anew after a restart
         if message.duration and engine is not None and sender != batch.settings.gateway_index:
-            self.board.add((sender, message.number), batch.now + message.duration, engine, message)
+            self.peer_load.add((sender, message.number), batch.now + message.duration, engine, message)
--- a/saffronlane/policy/health/outlier_detection.py
+++ b/saffronlane/policy/health/outlier_detection.py
@@ -5,7 +5,7 @@
 from ... import interface as api
 from ...interface import Idempotency, Outcome
 from ...state import Attempt, Engine, EngineRegistry, Request, StepContext
-from ..estimation.workload_estimates import Classes
+from ..estimation.workload_estimates import WorkloadEstimates
 
 FAIL_STEP, HARD_FAIL_STEP = 0.2, 0.4  # least weight of an outcome; of a break or silence: two condemn
 FAIL_MEMORY = 10.0  # seconds after which what was known of an engine weighs little against a new outcome
@@ -17,16 +17,16 @@
 SURVIVED = 0.1  # seconds after a break at which an answer to earlier work is no longer one still on its way
 
 
-class Health:
-    def __init__(self, batch: StepContext, fleet: EngineRegistry, classes: Classes) -> None:
+class OutlierDetector:
+    def __init__(self, batch: StepContext, fleet: EngineRegistry, classes: WorkloadEstimates) -> None:
         self.batch, self.fleet, self.classes = batch, fleet, classes
         safe = [i for i, cls in enumerate(batch.settings.classes) if cls.idempotency is Idempotency.SAFE]
         self.trial_classes = safe or list(range(len(batch.settings.classes)))  # may try an ill engine
-        self.trial_credit, self.distrust = TRIAL_CREDIT, False
+        self.trial_credit, self.is_panic_mode = TRIAL_CREDIT, False
 
     def admits(self, engine: Engine, job: Request) -> bool:
         """An ill engine gets one short query at a time as a trial; distrusted verdicts bind nobody."""
-        if not engine.is_ejected or (self.distrust and not engine.is_unresponsive):
+        if not engine.is_ejected or (self.is_panic_mode and not engine.is_unresponsive):
             return True
         if (
             engine.in_flight
@@ -34,7 +34,7 @@
             or job.class_index not in self.trial_classes
         ):
             return False
-        learned = self.classes.learned
+        learned = self.classes.estimators
         short = self.classes.exec_time(job) <= 2.0 * min(learned[i].exec_time() for i in self.trial_classes)
         return short and self.trial_credit >= 1.0 and not job.attempts
 
@@ -70,7 +70,7 @@
         elif engine.is_ejected and outcome is Outcome.OK and engine.failure_ratio < WELL:
             engine.is_ejected, engine.is_unresponsive, engine.probe_request_interval = False, False, TRIAL_GAP
             self.batch.emit(api.Log(f"engine {engine.id.hex()} answers again, back in use"))
-            self.trust()
+            self.update_panic_mode()
         elif engine.is_ejected and outcome not in (Outcome.OK, Outcome.CANCELLED, Outcome.NOT_SENT):
             engine.probe_request_interval = min(engine.probe_request_interval * 2.0, TRIAL_GAP_MOST)
             self.put_off_trial(engine)
@@ -106,16 +106,18 @@
         engine.probe_request_interval = TRIAL_GAP
         self.put_off_trial(engine)
         self.batch.emit(api.Log(f"engine {engine.id.hex()} {why}, left alone but for trials"))
-        self.trust()
+        self.update_panic_mode()
 
     def put_off_trial(self, engine: Engine) -> None:
         engine.next_probe_request_at = (
             self.batch.now + engine.probe_request_interval * self.batch.random.uniform(0.8, 1.2)
         )
 
-    def trust(self) -> None:
-        before, ready = self.distrust, self.fleet.ready
-        self.distrust = sum(e.is_ejected and not e.is_unresponsive for e in ready) > ILL_SHARE * len(ready)
-        if self.distrust != before:
-            text = "most engines look ill, verdicts ignored" if self.distrust else "verdicts hold again"
+    def update_panic_mode(self) -> None:
+        before, ready = self.is_panic_mode, self.fleet.ready
+        self.is_panic_mode = sum(e.is_ejected and not e.is_unresponsive for e in ready) > ILL_SHARE * len(
+            ready
+        )
+        if self.is_panic_mode != before:
+            text = "most engines look ill, verdicts ignored" if self.is_panic_mode else "verdicts hold again"
             self.batch.emit(api.Log(text))
--- a/saffronlane/policy/routing/eligibility.py
+++ b/saffronlane/policy/routing/eligibility.py
@@ -4,20 +4,22 @@
 
 from ...interface import DeduplicationScope, Idempotency
 from ...state import Engine, Request
-from ..estimation.workload_estimates import Classes
-from ..health.outlier_detection import Health
-from ..scheduling.concurrency_limit import Pressure
-from .rendezvous import Order
-from .slow_start import cold_room
+from ..estimation.workload_estimates import WorkloadEstimates
+from ..health.outlier_detection import OutlierDetector
+from ..scheduling.concurrency_limit import AdaptiveConcurrencyLimit
+from .rendezvous import RendezvousOrder
+from .slow_start import has_slow_start_capacity
 
 FULL_MEMORY = 1.0  # seconds that an engine where a query had to wait is left out
 TOLD_MEMORY = 0.85  # of an engine's memory that own and told grants may fill; the rest is for untold queries
 
 
-class Rooms:
-    def __init__(self, classes: Classes, health: Health, pressure: Pressure) -> None:
+class EngineEligibility:
+    def __init__(
+        self, classes: WorkloadEstimates, health: OutlierDetector, pressure: AdaptiveConcurrencyLimit
+    ) -> None:
         self.batch, self.classes, self.health, self.pressure = health.batch, classes, health, pressure
-        self.order = Order(health.batch, health.fleet)
+        self.rendezvous_order = RendezvousOrder(health.batch, health.fleet)
 
     def allowed(self, engine: Engine, job: Request) -> bool:
         """Rules 2 and 6: where this request may go at all."""
@@ -51,7 +53,7 @@
                 min(need, room / 2.0) if told else need
             ) > room - engine.in_flight_memory_mb - engine.peer_memory_mb:
                 return False
-        return cold_room(batch, self.classes, engine, job)
+        return has_slow_start_capacity(batch, self.classes, engine, job)
 
     def usable(self, job: Request, strict: bool, among: list[Engine] | None = None) -> Iterator[Engine]:
         """Engines in hash order that may be used; strict passes over those that had better be left out."""
@@ -60,8 +62,10 @@
             job.class_settings.is_bulk_load or job.class_settings.waits_for_bulk_loads,
             self.batch.settings.gateway_index + 1,
         )
-        heavy, need = self.classes.heavy(job), self.classes.terms(job)[0]
-        for engine in among or self.order(job.table_group, salt if job.class_settings.is_bulk_load else 0):
+        heavy, need = self.classes.is_heavy(job), self.classes.resource_grant(job)[0]
+        for engine in among or self.rendezvous_order(
+            job.table_group, salt if job.class_settings.is_bulk_load else 0
+        ):
             if strict and (
                 engine.last_rejection_at > self.batch.now - FULL_MEMORY or engine.id in job.failed_engines
             ):
--- a/saffronlane/policy/routing/engine_selection.py
+++ b/saffronlane/policy/routing/engine_selection.py
@@ -1,40 +1,50 @@
 """The choice among engines that have room."""
 
 from ...state import Engine, InFlightWork, PeerLoadTable, Request
-from ..estimation.load_reports import Reports
-from ..health.outlier_detection import Health
-from ..scheduling.concurrency_limit import Pressure
-from .eligibility import Rooms
+from ..estimation.load_reports import LoadReports
+from ..health.outlier_detection import OutlierDetector
+from ..scheduling.concurrency_limit import AdaptiveConcurrencyLimit
+from .eligibility import EngineEligibility
 
 SPILL = 1.25  # an engine over this x mean load plus one query is passed by; the design's start value
 HORIZON = 10.0  # seconds that own sent work counts as load: where few queries are out, those tell nothing
 
 
-class Placement:
-    def __init__(self, reports: Reports, health: Health, told: PeerLoadTable) -> None:
-        self.reports, self.batch, self.fleet, self.told = reports, reports.batch, reports.fleet, told
-        self.own = InFlightWork(len(self.batch.settings.classes))
-        self.pressure = Pressure(self.own, reports)
-        self.rooms = Rooms(reports.classes, health, self.pressure)
+class EngineSelector:
+    def __init__(self, reports: LoadReports, health: OutlierDetector, told: PeerLoadTable) -> None:
+        self.load_reports, self.batch, self.fleet, self.peer_load = (
+            reports,
+            reports.batch,
+            reports.fleet,
+            told,
+        )
+        self.in_flight = InFlightWork(len(self.batch.settings.classes))
+        self.concurrency_limit = AdaptiveConcurrencyLimit(self.in_flight, reports)
+        self.eligibility = EngineEligibility(reports.classes, health, self.concurrency_limit)
 
     def load(self, engine: Engine) -> float:
         """Threads per core: own ones that are out or were lately kept busy, others' as told or reported."""
         own = engine.in_flight_threads + engine.recent_work.read(self.batch.now, HORIZON)
-        load = own + engine.peer_threads + self.reports.of(engine) * engine.cores
+        load = own + engine.peer_threads + self.load_reports.threads_per_core(engine) * engine.cores
         load /= engine.effective_cores(self.batch.now, self.batch.guarantees)
-        away = self.rooms.order.crossing_costs and engine.zone != self.batch.settings.zone
+        away = self.eligibility.rendezvous_order.crossing_costs and engine.zone != self.batch.settings.zone
         return load * SPILL if away else load
 
-    def place(self, job: Request) -> Engine | None:
+    def select(self, job: Request) -> Engine | None:
         """The less loaded of the first two in hash order, moving on past SPILL; None: all are full."""
-        now, rules, fleet, usable = self.batch.now, self.batch.guarantees, self.fleet, self.rooms.usable
-        if not fleet.ready_cores or not self.pressure.admits(job):
+        now, rules, fleet, usable = self.batch.now, self.batch.guarantees, self.fleet, self.eligibility.usable
+        if not fleet.ready_cores or not self.concurrency_limit.admits(job):
             return None
-        threads, lately = self.own.threads + self.told.threads, self.own.recent_work.read(now, HORIZON)
+        threads, lately = (
+            self.in_flight.threads + self.peer_load.threads,
+            self.in_flight.recent_work.read(now, HORIZON),
+        )
         apart = (
             self.batch.settings.gateway_index + 1
         )  # turns are short; in one order, all would crowd its first
-        for engine in self.rooms.order(job.table_group, apart) if now < fleet.warmups_end_at else ():
+        for engine in (
+            self.eligibility.rendezvous_order(job.table_group, apart) if now < fleet.warmups_end_at else ()
+        ):
             if engine.is_warming_up(now, rules.slow_start_duration):
                 room = (
                     SPILL * engine.effective_cores(now, rules) / fleet.ready_cores * threads
@@ -43,7 +53,7 @@
                 spare = engine.in_flight_threads + engine.peer_threads <= room  # else it would jam
                 if spare and next(usable(job, True, [engine]), None):
                     return engine
-        query = self.rooms.classes.work(job) / HORIZON
+        query = self.eligibility.classes.work(job) / HORIZON
         for strict in (True, False):
             last = least = None
             for engine in usable(job, strict):
@@ -53,7 +63,7 @@
                     best.in_flight_threads + best.peer_threads <= part * threads + job.class_settings.threads
                 )
                 most = SPILL * fleet.mean_reported_threads + job.class_settings.threads / best.cores
-                spare = spare and self.reports.of(best) <= most
+                spare = spare and self.load_reports.threads_per_core(best) <= most
                 if last and spare and best.recent_work.read(now, HORIZON) <= part * lately + query:
                     return best
                 least = best if least is None else min(least, best, key=self.load)
--- a/saffronlane/policy/routing/rendezvous.py
+++ b/saffronlane/policy/routing/rendezvous.py
@@ -8,20 +8,20 @@
 ORDERS_MOST = 4096  # hash orders remembered: table groups come from clients, and are without number
 
 
-class Order:
+class RendezvousOrder:
     def __init__(self, batch: StepContext, fleet: EngineRegistry) -> None:
         self.batch, self.fleet = batch, fleet
-        self.known: dict[tuple[float, int], list[Engine]] = {}  # of ready engines
+        self.cached_orders: dict[tuple[float, int], list[Engine]] = {}  # of ready engines
         self.crossing_costs = batch.settings.cross_zone_price >= CROSSING
 
     def __call__(self, tables: float, salt: int = 0) -> list[Engine]:
-        order = self.known.get((tables, salt))
+        order = self.cached_orders.get((tables, salt))
         if order is None:
             name = repr((float(tables), salt)).encode()
             order = sorted(self.fleet.ready, key=lambda e: blake2b(name + e.id, digest_size=8).digest())
             if self.crossing_costs:  # of the first few, those of the own zone lead
                 order[:HOMES] = sorted(order[:HOMES], key=lambda e: e.zone != self.batch.settings.zone)
-            if len(self.known) >= ORDERS_MOST:
-                self.known.clear()
-            self.known[tables, salt] = order
+            if len(self.cached_orders) >= ORDERS_MOST:
+                self.cached_orders.clear()
+            self.cached_orders[tables, salt] = order
         return order
--- a/saffronlane/policy/routing/slow_start.py
+++ b/saffronlane/policy/routing/slow_start.py
@@ -1,7 +1,7 @@
 """Rule 4: what an engine that has just started can take."""
 
 from ...state import Engine, Request, StepContext
-from ..estimation.workload_estimates import Classes
+from ..estimation.workload_estimates import WorkloadEstimates
 
 BUSY = 0.85  # share of busy cores at which an engine does what it can
 COLD_MARGIN = 0.85  # use only this share of a cold engine's budget: a query's work is but estimated
@@ -9,7 +9,9 @@
 COLD_LARGEST = 0.33  # largest query for a cold engine, of its budget: all turns and one more fit
 
 
-def cold_room(batch: StepContext, classes: Classes, engine: Engine, job: Request) -> bool:
+def has_slow_start_capacity(
+    batch: StepContext, classes: WorkloadEstimates, engine: Engine, job: Request
+) -> bool:
     """Rule 4: our part of a cold engine's budget, which grows as it warms, whatever becomes of the work sent.
 
     Small ones count as the mean, whose number needs no margin: the budget is one of calls. Where a part is
@@ -19,7 +21,7 @@
     if not rules.slow_start_overload_factor or not engine.is_warming_up(now, rules.slow_start_duration):
         return True
     least, window, start = (
-        COLD_MARGIN * BUSY * classes.usual()[0],
+        COLD_MARGIN * BUSY * classes.mean_query()[0],
         rules.slow_start_overload_window,
         engine.warmup_started_at(now),
     )
--- a/saffronlane/policy/scheduling/admission.py
+++ b/saffronlane/policy/scheduling/admission.py
@@ -5,30 +5,32 @@
 from ... import interface as api
 from ...state import Request, TokenBucket
 from ..estimation.load_reports import PROBED
-from ..execution.completion import Answers
-from ..routing.engine_selection import Placement
+from ..execution.completion import RequestCompletion
+from ..routing.engine_selection import EngineSelector
 
 TENANT_SLACK, TENANT_DEPTH, TENANT_SPAN = 1.3, 3.0, 2.0  # fronts are uneven; queries, seconds of a burst
 
 
-class Arrivals:
-    def __init__(self, answers: Answers, placement: Placement) -> None:
+class AdmissionController:
+    def __init__(self, answers: RequestCompletion, placement: EngineSelector) -> None:
         self.batch, self.settings, self.answers = answers.batch, answers.batch.settings, answers
-        self.reports, self.rooms = placement.reports, placement.rooms
+        self.reports, self.rooms = placement.load_reports, placement.eligibility
         self.buckets = [TokenBucket() for _ in self.settings.tenants]
 
     def on_arrival(self, event: api.Arrival) -> None:
         answers, index = self.answers, min(event.class_index, len(self.settings.classes) - 1)
         job = Request(event, index, self.settings.classes[index], self.batch.now)
-        answers.classes.learned[index].estimate(job.estimated_cost, told=event.estimated_cost > 0.0)
+        answers.classes.estimators[index].estimate(job.estimated_cost, told=event.estimated_cost > 0.0)
         job.is_over_quota = self.over_allowance(event.tenant)
         if event.previous_attempt is not None:
             job.add_previous_attempt(event.previous_attempt, self.settings.machine_types)
-        answers.owe(job)
-        if job.previous_attempt_count and answers.permits.expired(job):
+        answers.add_pending(job)
+        if job.previous_attempt_count and answers.retry_policy.is_exhausted(job):
             answers.finish(job)
-        elif self.reports.probing and answers.classes.heavy(job):
-            for engine in self.reports.wanted(job, list(islice(self.rooms.usable(job, True), PROBED))):
+        elif self.reports.probing and answers.classes.is_heavy(job):
+            for engine in self.reports.select_probe_targets(
+                job, list(islice(self.rooms.usable(job, True), PROBED))
+            ):
                 self.batch.emit(api.ProbeLoad(engine.id))
             if job.probing_until > self.batch.now:
                 self.batch.schedule(job.probing_until, None)
@@ -44,6 +46,6 @@
     def on_probe(self, event: api.ProbeResult) -> None:
         engine = self.reports.fleet.engines.get(event.engine)
         if engine is not None and event.outcome is api.Outcome.OK:
-            self.reports.take(engine, event.load_report)
+            self.reports.record(engine, event.load_report)
         elif engine is not None and event.outcome is not api.Outcome.REJECTED:
             engine.last_rejection_at = self.batch.now
--- a/saffronlane/policy/scheduling/group_edf.py
+++ b/saffronlane/policy/scheduling/group_edf.py
@@ -4,7 +4,7 @@
 
 from ...state import Request
 from ..estimation.run_time_estimator import SEED_ANSWERS
-from ..execution.attempts import Attempts
+from ..execution.attempts import AttemptManager
 from ..execution.completion import END_MARGIN
 
 GROUP_RANGE = 0.4  # Gr: how far past the earliest deadline a group reaches, in spans; the paper's value
@@ -12,15 +12,15 @@
 LAPSE_GAP = 0.05  # seconds between looks for lapsed queries; every batch would cost too much when many wait
 
 
-class Release:
-    def __init__(self, attempts: Attempts) -> None:
+class GroupEdfScheduler:
+    def __init__(self, attempts: AttemptManager) -> None:
         self.attempts, self.batch, self.answers = attempts, attempts.batch, attempts.answers
-        self.placement, self.pressure = attempts.placement, attempts.placement.pressure
+        self.placement, self.pressure = attempts.placement, attempts.placement.concurrency_limit
         self.next_lapse = -math.inf
 
     def lapsed(self, job: Request) -> bool:
         """The design's refusal: now + ExecTime passes the query's, the class's or the client's limit."""
-        known, blocked = self.answers.classes.learned[job.class_index], self.pressure.blocked
+        known, blocked = self.answers.classes.estimators[job.class_index], self.pressure.is_blocked
         limit = (
             min(job.deadline, job.expires_at - END_MARGIN)
             if not (blocked and job.is_over_quota)
@@ -41,19 +41,19 @@
 
     def release(self) -> None:
         """Group EDF over the held queries, until none can be placed."""
-        now, owed, permits = self.batch.now, self.answers.owed, self.answers.permits
+        now, owed, permits = self.batch.now, self.answers.pending, self.answers.retry_policy
         if now >= self.next_lapse:
             self.next_lapse = now + LAPSE_GAP
-            for job in [j for j in owed.queued.values() if permits.expired(j) or self.lapsed(j)]:
+            for job in [j for j in owed.queued.values() if permits.is_exhausted(j) or self.lapsed(j)]:
                 if job.in_flight_count:  # a second copy that finds no room: the first may still answer
                     del owed.queued[job.id]
                 else:
                     self.answers.finish(job)
-        self.pressure.blocked = False
-        self.placement.told.expire(now)
+        self.pressure.is_blocked = False
+        self.placement.peer_load.expire(now)
         owed.ordering.expire_cooldowns(now)
         waiting = [j for j in owed.queued.values() if j.probing_until <= now + 1e-6]
-        waiting = [j for j in waiting if owed.ordering.is_next(j, now) and permits.extra(j)]
+        waiting = [j for j in waiting if owed.ordering.is_next(j, now) and permits.has_retry_budget(j)]
         waiting.sort(key=lambda j: (j.is_over_quota, j.deadline, j.id))
         while waiting:
             first = waiting[0]
@@ -61,14 +61,14 @@
             group = [j for j in waiting if j.is_over_quota == first.is_over_quota and j.deadline <= end]
             job = min(group, key=lambda j: (self.answers.classes.exec_time(j), j.deadline, j.id))
             waiting.remove(job)
-            engine = self.placement.place(job)
+            engine = self.placement.select(job)
             if engine is None:
-                self.pressure.blocked = True
+                self.pressure.is_blocked = True
                 # No room for others of its class: trying each costs too much; further tries go to no more.
                 waiting = [
                     j
                     for j in waiting
                     if j.class_index != job.class_index or (job.attempts and not j.attempts)
                 ]
-            elif permits.repeat(job):  # its key may have closed since the look for lapsed ones
+            elif permits.can_retry(job):  # its key may have closed since the look for lapsed ones
                 self.attempts.send(job, engine)
--- a/saffronlane/policy/scheduling/retry_budget.py
+++ b/saffronlane/policy/scheduling/retry_budget.py
@@ -6,19 +6,19 @@
 TTL_MARGIN = 0.25  # least seconds before a key's time ends: what leaves must arrive
 
 
-class Permits:
+class RetryPolicy:
     def __init__(self, batch: StepContext) -> None:
-        self.batch, self.rules, self.ration = batch, batch.guarantees, RetryBudgetWindow()
+        self.batch, self.rules, self.budget = batch, batch.guarantees, RetryBudgetWindow()
         self.slack = (
             batch.settings.min_step_interval + batch.limits.connect_timeout
         )  # until what is sent has left
 
-    def extra(self, job: Request) -> bool:
+    def has_retry_budget(self, job: Request) -> bool:
         """Rule 7: a sliding window over served requests and further attempts, checked at each of the latter.
 
         Only what was served widens it: all else may be no usual client's. What is free may be used already.
         """
-        rules, ration, now = self.rules, self.ration, self.batch.now
+        rules, ration, now = self.rules, self.budget, self.batch.now
         if len(job.attempts) <= job.previous_attempt_count or rules.retry_budget_base is None:
             return True
         taken = ration.served_arrivals.count_since(now - rules.retry_budget_window + self.slack)
@@ -30,7 +30,7 @@
         )
         return extras + 1 <= free + rules.retry_budget_ratio * taken
 
-    def open(self, job: Request) -> bool:
+    def is_retry_safe(self, job: Request) -> bool:
         """Rule 2: whether the request may go out again, as far as its earlier attempts are concerned."""
         first, arrives = (
             job.first_possible_execution(),
@@ -43,10 +43,10 @@
             and arrives <= first.sent_at + job.class_settings.idempotency_ttl
         )
 
-    def expired(self, job: Request) -> bool:
+    def is_exhausted(self, job: Request) -> bool:
         return len(job.attempts) - job.previous_attempt_count >= max(
             1, self.batch.limits.max_attempts
-        ) or not self.open(job)
+        ) or not self.is_retry_safe(job)
 
-    def repeat(self, job: Request) -> bool:
-        return not (job.is_ended or job.is_streaming or self.expired(job)) and self.extra(job)
+    def can_retry(self, job: Request) -> bool:
+        return not (job.is_ended or job.is_streaming or self.is_exhausted(job)) and self.has_retry_budget(job)
--- a/saffronlane/state_directory.py
+++ b/saffronlane/state_directory.py
@@ -17,7 +17,7 @@
 from .config import Config
 from .dispatch import Dispatcher
 from .errors import told
-from .learned_state import Memory, Moment, What
+from .learned_state import PersistedState, PurgeCategory, Timestamp
 from .learned_state import records as k
 from .storage import (
     Change,
@@ -68,10 +68,10 @@
         self._files: RealFiles | None = None
         self._writer: Writer | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self.on_forget: Callable[[tuple[What, ...]], None] | None = None
-        self.on_attach: Callable[[Memory], None] | None = None
+        self.on_forget: Callable[[tuple[PurgeCategory, ...]], None] | None = None
+        self.on_attach: Callable[[PersistedState], None] | None = None
         self.unsaved: Callable[[], int] = lambda: 0
-        self.memory: Memory | None = None
+        self.memory: PersistedState | None = None
         self._settled: deque[tuple[asyncio.Future[bool], bool]] = deque()
         self._settling = False
         self._begun = False  # the first commit has been given to the writer
@@ -81,7 +81,7 @@
     def _try(self) -> None:
         """Take the folder in use if it is free."""
         try:
-            self.memory = Memory(self._open(), self._moment())
+            self.memory = PersistedState(self._open(), self._moment())
         except (OSError, FolderBusy) as error:
             if str(error) != self._why:
                 log.error("knowledge is not kept", folder=str(self.path), **told(error))
@@ -139,12 +139,12 @@
 
     def _take(self, request: Path) -> None:
         try:
-            what = tuple(What(w) for w in json.loads(request.read_bytes()))
+            what = tuple(PurgeCategory(w) for w in json.loads(request.read_bytes()))
         except (ValueError, TypeError) as error:
             log.error("request not understood", file=str(request), why=str(error))
             what = ()
         request.unlink()
-        if What.ALL in what:
+        if PurgeCategory.ALL in what:
             log.error("ledgers of a running gateway are not forgotten", file=str(request))
         elif what and self.on_forget is not None:
             log.warning("an operator has knowledge forgotten", what=[w.value for w in what])
@@ -154,17 +154,17 @@
     def _tell(self, text: str) -> None:
         log.error(text, folder=str(self.path))
 
-    def _moment(self) -> Moment:
+    def _moment(self) -> Timestamp:
         place = self._lock.place if self._lock is not None else ""
-        return Moment(self._loop.time(), time.time(), self._boot, place)
+        return Timestamp(self._loop.time(), time.time(), self._boot, place)
 
     def _sign(self, clean: bool = False) -> Change:
         now, settings = self._moment(), self._config.settings
-        run = k.RunKept(
-            now.mono,
-            now.wall,
-            now.boot,
-            now.place,
+        run = k.RunRecord(
+            now.monotonic_s,
+            now.wall_s,
+            now.boot_id,
+            now.directory_id,
             __version__,
             settings.gateway_index,
             settings.gateway_count,
@@ -180,7 +180,7 @@
 
     def start(self, dispatcher: Dispatcher) -> None:
         """Begin to write: all that was recalled, on this run's clock, in one commit with its first sign."""
-        summary = dispatcher.keeper.summary
+        summary = dispatcher.checkpointer.summary
         if self.memory is None:
             self._timer = self._loop.call_later(AGAIN, self._try_again)
             return
@@ -259,7 +259,7 @@
         if self._timer is not None:
             self._timer.cancel()
         if self._writer is not None and self._begun:
-            self._writer.put([*dispatcher.kept(), self._sign(clean=True)])
+            self._writer.put([*dispatcher.unwritten_changes(), self._sign(clean=True)])
             if not self._writer.stop(LAST_COMMIT):
                 log.error("the last of what was known is not kept: the disk hangs", folder=str(self.path))
             self.report()
--- a/tests/node/test_bad_clients.py
+++ b/tests/node/test_bad_clients.py
@@ -109,7 +109,7 @@
             client.call("ask", rid(n))
         assert (await client.answer(33, 2.0))[0][0] == "Fault"
         await built.until(
-            lambda: len(built.computes[0].words(b"fetch")) == 32 or built.node.dispatcher.owed == 32
+            lambda: len(built.computes[0].words(b"fetch")) == 32 or built.node.dispatcher.pending_count == 32
         )
 
     play(work, silent)
--- a/tests/node/test_ends.py
+++ b/tests/node/test_ends.py
@@ -48,7 +48,7 @@
         assert len(node.fleet) == len(node.dispatcher._engines) == 1
         assert len(node.links.by_node) <= 1
         assert len(gateway.fleet.engines) == len(gateway.fleet.engine_by_digest) <= GONE_MOST + 1
-        assert len(gateway.placement.rooms.order.known) <= 2
+        assert len(gateway.engine_selector.eligibility.rendezvous_order.cached_orders) <= 2
 
     play(work)
 
--- a/tests/node/test_settings.py
+++ b/tests/node/test_settings.py
@@ -52,9 +52,9 @@
             assert first.links.limits != second.links.limits
             assert first.dispatcher.settings.classes != second.dispatcher.settings.classes
             assert not any(theirs.tables().values())
-            assert len(second.dispatcher.gateway.classes.learned) == 2
-            assert second.dispatcher.gateway.classes.learned[1].answer_count == 0
-            assert first.dispatcher.gateway.classes.learned[0].answer_count == 1
+            assert len(second.dispatcher.gateway.workload_estimates.estimators) == 2
+            assert second.dispatcher.gateway.workload_estimates.estimators[1].answer_count == 0
+            assert first.dispatcher.gateway.workload_estimates.estimators[0].answer_count == 1
 
     asyncio.run(work())
 
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -232,9 +232,9 @@
         return {
             "requests": len(node.executor._requests),
             "core": len(core._requests),
-            "jobs": len(gateway.owed.requests),
-            "attempts": len(gateway.own.attempts),
-            "held": len(gateway.owed.queued),
+            "jobs": len(gateway.pending.requests),
+            "attempts": len(gateway.in_flight.attempts),
+            "held": len(gateway.pending.queued),
             "ids": len(node.front.ids),
             "open": sum(len(link.open) for links in node.links.by_node.values() for link in links),
         }
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -207,7 +207,7 @@
             Raw(second).many("DoGet", Raw(second).ticket(f"SELECT * FROM t{n}"))
         assert len(first.seen("ran")) == len(second.seen("ran")) == 5
         assert first.daemon.dispatcher.gateway is not second.daemon.dispatcher.gateway
-        assert sum(k.answer_count for k in first.daemon.dispatcher.gateway.classes.learned) == 5
+        assert sum(k.answer_count for k in first.daemon.dispatcher.gateway.workload_estimates.estimators) == 5
 
 
 def test_log_lines_tell_request_attempt_and_engine(folders: tuple[Path, Path]) -> None:
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -16,7 +16,7 @@
 from saffronlane.dispatch.recording import RecordingError, RecordingWriter, replay
 from saffronlane.interface import EngineState, Idempotency, Outcome
 
-ANSWERS = (d.Serve, d.RefuseRequest, d.FailRequest)
+ANSWERS = (d.CompleteRequest, d.RejectRequest, d.FailRequest)
 
 
 class World:
@@ -47,8 +47,8 @@
         return self.step(d.AttemptDone(request, attempt, outcome, 0.1, **fields), after=0.1)  # type: ignore
 
     def pass_time(self, until: float) -> None:
-        while self.core.next_wake <= until:
-            self.now = max(self.now, self.core.next_wake)
+        while self.core.next_timer <= until:
+            self.now = max(self.now, self.core.next_timer)
             self.step()
         self.now = max(self.now, until)
 
@@ -74,10 +74,10 @@
     (start,) = world.of(d.StartAttempt)
     assert (start.request, start.attempt) == (request, 0)
     world.done(request, Outcome.OK)
-    assert world.of(ANSWERS) == [d.Serve(request, 0)]
+    assert world.of(ANSWERS) == [d.CompleteRequest(request, 0)]
     world.done(request, Outcome.OK)  # told twice
     world.pass_time(60.0)
-    assert len(world.of(ANSWERS)) == 1 and world.core.owed == 0 and world.core.attempts_out == 0
+    assert len(world.of(ANSWERS)) == 1 and world.core.pending_count == 0 and world.core.in_flight_count == 0
 
 
 def test_an_attempt_that_never_ran_is_tried_elsewhere() -> None:
@@ -87,7 +87,7 @@
     first, second = world.of(d.StartAttempt, request)
     assert first.engine != second.engine and second.attempt == 1
     world.done(request, Outcome.OK, attempt=1)
-    assert world.of(ANSWERS) == [d.Serve(request, 1)]
+    assert world.of(ANSWERS) == [d.CompleteRequest(request, 1)]
 
 
 def test_the_result_of_a_cancelled_attempt_goes_to_nobody() -> None:
@@ -100,17 +100,17 @@
     world.step(d.ResultReady(request, 0))
     assert not world.of(d.Commit)
     world.done(request, Outcome.OK)
-    assert not world.of(d.Serve)
+    assert not world.of(d.CompleteRequest)
     assert [s.attempt for s in world.of(d.StartAttempt, request)] == [0, 1]
     world.done(request, Outcome.OK, attempt=1)
-    assert world.of(ANSWERS) == [d.Serve(request, 1)]
+    assert world.of(ANSWERS) == [d.CompleteRequest(request, 1)]
 
 
 def test_an_answer_beats_the_timer_that_falls_into_the_same_step() -> None:
     world = World()
     request = world.submit(remaining=1.0)
     world.step(d.AttemptDone(request, 0, Outcome.OK, 1.0), after=2.0)  # both are due
-    assert world.of(ANSWERS) == [d.Serve(request, 0)]
+    assert world.of(ANSWERS) == [d.CompleteRequest(request, 0)]
 
 
 def test_a_request_ends_in_time_whatever_its_engine_does() -> None:
@@ -120,9 +120,9 @@
     (answer,) = world.of(ANSWERS)
     assert isinstance(answer, d.FailRequest)  # it may have run, so no word of trying again
     assert world.of(d.CancelAttempt) == [d.CancelAttempt(request, 0)]
-    assert world.core.attempts_out == 1
+    assert world.core.in_flight_count == 1
     world.done(request, Outcome.CANCELLED)
-    assert world.core.attempts_out == 0 and len(world.of(ANSWERS)) == 1
+    assert world.core.in_flight_count == 0 and len(world.of(ANSWERS)) == 1
 
 
 def test_a_committed_attempt_is_the_only_one() -> None:
@@ -138,7 +138,7 @@
     world.done(request, Outcome.OK, attempt=1)  # it came all the same
     assert not world.of(ANSWERS)
     world.done(request, Outcome.OK, attempt=0)
-    assert world.of(ANSWERS) == [d.Serve(request, 0)]
+    assert world.of(ANSWERS) == [d.CompleteRequest(request, 0)]
 
 
 def test_a_result_that_breaks_off_halfway_ends_the_request() -> None:
@@ -146,7 +146,7 @@
     request = world.submit()
     world.step(d.ResultReady(request, 0))
     world.done(request, Outcome.RESET)
-    assert len(world.of(ANSWERS)) == 1 and not world.of(d.Serve)
+    assert len(world.of(ANSWERS)) == 1 and not world.of(d.CompleteRequest)
     assert len(world.of(d.StartAttempt, request)) == 1
 
 
@@ -154,8 +154,8 @@
     world = World(engines=1)
     for _ in range(10):
         request = world.submit()
-        world.done(request, Outcome.ERROR, fault=True)
-        assert world.of(ANSWERS, request) == [d.Serve(request, 0, fault=True)]
+        world.done(request, Outcome.ERROR, is_query_fault=True)
+        assert world.of(ANSWERS, request) == [d.CompleteRequest(request, 0, is_query_fault=True)]
     assert not [e for e in world.of(api.Log) if "failing" in e.text]
 
 
@@ -165,7 +165,7 @@
     (start,) = world.of(d.StartAttempt)
     index = [engine_id(n) for n in range(2)].index(start.engine)
     effects = world.list({index: EngineState.DRAINING, 1 - index: EngineState.READY})
-    assert d.RecallAttempt(request, 0) in effects
+    assert d.WithdrawAttempt(request, 0) in effects
     world.done(request, Outcome.NOT_SENT)
     second = world.of(d.StartAttempt, request)[1]
     assert second.engine == engine_id(1 - index)
@@ -174,15 +174,15 @@
 def test_a_client_that_leaves_in_the_turn_of_its_arrival_starts_nothing() -> None:
     world = World()
     request = world.core.new_request()
-    world.step(d.Submit(request, 0, 5.0), d.ClientLeft(request))
+    world.step(d.Submit(request, 0, 5.0), d.ClientDisconnected(request))
     assert not world.of(d.StartAttempt) and not world.of(ANSWERS)
-    assert world.core.owed == 0 and world.core.attempts_out == 0
+    assert world.core.pending_count == 0 and world.core.in_flight_count == 0
 
 
 def test_a_client_that_leaves_has_its_attempt_cancelled() -> None:
     world = World()
     request = world.submit()
-    world.step(d.ClientLeft(request))
+    world.step(d.ClientDisconnected(request))
     assert world.of(d.CancelAttempt) == [d.CancelAttempt(request, 0)]
     world.done(request, Outcome.CANCELLED)
     assert not world.of(ANSWERS) and not world.core._requests
@@ -192,14 +192,14 @@
     settings = make_settings(classes=one_class(idempotency=Idempotency.UNSAFE))
     world = World(settings)
     running = world.submit()
-    world.step(d.StopTaking(5.0))
+    world.step(d.BeginDrain(5.0))
     late = world.submit()
     (refusal,) = world.of(ANSWERS, late)
-    assert isinstance(refusal, d.RefuseRequest) and 0.0 < refusal.retry_after <= 5.0
+    assert isinstance(refusal, d.RejectRequest) and 0.0 < refusal.retry_after <= 5.0
     assert not world.of(ANSWERS, running)
-    world.step(d.StopNow(), after=5.0)
+    world.step(d.FinishDrain(), after=5.0)
     assert [type(a) for a in world.of(ANSWERS, running)] == [d.FailRequest]
-    assert world.core.owed == 0
+    assert world.core.pending_count == 0
 
 
 def test_ten_thousand_held_queries_when_the_fleet_vanishes() -> None:
@@ -207,11 +207,11 @@
     requests = [world.core.new_request() for _ in range(10_000)]
     for at in range(0, 10_000, 500):  # what arrives in one turn of the loop is one step
         world.step(*[d.Submit(n, 0, 3.0) for n in requests[at : at + 500]])
-    assert world.core.owed == 10_000
+    assert world.core.pending_count == 10_000
     world.pass_time(14.0)
     answers = world.of(ANSWERS)
     assert len(answers) == 10_000 and {a.request for a in answers} == set(requests)
-    assert not world.core._requests and not world.core.gateway.owed.requests
+    assert not world.core._requests and not world.core.gateway.pending.requests
 
 
 def test_a_clock_that_goes_back_counts_as_standing_still() -> None:
@@ -221,7 +221,7 @@
     world.now += 100.0
     request = world.submit()
     world.done(request, Outcome.OK)
-    assert world.of(ANSWERS, request) == [d.Serve(request, 0)]
+    assert world.of(ANSWERS, request) == [d.CompleteRequest(request, 0)]
 
 
 def test_a_fault_in_the_decisions_loses_no_request(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -235,10 +235,10 @@
     other = world.submit()
     assert [type(a) for a in world.of(ANSWERS, request)] == [d.FailRequest]
     assert [type(a) for a in world.of(ANSWERS, other)] == [d.FailRequest]
-    assert world.core.faults == 1
+    assert world.core.fault_count == 1
     third = world.submit()  # the list is known anew, and life goes on
     world.done(third, Outcome.OK)
-    assert world.of(ANSWERS, third) == [d.Serve(third, 0)]
+    assert world.of(ANSWERS, third) == [d.CompleteRequest(third, 0)]
 
 
 def test_a_request_cannot_be_submitted_twice() -> None:
@@ -262,7 +262,9 @@
         if random.random() < 0.6:
             number += 1
             cls = random.randrange(len(settings.classes))
-            inputs.append(d.Submit(number, cls, 0.5 + 3.0 * random.random(), key=random.randrange(3)))
+            inputs.append(
+                d.Submit(number, cls, 0.5 + 3.0 * random.random(), ordering_key=random.randrange(3))
+            )
         for start in [s for s in out if random.random() < 0.3]:
             out.remove(start)
             outcome = random.choice([Outcome.OK] * 8 + list(Outcome))
@@ -272,7 +274,7 @@
             entries = tuple(api.EngineEntry(engine_id(n), s) for n, s in states.items())
             inputs.append(api.EndpointListUpdate(api.EndpointListMode.FULL, 2, entries))
         if number and random.random() < 0.05:
-            inputs.append(d.ClientLeft(random.randrange(1, number + 1)))
+            inputs.append(d.ClientDisconnected(random.randrange(1, number + 1)))
         effects = yield now, inputs
 
 
@@ -328,18 +330,18 @@
     now, inputs = next(day)
     while True:
         submitted |= {i.request for i in inputs if isinstance(i, d.Submit)}
-        left |= {i.request for i in inputs if isinstance(i, d.ClientLeft)}
+        left |= {i.request for i in inputs if isinstance(i, d.ClientDisconnected)}
         effects = core.step(now, inputs)
         answers += [e.request for e in effects if isinstance(e, ANSWERS)]
         try:
             now, inputs = day.send(effects)  # type: ignore[attr-defined]
         except StopIteration:
             break
-    while core.next_wake < now + 30.0:
-        effects = core.step(core.next_wake, [])
+    while core.next_timer < now + 30.0:
+        effects = core.step(core.next_timer, [])
         answers += [e.request for e in effects if isinstance(e, ANSWERS)]
     assert len(answers) == len(set(answers))
-    assert submitted - set(answers) <= left and core.owed == 0
+    assert submitted - set(answers) <= left and core.pending_count == 0
 
 
 def test_a_record_is_played_again_with_the_same_effects(tmp_path: Path) -> None:
@@ -376,11 +378,11 @@
 
 def test_a_flood_of_arrivals_is_refused_past_a_bound() -> None:
     """Each held query makes a step dearer: without a bound, a flood would make every answer late."""
-    core = d.Dispatcher(make_settings(), 1, most_owed=5)
+    core = d.Dispatcher(make_settings(), 1, max_pending=5)
     requests = [core.new_request() for _ in range(8)]
     effects = core.step(10.0, [d.Submit(n, 0, 5.0) for n in requests])
-    assert [e.request for e in effects if isinstance(e, d.RefuseRequest)] == requests[5:]
-    assert core.owed == 5
+    assert [e.request for e in effects if isinstance(e, d.RejectRequest)] == requests[5:]
+    assert core.pending_count == 5
     effects = core.step(20.0, [])
     assert len([e for e in effects if isinstance(e, ANSWERS)]) == 5
     late = core.new_request()
@@ -391,7 +393,7 @@
     """Groups come from the clients' statements; each one's order was kept until the next list."""
     world = World()
     for n in range(5_000):
-        request = world.submit(tables=n + 1)
-        world.step(d.ClientLeft(request))
+        request = world.submit(table_group=n + 1)
+        world.step(d.ClientDisconnected(request))
         world.done(request, Outcome.CANCELLED)
-    assert len(world.core.gateway.placement.rooms.order.known) <= 4_096
+    assert len(world.core.gateway.engine_selector.eligibility.rendezvous_order.cached_orders) <= 4_096
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -118,7 +118,7 @@
         core = self.cores[place]
         for effect in core.step(self.now, list(inputs)):
             self.do(place, effect)
-        wake = core.next_wake
+        wake = core.next_timer
         if wake < self.wakes[place]:
             self.wakes[place] = wake
             self.at(max(wake, self.now), lambda: self.wake(place, wake))
@@ -144,7 +144,14 @@
         self.asked[place].append(self.now)
         cost = work * self.random.uniform(0.7, 1.4)
         tables = float(min(self.random.randrange(600), self.random.randrange(600)))
-        told = d.Submit(number, cls, cls_.deadline, cost=cost, memory_mb=60.0 * cost, tables=tables)
+        told = d.Submit(
+            number,
+            cls,
+            cls_.deadline,
+            estimated_cost=cost,
+            estimated_memory_mb=60.0 * cost,
+            table_group=tables,
+        )
         self.step(place, told)
 
     # --- what dispatchers do ---
@@ -154,7 +161,7 @@
             self.start(place, effect)
         elif isinstance(effect, (d.CancelAttempt, d.DiscardAttempt)):
             self.end(place, effect.request, effect.attempt, Outcome.CANCELLED)
-        elif isinstance(effect, (d.Serve, d.RefuseRequest, d.FailRequest)):
+        elif isinstance(effect, (d.CompleteRequest, d.RejectRequest, d.FailRequest)):
             self.requests[place, effect.request].answers.append(type(effect).__name__)
             assert self.now <= self.requests[place, effect.request].limit  # rule 1
         elif isinstance(effect, api.SendGossip):
@@ -219,11 +226,11 @@
                 )
                 assert sent_work <= RULES.slow_start_overload_factor * able * RULES.slow_start_overload_window
         assert all(len(request.answers) == 1 for request in self.requests.values())
-        assert not any(core.attempts_out or core.owed for core in self.cores)
+        assert not any(core.in_flight_count or core.pending_count for core in self.cores)
 
     def share(self, cls: int) -> float:
         answers = Counter(request.answers[0] for request in self.requests.values() if request.cls == cls)
-        return answers["Serve"] / max(1, sum(answers.values()))
+        return answers["CompleteRequest"] / max(1, sum(answers.values()))
 
 
 @pytest.mark.parametrize("seed", [1])
--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -143,7 +143,7 @@
     for thread in threads:
         thread.join(20.0)
     assert got == {n: n for n in range(1, 9)}
-    shared.until(lambda: shared.daemon.dispatcher.owed == 0 and not shared.daemon.executor._requests)
+    shared.until(lambda: shared.daemon.dispatcher.pending_count == 0 and not shared.daemon.executor._requests)
 
 
 # --- sessions ---
@@ -205,7 +205,7 @@
         with adbc.connect(built.url, options, autocommit=True) as connection, connection.cursor() as cursor:
             cursor.execute("SELECT * FROM plays")
             assert len(cursor.fetchall()) == 1
-        learned = built.daemon.dispatcher.gateway.classes.learned
+        learned = built.daemon.dispatcher.gateway.workload_estimates.estimators
         assert [k.answer_count for k in learned] == [0, 1, 0]
 
 
@@ -240,7 +240,7 @@
         while poll.HasField("flight_descriptor"):
             poll = raw.one("PollFlightInfo", poll.flight_descriptor, flight.PollInfo)
         assert len(raw.many("DoGet", poll.info.endpoint[0].ticket)) == 61
-        built.until(lambda: built.daemon.dispatcher.owed == 0)
+        built.until(lambda: built.daemon.dispatcher.pending_count == 0)
 
 
 def test_a_polled_query_that_fails_says_so_once(tmp_path: Path) -> None:
@@ -412,7 +412,7 @@
         assert not built.seen("answered")  # the engine waits
         size = len(first) + sum(len(m) for m in call)
         assert size > 100_000_000
-        built.until(lambda: bool(built.seen("answered")) and built.daemon.dispatcher.owed == 0)
+        built.until(lambda: bool(built.seen("answered")) and built.daemon.dispatcher.pending_count == 0)
 
 
 def test_a_result_half_passed_on_ends_in_an_error_when_its_engine_dies(tmp_path: Path) -> None:
@@ -425,7 +425,7 @@
         built.call(built.engines[busy].crash)
         fails(grpc.StatusCode.UNAVAILABLE, "", lambda: list(call))
         assert len(built.seen("ran")) == 1  # a byte had left: no other attempt
-        built.until(lambda: built.daemon.dispatcher.attempts_out == 0)
+        built.until(lambda: built.daemon.dispatcher.in_flight_count == 0)
 
 
 def test_an_answer_that_goes_missing_is_found_elsewhere(tmp_path: Path) -> None:
@@ -468,7 +468,7 @@
         query = "SELECT 1 /* lab rows=500 batches=60 */"
         raw.one("PollFlightInfo", descriptor(sql.CommandStatementQuery(query=query)), flight.PollInfo)
         built.until(lambda: not built.daemon.front._polls and not built.daemon.executor._requests)
-        assert built.daemon.dispatcher.owed == 0
+        assert built.daemon.dispatcher.pending_count == 0
 
 
 def test_the_pool_of_an_engine_that_left_while_it_worked_goes_too(tmp_path: Path) -> None:
--- a/tests/test_folder.py
+++ b/tests/test_folder.py
@@ -77,9 +77,9 @@
     ask(house, 30)
     end(house)
     kept = k.decode(k.CLASS + b"lookup", read(folder).state[k.CLASS + b"lookup"])
-    assert isinstance(kept, k.ClassKept) and kept.count == 30
+    assert isinstance(kept, k.ClassRecord) and kept.count == 30
     house.daemon = begin(house)
-    summary = house.daemon.dispatcher.keeper.summary
+    summary = house.daemon.dispatcher.checkpointer.summary
     assert summary.exact and summary.classes["lookup"] > 10.0 and summary.engines == 2
     ask(house)
 
@@ -160,7 +160,7 @@
     house.daemon = second
     working(house)
     assert first.folder is not None and first.folder._lock is None
-    ledger = second.dispatcher.keeper.ledger
+    ledger = second.dispatcher.checkpointer.ledger
     house.until(lambda: len(ledger) == 1)  # the first one's unsafe query is known to the second
     ask(house, 3)
 
@@ -246,7 +246,7 @@
     assert code == 2 and "stop it first" in out
     code, out = run("forget", folder, "classes", "engines")
     assert (code, out.strip()) == (0, "the running gateway forgets them")
-    house.until(lambda: house.daemon.dispatcher.gateway.classes.learned[0].answer_count == 0)
+    house.until(lambda: house.daemon.dispatcher.gateway.workload_estimates.estimators[0].answer_count == 0)
     house.until(lambda: k.CLASS + b"lookup" not in dict(read(folder).state.items()))
 
 
