--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -20,14 +20,14 @@
 from saffronlane import interface as api
 from saffronlane.dispatch.recording import RecordingWriter, replay
 from saffronlane.interface import EngineState, Idempotency, Outcome
-from saffronlane.learned_state import Ledger, Memory, Moment, Recall, What, between
+from saffronlane.learned_state import Ledger, PersistedState, PurgeCategory, StateRestorer, Timestamp, between
 from saffronlane.learned_state import confidence as weigh
 from saffronlane.learned_state import records as k
 from saffronlane.learned_state.rebase import Rebase
 from saffronlane.policy.estimation.run_time_estimator import SEED_ANSWERS
 from saffronlane.storage import Entry, RealFiles, recover
 
-HERE = Moment(1000.0, 1e9, "boot", "place")
+HERE = Timestamp(1000.0, 1e9, "boot", "place")
 KEYED = replace(
     one_class(
         idempotency=Idempotency.KEYED, idempotency_ttl=10.0, deduplication_scope=api.DeduplicationScope.ZONE
@@ -42,14 +42,14 @@
     """One run of a dispatcher with a folder in memory, which only what was written reaches."""
 
     def __init__(
-        self, settings: api.Settings, folder: dict[bytes, Entry], at: Moment = HERE, seed: int = 1
+        self, settings: api.Settings, folder: dict[bytes, Entry], at: Timestamp = HERE, seed: int = 1
     ) -> None:
         self.settings, self.folder, self.start = settings, folder, at
-        self.memory = Memory(tuple(folder.items()), at)
+        self.memory = PersistedState(tuple(folder.items()), at)
         self.record = io.BytesIO()
         recording = RecordingWriter(self.record, settings, seed, memory=self.memory)
-        self.core = d.Dispatcher(settings, seed, recording, memory=self.memory, keeping=True)
-        self.now = at.mono
+        self.core = d.Dispatcher(settings, seed, recording, persisted_state=self.memory, is_persistent=True)
+        self.now = at.monotonic_s
         self.effects: list[d.Effect] = []
         self.write(self.core.first_changes)
         self.sign()
@@ -63,16 +63,18 @@
 
     def sign(self, clean: bool = False) -> None:
         at = self.start
-        wall = at.wall + self.now - at.mono
+        wall = at.wall_s + self.now - at.monotonic_s
         place = (self.settings.gateway_index, self.settings.gateway_count, clean)
-        self.write([k.change(k.RUN, k.RunKept(self.now, wall, at.boot, at.place, "test", *place))])
+        self.write(
+            [k.change(k.RUN, k.RunRecord(self.now, wall, at.boot_id, at.directory_id, "test", *place))]
+        )
 
     def step(self, *inputs: d.Input, after: float = 0.0) -> list[d.Effect]:
         self.now += after
         effects = self.core.step(self.now, list(inputs))
         self.effects += effects
         for effect in effects:
-            if isinstance(effect, d.Keep):
+            if isinstance(effect, d.Persist):
                 self.write(effect.changes)
         return effects
 
@@ -94,8 +96,8 @@
 
     def pass_time(self, seconds: float) -> None:
         end = self.now + seconds
-        while self.core.next_wake <= end:
-            self.now = max(self.now, self.core.next_wake)
+        while self.core.next_timer <= end:
+            self.now = max(self.now, self.core.next_timer)
             self.step()
         self.now = max(self.now, end)
         self.sign()
@@ -105,16 +107,18 @@
         return [e for e in found if request in (None, e.request)]
 
     def answers(self, request: int) -> list[d.Effect]:
-        kinds = (d.Serve, d.RefuseRequest, d.FailRequest)
+        kinds = (d.CompleteRequest, d.RejectRequest, d.FailRequest)
         return [e for e in self.effects if isinstance(e, kinds) and e.request == request]
 
     def killed(self, gap: float = 0.5, **at) -> Life:
         """The next run; nothing but what was written reaches it."""
-        later = Moment(self.now + gap, self.start.wall + self.now - self.start.mono + gap, "boot", "place")
+        later = Timestamp(
+            self.now + gap, self.start.wall_s + self.now - self.start.monotonic_s + gap, "boot", "place"
+        )
         return Life(self.settings, self.folder, replace(later, **at))
 
     def stopped(self, gap: float = 0.5, **at) -> Life:
-        self.write(self.core.kept())
+        self.write(self.core.unwritten_changes())
         self.sign(clean=True)
         return self.killed(gap, **at)
 
@@ -130,17 +134,17 @@
 def test_an_unsafe_request_that_may_have_run_is_not_sent_again_after_a_crash():
     life = Life(make_settings(classes=(UNSAFE,)), {})
     life.engines()
-    life.submit(identity=b"mine")
+    life.submit(idempotency_key=b"mine")
     assert len(life.sends()) == 1
     after = life.killed()
     lost = blind(after)
     for one in (after, lost):
         one.engines()
-    again, twice = after.submit(identity=b"mine"), lost.submit(identity=b"mine")
+    again, twice = after.submit(idempotency_key=b"mine"), lost.submit(idempotency_key=b"mine")
     after.pass_time(1.0)
     assert not after.sends(again) and [type(a) for a in after.answers(again)] == [d.FailRequest]
     assert lost.sends(twice)  # without the folder its effect comes twice
-    other = after.submit(identity=b"another")
+    other = after.submit(idempotency_key=b"another")
     assert after.sends(other)
 
 
@@ -150,13 +154,13 @@
     for gap, sent in ((3.0, True), (9.9, False), (12.0, False)):
         life = Life(settings, {})
         life.list(*zones)
-        life.submit(identity=b"key")
+        life.submit(idempotency_key=b"key")
         first = next(e for e in zones if e.engine == life.sends()[0].engine).zone
         after = life.killed(gap)
         after.list(*zones)
         for n in range(8):  # others of other keys go to both zones
-            after.submit(identity=b"other %d" % n)
-        again = after.submit(identity=b"key")
+            after.submit(idempotency_key=b"other %d" % n)
+        again = after.submit(idempotency_key=b"key")
         after.pass_time(0.2)
         assert bool(after.sends(again)) is sent, gap
         if sent:
@@ -170,14 +174,14 @@
     """Another boot and a wall clock one hour back: how long ago the key was used cannot be told."""
     life = Life(make_settings(classes=(KEYED,)), {})
     life.engines()
-    life.submit(identity=b"key")
+    life.submit(idempotency_key=b"key")
     for at in (
-        {"boot": "other", "wall": HERE.wall - 3600.0, "mono": 5.0},
-        {"boot": "other", "wall": HERE.wall + 3600.0, "mono": 5.0},
+        {"boot_id": "other", "wall_s": HERE.wall_s - 3600.0, "monotonic_s": 5.0},
+        {"boot_id": "other", "wall_s": HERE.wall_s + 3600.0, "monotonic_s": 5.0},
     ):
         after = Life(life.settings, dict(life.folder), replace(HERE, **at))
         after.engines()
-        again = after.submit(identity=b"key")
+        again = after.submit(idempotency_key=b"key")
         after.pass_time(0.2)
         assert not after.sends(again) and [type(a) for a in after.answers(again)] == [d.FailRequest]
 
@@ -185,33 +189,33 @@
 def test_what_certainly_never_ran_leaves_no_trace():
     life = Life(make_settings(classes=(UNSAFE,), limits=api.Limits(can_cancel=True, max_attempts=1)), {})
     life.engines()
-    request = life.submit(identity=b"mine")
+    request = life.submit(idempotency_key=b"mine")
     life.done(request, Outcome.REJECTED)
     life.pass_time(1.0)
     assert not [key for key in life.folder if key.startswith(k.SENT)]
     after = life.killed()
     after.engines()
-    assert after.sends(after.submit(identity=b"mine"))
+    assert after.sends(after.submit(idempotency_key=b"mine"))
 
 
 def test_a_client_that_repeats_while_the_first_still_runs_gets_no_second_effect():
     life = Life(make_settings(classes=(UNSAFE,)), {})
     life.engines()
-    life.submit(identity=b"mine")
-    again = life.submit(identity=b"mine")
+    life.submit(idempotency_key=b"mine")
+    again = life.submit(idempotency_key=b"mine")
     life.pass_time(0.2)
     (answer,) = life.answers(again)
-    assert not life.sends(again) and isinstance(answer, d.FailRequest) and "this key" in answer.why
+    assert not life.sends(again) and isinstance(answer, d.FailRequest) and "this key" in answer.reason
 
 
 def test_requests_that_are_forgotten_leave_the_folder_too():
     life = Life(make_settings(classes=(UNSAFE,)), {})
     life.engines()
     for n in range(5):
-        life.done(life.submit(identity=b"%d" % n))
+        life.done(life.submit(idempotency_key=b"%d" % n))
     life.pass_time(1.0)
     assert sum(key.startswith(k.SENT) for key in life.folder) == 5
-    late = Life(life.settings, dict(life.folder), replace(HERE, mono=life.now + 100.0))
+    late = Life(life.settings, dict(life.folder), replace(HERE, monotonic_s=life.now + 100.0))
     assert not [key for key in late.folder if key.startswith(k.SENT)]
     life.pass_time(100.0)
     life.submit()
@@ -238,12 +242,16 @@
     settings = make_settings(classes=(ORDERED,), guarantees=api.Guarantees(ordering_cooldown=1.0))
     life = Life(settings, {})
     life.engines()
-    life.submit(key=7)
+    life.submit(ordering_key=7)
     after = life.killed()
     lost = blind(after)
     for one in (after, lost):
         one.engines()
-    waits, other, early = after.submit(key=7), after.submit(key=8), lost.submit(key=7)
+    waits, other, early = (
+        after.submit(ordering_key=7),
+        after.submit(ordering_key=8),
+        lost.submit(ordering_key=7),
+    )
     assert not after.sends(waits) and after.sends(other)
     assert lost.sends(early)  # without the folder the two may overlap
     after.pass_time(0.9)
@@ -256,13 +264,13 @@
     settings = make_settings(classes=(ORDERED,), guarantees=api.Guarantees(ordering_cooldown=3.0))
     life = Life(settings, {})
     life.engines()
-    cut, fine = life.submit(key=1), life.submit(key=2)
+    cut, fine = life.submit(ordering_key=1), life.submit(ordering_key=2)
     life.done(cut, Outcome.RESET)
     life.done(fine)
     life.pass_time(1.0)
     after = life.killed(gap=0.5)
     after.engines()
-    first, second = after.submit(key=1), after.submit(key=2)
+    first, second = after.submit(ordering_key=1), after.submit(ordering_key=2)
     assert not after.sends(first) and after.sends(second)
     after.pass_time(2.0)
     assert after.sends(first)
@@ -292,7 +300,7 @@
 
     def listed(life: Life) -> None:
         life.list(
-            api.EngineEntry(engine_id(0), EngineState.READY, started_at=HERE.mono - 0.5),
+            api.EngineEntry(engine_id(0), EngineState.READY, started_at=HERE.monotonic_s - 0.5),
             api.EngineEntry(engine_id(1), EngineState.READY),
         )
 
@@ -327,11 +335,11 @@
     cases = {
         "fresh": (life.killed(gap=0.5), True),
         "an hour old": (life.killed(gap=3600.0), False),
-        "copied": (life.killed(gap=0.5, place="elsewhere"), False),
-        "after a boot": (life.killed(gap=0.5, boot="next", mono=1.0), False),
+        "copied": (life.killed(gap=0.5, directory_id="elsewhere"), False),
+        "after a boot": (life.killed(gap=0.5, boot_id="next", monotonic_s=1.0), False),
     }
     for name, (after, exact) in cases.items():
-        assert (after.core.gateway.batch.started_at < after.start.mono) is exact, name
+        assert (after.core.gateway.batch.started_at < after.start.monotonic_s) is exact, name
     after = life.stopped(gap=60.0)
     assert after.core.gateway.batch.started_at < life.now  # it told of its end: nothing was sent since
 
@@ -343,7 +351,7 @@
     life.engines()
     second = life.killed(gap=3600.0)
     third = second.killed(gap=0.5)
-    assert third.core.gateway.batch.started_at == second.start.mono
+    assert third.core.gateway.batch.started_at == second.start.monotonic_s
 
 
 # --- rule 7 ---
@@ -408,20 +416,20 @@
         return life.effects.index(start), start
 
     for fields, key in (
-        ({"cls": 0, "identity": b"x"}, k.SENT + b"x"),
-        ({"cls": 1, "key": 9}, k.ORDER + (9).to_bytes(8, "big")),
+        ({"cls": 0, "idempotency_key": b"x"}, k.SENT + b"x"),
+        ({"cls": 1, "ordering_key": 9}, k.ORDER + (9).to_bytes(8, "big")),
     ):
         before = len(life.effects)
         at, start = step_of(life.submit(**fields))
-        keep = next(e for e in life.effects[before:at] if isinstance(e, d.Keep) and e.ahead)
-        assert start.ahead > 0.0 and key in [c.key for c in keep.changes]
+        keep = next(e for e in life.effects[before:at] if isinstance(e, d.Persist) and e.is_write_ahead)
+        assert start.durability_timeout > 0.0 and key in [c.key for c in keep.changes]
     plain = life.submit(cls=2)
-    assert step_of(plain)[1].ahead == 0.0  # nothing depends on it: it does not wait
+    assert step_of(plain)[1].durability_timeout == 0.0  # nothing depends on it: it does not wait
     before = len(life.effects)
     life.done(plain, Outcome.ERROR)
     at, start = step_of(plain, 1)
-    keep = next(e for e in life.effects[before:at] if isinstance(e, d.Keep) and e.ahead)
-    assert start.ahead > 0.0 and k.BUDGET in [c.key for c in keep.changes]
+    keep = next(e for e in life.effects[before:at] if isinstance(e, d.Persist) and e.is_write_ahead)
+    assert start.durability_timeout > 0.0 and k.BUDGET in [c.key for c in keep.changes]
 
 
 def test_without_a_folder_nothing_waits():
@@ -430,9 +438,9 @@
         1.0,
         [api.EndpointListUpdate(api.EndpointListMode.FULL, 1, (api.EngineEntry(b"e", EngineState.READY),))],
     )
-    effects = core.step(2.0, [d.Submit(core.new_request(), 0, 4.0, identity=b"x")])
-    assert [e.ahead for e in effects if isinstance(e, d.StartAttempt)] == [0.0]
-    assert not [e for e in effects if isinstance(e, d.Keep)] and core.keeper.next_look == math.inf
+    effects = core.step(2.0, [d.Submit(core.new_request(), 0, 4.0, idempotency_key=b"x")])
+    assert [e.durability_timeout for e in effects if isinstance(e, d.StartAttempt)] == [0.0]
+    assert not [e for e in effects if isinstance(e, d.Persist)] and core.checkpointer.next_look == math.inf
 
 
 # --- what was learned ---
@@ -450,8 +458,8 @@
 def test_right_knowledge_is_there_at_once():
     after = taught(0.05).killed()
     after.engines(4)
-    assert after.core.gateway.classes.learned[0].exec_time() == pytest.approx(0.05, rel=0.02)
-    assert after.core.keeper.summary.classes["short"] == pytest.approx(weigh.MASS_MOST, rel=0.01)
+    assert after.core.gateway.workload_estimates.estimators[0].exec_time() == pytest.approx(0.05, rel=0.02)
+    assert after.core.checkpointer.summary.classes["short"] == pytest.approx(weigh.MASS_MOST, rel=0.01)
     said = [e.text for e in after.effects if isinstance(e, api.Log)]
     assert said == ["recalled 4 engines; classes: short as 16 answers"]
 
@@ -461,8 +469,8 @@
     for gap in (1.0, 3600.0, 86_400.0, 30 * 86_400.0):
         after = taught(0.05).killed(gap)
         after.engines(4)
-        paces.append(after.core.gateway.classes.learned[0].exec_time())
-    seed = Life(make_settings(), {}).core.gateway.classes.learned[0].exec_time()
+        paces.append(after.core.gateway.workload_estimates.estimators[0].exec_time())
+    seed = Life(make_settings(), {}).core.gateway.workload_estimates.estimators[0].exec_time()
     assert paces == sorted(paces) and paces[0] < 0.06 and paces[3] == pytest.approx(seed)
 
 
@@ -499,7 +507,7 @@
     gateway that knows nothing, and the 4 answers on which it is found out."""
 
     def answers_until_right(life: Life) -> int:
-        known, needed = life.core.gateway.classes.learned[0], 0
+        known, needed = life.core.gateway.workload_estimates.estimators[0], 0
         for n in range(60):
             if not 0.5 < known.exec_time() / 0.05 < 2.0:
                 needed = n + 1
@@ -519,7 +527,7 @@
 def test_knowledge_that_keeps_its_own_refutation_away_is_dropped():
     """Guards a class whose recalled needs fit no engine: nothing is sent, so no answer could ever tell."""
     life = taught(limits=replace(make_settings().limits, gossip=True))
-    life.core.gateway.classes.learned[0].memory_requirement = 1e8
+    life.core.gateway.workload_estimates.estimators[0].memory_requirement = 1e8
     life.done(life.submit(), elapsed=0.05, work=0.05)
     life.pass_time(1.0)
     after = life.killed()
@@ -528,12 +536,14 @@
     for n, engine in enumerate(after.core.gateway.fleet.engines):
         told = messages.GossipMessage(n, 1, False, 0, 40.0, 0.6, messages.engine_digest(engine))
         after.step(api.PeerMessage(1, messages.encode(told)))
-    held = after.submit(memory_mb=100.0)
+    held = after.submit(estimated_memory_mb=100.0)
     assert not after.sends(held)
     for _ in range(12):
         after.pass_time(1.0)
-        held = after.submit(memory_mb=100.0)
-    assert after.sends(held) and after.core.gateway.classes.learned[0].memory_requirement < 100.0
+        held = after.submit(estimated_memory_mb=100.0)
+    assert (
+        after.sends(held) and after.core.gateway.workload_estimates.estimators[0].memory_requirement < 100.0
+    )
 
 
 def test_other_settings_of_a_class_make_what_was_learned_say_nothing():
@@ -541,21 +551,23 @@
     changed = replace(
         life.settings, classes=(replace(life.settings.classes[0], threads=2), life.settings.classes[1])
     )
-    after = Life(changed, life.folder, replace(HERE, mono=life.now + 1.0))
+    after = Life(changed, life.folder, replace(HERE, monotonic_s=life.now + 1.0))
     after.engines(4)
     assert (
-        not after.core.keeper.summary.classes
-        and "settings have changed" in after.core.keeper.summary.notes[0]
+        not after.core.checkpointer.summary.classes
+        and "settings have changed" in after.core.checkpointer.summary.notes[0]
     )
 
 
 def test_classes_that_changed_their_order_keep_what_is_theirs():
     life = taught()
     after = Life(
-        replace(life.settings, classes=life.settings.classes[::-1]), life.folder, replace(HERE, mono=life.now)
+        replace(life.settings, classes=life.settings.classes[::-1]),
+        life.folder,
+        replace(HERE, monotonic_s=life.now),
     )
     after.engines(4)
-    assert after.core.gateway.classes.learned[1].exec_time() == pytest.approx(0.05, rel=0.02)
+    assert after.core.gateway.workload_estimates.estimators[1].exec_time() == pytest.approx(0.05, rel=0.02)
 
 
 def test_another_fleet_halves_what_classes_know_and_another_kind_ends_it():
@@ -566,19 +578,25 @@
         after.list(
             *(api.EngineEntry(engine_id(base + n), EngineState.READY, machine_type=kind) for n in range(4))
         )
-        mass = after.core.keeper.summary.classes.get("short", 0.0)
+        mass = after.core.checkpointer.summary.classes.get("short", 0.0)
         assert mass == pytest.approx(min(weigh.MASS_MOST, expected * 28.0), rel=0.05), (names, kind)
 
 
 def test_the_limit_of_a_jam_outlives_a_crash_and_fades():
     life = taught()
-    life.core.gateway.pressure.limit, life.core.gateway.pressure.crowd = 6.0, 5.0
+    life.core.gateway.concurrency_limit.limit, life.core.gateway.concurrency_limit.latency_inflation = (
+        6.0,
+        5.0,
+    )
     life.done(life.submit(), elapsed=0.05, work=0.01)
     life.pass_time(1.0)
-    before = life.core.gateway.pressure.limit
+    before = life.core.gateway.concurrency_limit.limit
     soon, late = life.killed(1.0).core.gateway, life.killed(120.0).core.gateway
-    assert before < soon.pressure.limit < 1.5 * before and soon.pressure.crowd > 1.0
-    assert late.pressure.limit == math.inf and late.pressure.crowd == 1.0
+    assert (
+        before < soon.concurrency_limit.limit < 1.5 * before
+        and soon.concurrency_limit.latency_inflation > 1.0
+    )
+    assert late.concurrency_limit.limit == math.inf and late.concurrency_limit.latency_inflation == 1.0
 
 
 # --- engines ---
@@ -608,9 +626,9 @@
 
 
 def test_an_engine_that_restarted_or_changed_meanwhile_begins_well():
-    life = ill_engine(started=HERE.mono - 500.0)
+    life = ill_engine(started=HERE.monotonic_s - 500.0)
     again = life.killed()
-    again.engines(4, started_at=HERE.mono - 500.0)
+    again.engines(4, started_at=HERE.monotonic_s - 500.0)
     assert again.core.gateway.fleet.engines[engine_id(0)].is_ejected
     restarted = life.killed()
     restarted.engines(4, started_at=life.now)
@@ -621,7 +639,7 @@
     after = ill_engine().killed(gap=2.0)
     after.engines(4)
     engine = after.core.gateway.fleet.engines[engine_id(0)]
-    while engine.is_ejected and after.now - after.start.mono < 12.0:
+    while engine.is_ejected and after.now - after.start.monotonic_s < 12.0:
         after.done(after.submit(), elapsed=0.02)
     assert not engine.is_ejected
 
@@ -652,12 +670,12 @@
 def test_a_folder_never_holds_times_of_two_clocks():
     """Guards a boot and a crash before the first list: nothing of what was recalled was exported yet."""
     life = taught()
-    booted = life.killed(gap=3600.0, boot="next", mono=20.0)
+    booted = life.killed(gap=3600.0, boot_id="next", monotonic_s=20.0)
     kept = k.decode(k.CLASS + b"short", booted.folder[k.CLASS + b"short"])
     assert kept.at <= 20.0 - 3600.0 + 5.0
-    third = booted.killed(gap=0.5, boot="next")
+    third = booted.killed(gap=0.5, boot_id="next")
     third.engines(4)
-    assert third.core.keeper.summary.classes["short"] < 8.0  # an hour old, whichever boot is asked
+    assert third.core.checkpointer.summary.classes["short"] < 8.0  # an hour old, whichever boot is asked
 
 
 def test_entries_that_make_no_sense_are_named_and_cost_only_themselves():
@@ -667,10 +685,10 @@
     folder[k.ENGINE + engine_id(0)] = Entry(1, msgspec.msgpack.encode([1, 2]))
     folder[k.BUDGET] = Entry(9, b"of the future")
     folder[b"z/unknown"] = Entry(1, b"")
-    after = Life(life.settings, folder, replace(HERE, mono=life.now + 1.0))
+    after = Life(life.settings, folder, replace(HERE, monotonic_s=life.now + 1.0))
     after.engines(4)
-    assert after.core.gateway.classes.learned[0].exec_time() == pytest.approx(0.05, rel=0.02)
-    assert len(after.core.keeper.summary.notes) == 4
+    assert after.core.gateway.workload_estimates.estimators[0].exec_time() == pytest.approx(0.05, rel=0.02)
+    assert len(after.core.checkpointer.summary.notes) == 4
     after.pass_time(2.0)
     assert folder[b"z/unknown"] == Entry(1, b"") and folder[k.BUDGET].version == 9  # left for who knows them
 
@@ -701,29 +719,29 @@
 
     mark = k.class_mark(make_settings(), make_settings().classes[0])
     folder = {
-        k.RUN: value(k.RunKept),
-        k.BUDGET: value(k.BudgetKept),
-        k.FLEET: value(k.FleetKept),
-        k.TOLD: value(k.ToldKept),
-        k.ENGINE + engine_id(0): value(k.EngineKept),
-        k.SENT + b"x": value(k.SentKept),
-        k.ORDER + bytes(8): value(k.OrderKept),
+        k.RUN: value(k.RunRecord),
+        k.BUDGET: value(k.RetryBudgetRecord),
+        k.FLEET: value(k.FleetRecord),
+        k.TOLD: value(k.PeerLoadRecord),
+        k.ENGINE + engine_id(0): value(k.EngineRecord),
+        k.SENT + b"x": value(k.IdempotencyRecord),
+        k.ORDER + bytes(8): value(k.OrderingRecord),
     }
-    figures = msgspec.msgpack.decode(value(k.ClassKept).value)
+    figures = msgspec.msgpack.decode(value(k.ClassRecord).value)
     folder[k.CLASS + b"short"] = Entry(1, msgspec.msgpack.encode([mark, *figures[1:]]))
     life = Life(
         make_settings(guarantees=replace(COLD, retry_budget_base=1.0, retry_budget_window=9.0)), folder
     )
     life.engines(3)
-    requests = [life.submit(identity=b"x"), life.submit(key=1), life.submit()]
+    requests = [life.submit(idempotency_key=b"x"), life.submit(ordering_key=1), life.submit()]
     life.pass_time(30.0)
-    assert life.core.faults == 0
+    assert life.core.fault_count == 0
     assert all(life.answers(r) or life.sends(r) for r in requests)
 
 
 @given(st.floats(0, 1e6), st.floats(-1e5, 1e5), st.booleans(), st.floats(0, 1e6))
 def test_a_gap_has_bounds_on_the_side_of_the_rules(mono, step, same, then):
-    last, now = Moment(then, 1e9, "a", "p"), Moment(mono, 1e9 + step, "a" if same else "b", "p")
+    last, now = Timestamp(then, 1e9, "a", "p"), Timestamp(mono, 1e9 + step, "a" if same else "b", "p")
     gap = between(last, now)
     assert 0.0 <= gap.least <= gap.most
     rebase = Rebase(gap)
@@ -743,14 +761,14 @@
     life.engines(4)
     for _ in range(20):
         life.done(life.submit(), elapsed=0.05)
-    open_one = life.submit(key=5)
-    unsafe = life.submit(cls=1, identity=b"u")
+    open_one = life.submit(ordering_key=5)
+    unsafe = life.submit(cls=1, idempotency_key=b"u")
     life.core.gateway.handlers[api.ProgressReport] = lambda event: 1 / 0
-    life.step(d.AttemptNote(open_one, 0, api.ProgressKind.PROGRESS, 0.5))
-    assert life.core.faults == 1 and life.answers(open_one) and life.answers(unsafe)
-    assert life.core.gateway.classes.learned[0].exec_time() == pytest.approx(0.05, rel=0.05)
+    life.step(d.AttemptProgress(open_one, 0, api.ProgressKind.PROGRESS, 0.5))
+    assert life.core.fault_count == 1 and life.answers(open_one) and life.answers(unsafe)
+    assert life.core.gateway.workload_estimates.estimators[0].exec_time() == pytest.approx(0.05, rel=0.05)
     life.pass_time(1.7)
-    waits, again = life.submit(key=5), life.submit(cls=1, identity=b"u")
+    waits, again = life.submit(ordering_key=5), life.submit(cls=1, idempotency_key=b"u")
     assert not life.sends(waits) and not life.sends(again)
     life.pass_time(0.4)
     assert life.sends(waits)
@@ -765,8 +783,8 @@
     after = ill_engine().killed()
     after.engines(4)
     for n in range(30):
-        after.done(after.submit(identity=b"%d" % n), elapsed=0.03)
-    after.step(d.Forget((What.CLASSES,)))
+        after.done(after.submit(idempotency_key=b"%d" % n), elapsed=0.03)
+    after.step(d.PurgeLearnedState((PurgeCategory.CLASSES,)))
     after.pass_time(3.0)
     path = tmp_path / "record"
     path.write_bytes(after.record.getvalue())
@@ -776,14 +794,17 @@
 
 def test_an_operator_may_have_a_running_gateway_forget():
     life = ill_engine()
-    life.step(d.Forget((What.CLASSES, What.ENGINES)))
+    life.step(d.PurgeLearnedState((PurgeCategory.CLASSES, PurgeCategory.ENGINES)))
     life.pass_time(1.0)
     gateway = life.core.gateway
-    assert not gateway.fleet.engines[engine_id(0)].is_ejected and gateway.classes.learned[0].answer_count == 0
+    assert (
+        not gateway.fleet.engines[engine_id(0)].is_ejected
+        and gateway.workload_estimates.estimators[0].answer_count == 0
+    )
     assert k.CLASS + b"short" not in life.folder
     after = life.killed()
     after.engines(4)
-    assert after.core.gateway.classes.learned[0].answer_count == 0
+    assert after.core.gateway.workload_estimates.estimators[0].answer_count == 0
 
 
 def test_a_folder_that_comes_free_later_is_taken_in_while_the_gateway_runs(tmp_path: Path):
@@ -793,21 +814,26 @@
     old.engines(4)
     for _ in range(30):
         old.done(old.submit(cls=1), elapsed=0.05)
-    old.submit(cls=0, identity=b"mine")
-    old.submit(cls=1, key=3)
+    old.submit(cls=0, idempotency_key=b"mine")
+    old.submit(cls=1, ordering_key=3)
     old.pass_time(1.0)
-    new = Life(old.settings, {}, replace(HERE, mono=old.now))
+    new = Life(old.settings, {}, replace(HERE, monotonic_s=old.now))
     core = d.Dispatcher(old.settings, 1)
     new.core, new.effects = core, []
     new.engines(4)
     new.submit(cls=0)
     old.sign()
     new.folder = dict(old.folder)
-    new.step(d.Attach(Memory(tuple(old.folder.items()), replace(HERE, mono=old.now + 0.5))), after=0.5)
-    again, waits = new.submit(cls=0, identity=b"mine"), new.submit(cls=1, key=3)
+    new.step(
+        d.AttachLearnedState(
+            PersistedState(tuple(old.folder.items()), replace(HERE, monotonic_s=old.now + 0.5))
+        ),
+        after=0.5,
+    )
+    again, waits = new.submit(cls=0, idempotency_key=b"mine"), new.submit(cls=1, ordering_key=3)
     new.pass_time(0.5)
     assert not new.sends(again) and not new.sends(waits)
-    assert core.gateway.classes.learned[1].exec_time() == pytest.approx(0.05, rel=0.05)
+    assert core.gateway.workload_estimates.estimators[1].exec_time() == pytest.approx(0.05, rel=0.05)
     assert {k.SENT + b"mine", k.CLASS + b"ordered"} <= set(new.folder)  # kept on, by the new one
 
 
@@ -819,15 +845,15 @@
         settings = make_settings(
             guarantees=replace(COLD, ordering_cooldown=2.0, retry_budget_base=2.0, retry_budget_window=9.0)
         )
-        life = Life(settings, dict(found.state.items()), Moment(5000.5, 1.7e9 + 0.5, "boot", "place"))
+        life = Life(settings, dict(found.state.items()), Timestamp(5000.5, 1.7e9 + 0.5, "boot", "place"))
         life.list(api.EngineEntry(engine_id(0), EngineState.READY))
-        summary = life.core.keeper.summary
+        summary = life.core.checkpointer.summary
         assert summary.notes == [] and summary.exact and summary.classes == {"short": weigh.MASS_MOST}
         assert (summary.engines, summary.requests, summary.orders) == (1, 1, 1)
         gateway = life.core.gateway
         assert (
             gateway.fleet.engines[engine_id(0)].is_ejected
-            and len(gateway.answers.permits.ration.retries) == 1
+            and len(gateway.completion.retry_policy.budget.retries) == 1
         )
         changed = life.folder[k.CLASS + b"short"]
         assert changed.version == k.VERSIONS[k.CLASS]  # written anew as of this version
@@ -836,7 +862,9 @@
 def test_a_folder_of_another_gateway_counts_less_and_is_not_exact():
     life = taught()
     settings = replace(life.settings, gateway_count=2, gateway_index=1)
-    recall = Recall(settings, Memory(tuple(life.folder.items()), replace(HERE, mono=life.now + 0.1)))
+    recall = StateRestorer(
+        settings, PersistedState(tuple(life.folder.items()), replace(HERE, monotonic_s=life.now + 0.1))
+    )
     assert not recall.trust.exact and recall.trust.factor == weigh.OTHER_PLACE
     assert "gateway 0 of 1" in recall.summary.notes[0]
 
@@ -865,18 +893,18 @@
         )
         life = Life(settings, {}, seed=seed)
         for number in range(6):
-            started = HERE.mono - 5.0 + number
+            started = HERE.monotonic_s - 5.0 + number
             life.list(
                 *(api.EngineEntry(engine_id(n), EngineState.READY, started_at=started) for n in range(4))
             )
             for step in range(draw.randrange(5, 60)):
                 kind = draw.randrange(3)
                 name = b"%d-%d-%d" % (seed, number, step) if draw.random() < 0.7 else b"same"
-                life.submit(kind, key=draw.randrange(3), identity=name if kind else b"")
+                life.submit(kind, ordering_key=draw.randrange(3), idempotency_key=name if kind else b"")
                 out = [e for e in life.sends() if not life.answers(e.request)]
                 if out:
                     one = draw.choice(out)
                     life.done(one.request, draw.choice(list(Outcome)), draw.random() * 0.3, one.attempt)
                 life.pass_time(draw.random() * 0.2)
-            assert life.core.faults == 0
+            assert life.core.fault_count == 0
             life = draw.choice([life.killed, life.stopped])(gap=draw.choice([0.2, 2.0, 100.0]))
--- a/tests/test_many_gateways.py
+++ b/tests/test_many_gateways.py
@@ -74,7 +74,7 @@
 
 def test_one_gateway_and_forty_engines_place_at_home_and_spread_under_load() -> None:
     driver = many(1)[0]
-    home = [e.id for e in driver.gateway.placement.rooms.order(3.0)[:2]]
+    home = [e.id for e in driver.gateway.engine_selector.eligibility.rendezvous_order(3.0)[:2]]
     assert driver.sends(driver.ask(table_group=3.0))[0].engine in home
     used = {driver.sends(driver.ask(table_group=3.0))[0].engine for _ in range(60)}
     assert len(used) > 10
@@ -143,7 +143,7 @@
     driver = many(1)[0]
     dead = list(driver.gateway.fleet.engines.values())[:15]
     for engine in dead:
-        driver.gateway.health.condemn(engine, "failing")
+        driver.gateway.outlier_detector.condemn(engine, "failing")
     trials = 0
     for i in range(100):
         driver.now += 0.5
@@ -193,10 +193,10 @@
     sender.ask(cls=1)
     for told in sender.of_kind(api.SendGossip):
         receiver.step(api.PeerMessage(0, told.data))
-    assert receiver.gateway.telling.board.threads > 0.0
+    assert receiver.gateway.load_gossip.peer_load.threads > 0.0
     receiver.now += 120.0
     receiver.ask()
-    assert receiver.gateway.telling.board.threads == 0.0
+    assert receiver.gateway.load_gossip.peer_load.threads == 0.0
 
 
 def test_a_fleet_at_work_tells_every_heavy_query() -> None:
@@ -209,13 +209,13 @@
                 number, 3, False, 7, 20.0, 0.0, messages.engine_digest(engines[number])
             )
             driver.step(api.PeerMessage(sender, messages.encode(told)))
-    assert driver.gateway.telling.board.threads == 3.0 * 4 * 230
+    assert driver.gateway.load_gossip.peer_load.threads == 3.0 * 4 * 230
     assert driver.sends(driver.ask(cls=1)) and len(driver.of_kind(api.SendGossip)) == 1
-    known = driver.gateway.classes.learned[1]
+    known = driver.gateway.workload_estimates.estimators[1]
     known.work_total = known.uncontended_work_total = (
-        HEAVY * 1.01 * driver.gateway.classes.usual()[0] * SEED_ANSWERS
+        HEAVY * 1.01 * driver.gateway.workload_estimates.mean_query()[0] * SEED_ANSWERS
     )
-    assert driver.gateway.classes.heavy(driver.gateway.owed.requests[driver.next_request])
+    assert driver.gateway.workload_estimates.is_heavy(driver.gateway.pending.requests[driver.next_request])
     assert (
         driver.sends(driver.ask(cls=1)) and len(driver.of_kind(api.SendGossip)) == 1
     )  # the lightest of many
@@ -275,14 +275,17 @@
 def test_odd_messages_teach_nothing(sender: int, data: bytes) -> None:
     driver = telling(1)
     driver.step(api.PeerMessage(sender, data))
-    assert driver.gateway.telling.board.threads == 0.0 and not driver.gateway.telling.board.entries
+    assert (
+        driver.gateway.load_gossip.peer_load.threads == 0.0
+        and not driver.gateway.load_gossip.peer_load.entries
+    )
 
 
 def test_a_replayed_message_counts_once() -> None:
     driver = telling(1)
     for _ in range(5):
         driver.step(api.PeerMessage(0, START))
-    assert driver.gateway.telling.board.threads == 4.0
+    assert driver.gateway.load_gossip.peer_load.threads == 4.0
 
 
 @pytest.mark.parametrize("report", [(), (1.0,), (math.nan,) * 4, (1e30, -5.0, math.inf, 0.0, 7.0)])
@@ -401,4 +404,4 @@
     for _ in range(60):
         driver.end(driver.ask(), Outcome.OK, elapsed=0.2)
         driver.end(driver.ask(), Outcome.CANCELLED, elapsed=3.0, is_final=True)
-    assert driver.gateway.classes.learned[0].work() > 1.0
+    assert driver.gateway.workload_estimates.estimators[0].work() > 1.0
--- a/tests/test_missing_signals.py
+++ b/tests/test_missing_signals.py
@@ -8,7 +8,7 @@
 
 from saffronlane import interface as api
 from saffronlane.interface import Outcome
-from saffronlane.policy.routing.engine_selection import Placement
+from saffronlane.policy.routing.engine_selection import EngineSelector
 from saffronlane.policy.scheduling.concurrency_limit import PRESSED
 
 REPORTING = {"report_columns": ("cpu", "active")}
@@ -24,7 +24,7 @@
     for _ in range(40):
         answer(driver, elapsed=3.0, active=40.0)
         driver.now += 0.1
-    assert driver.gateway.pressure.crowd > PRESSED
+    assert driver.gateway.concurrency_limit.latency_inflation > PRESSED
     sent = len(driver.sends())
     driver.step(*(driver.arrival(remaining=5.0) for _ in range(100)))
     assert 0 < len(driver.sends()) - sent < 50
@@ -35,7 +35,7 @@
     for _ in range(40):
         answer(driver, elapsed=3.0, active=4.0)
         driver.now += 0.1
-    assert driver.gateway.pressure.crowd < PRESSED / 2.0
+    assert driver.gateway.concurrency_limit.latency_inflation < PRESSED / 2.0
 
 
 def test_exec_time_is_capped_against_calm_time_though_all_answers_are_late() -> None:
@@ -43,7 +43,7 @@
     driver = Driver(make_settings(**REPORTING), engines=2)
     for _ in range(100):
         answer(driver, elapsed=4.0, active=64.0)
-    assert driver.gateway.classes.learned[0].exec_time() <= 2.0
+    assert driver.gateway.workload_estimates.estimators[0].exec_time() <= 2.0
 
 
 def test_absurd_reports_change_nothing() -> None:
@@ -52,8 +52,14 @@
         for _ in range(20):
             answer(driver, elapsed=0.5, active=active)
             plain.end(plain.ask(), Outcome.OK, elapsed=0.5)
-        assert driver.gateway.pressure.crowd == plain.gateway.pressure.crowd
-        assert driver.gateway.classes.learned[0].exec_time() == plain.gateway.classes.learned[0].exec_time()
+        assert (
+            driver.gateway.concurrency_limit.latency_inflation
+            == plain.gateway.concurrency_limit.latency_inflation
+        )
+        assert (
+            driver.gateway.workload_estimates.estimators[0].exec_time()
+            == plain.gateway.workload_estimates.estimators[0].exec_time()
+        )
 
 
 def test_no_advice_to_come_back_where_clients_do_not_get_it() -> None:
@@ -73,18 +79,18 @@
     driver = Driver(make_settings(), engines=4)
     requests = [driver.ask() for _ in range(60)]
     for request in requests:
-        driver.gateway.pressure.limit = 0.0
+        driver.gateway.concurrency_limit.limit = 0.0
         driver.end(request, Outcome.ERROR)
-    assert len(driver.gateway.owed.queued) > 40
+    assert len(driver.gateway.pending.queued) > 40
     tried: list[int] = []
-    place = Placement.place
+    place = EngineSelector.select
 
-    def counted(placement: Placement, job: object) -> object:
+    def counted(placement: EngineSelector, job: object) -> object:
         tried.append(1)
         return place(placement, job)
 
-    monkeypatch.setattr(Placement, "place", counted)
-    driver.gateway.own.threads_by_class[0], driver.gateway.pressure.limit = 100.0, 1.0
+    monkeypatch.setattr(EngineSelector, "select", counted)
+    driver.gateway.in_flight.threads_by_class[0], driver.gateway.concurrency_limit.limit = 100.0, 1.0
     driver.step(driver.arrival())
     assert 1 <= len(tried) <= 3
 
@@ -106,7 +112,7 @@
     driver = Driver(make_settings(gateway_count=100, **REPORTING), engines=3)
     for index in range(3):
         engine = driver.gateway.fleet.engines[engine_id(index)]
-        driver.gateway.reports.take(engine, (1.0, 4.0 if index else 60.0))
+        driver.gateway.load_reports.record(engine, (1.0, 4.0 if index else 60.0))
     requests = [driver.ask(table_group=float(i)) for i in range(30)]
     assert engine_id(0) not in {driver.sends(r)[0].engine for r in requests}
     driver.now += 120.0
@@ -169,11 +175,14 @@
 def test_a_new_engine_counts_as_empty_not_as_loaded_like_the_mean() -> None:
     driver = Driver(make_settings(gateway_count=100, **REPORTING), engines=3)
     for index in range(3):
-        driver.gateway.reports.take(driver.gateway.fleet.engines[engine_id(index)], (1.0, 20.0))
+        driver.gateway.load_reports.record(driver.gateway.fleet.engines[engine_id(index)], (1.0, 20.0))
     entry = api.EngineEntry(engine_id(7), api.EngineState.READY, started_at=driver.now)
     driver.list([entry], api.EndpointListMode.DELTA)
     fresh, *others = (driver.gateway.fleet.engines[engine_id(i)] for i in (7, 0, 1, 2))
-    assert driver.gateway.placement.load(fresh) < min(map(driver.gateway.placement.load, others)) / 4.0
+    assert (
+        driver.gateway.engine_selector.load(fresh)
+        < min(map(driver.gateway.engine_selector.load, others)) / 4.0
+    )
 
 
 # --- zones and tenants ---
@@ -204,13 +213,13 @@
 def test_a_tenant_beyond_its_allowance_yields_while_engines_are_full() -> None:
     """One tenant's surge must not take the others' service; what is within its allowance stays."""
     driver = tenant_driver()
-    driver.gateway.pressure.limit = 4.0
+    driver.gateway.concurrency_limit.limit = 4.0
     surge = [driver.arrival(tenant=1) for _ in range(80)]
     steady = [driver.arrival(tenant=0) for _ in range(10)]
     driver.step(*surge)
     driver.step(*steady)
     for _ in range(10):
-        out = [a.request.id for a in driver.gateway.own.attempts.values()]
+        out = [a.request.id for a in driver.gateway.in_flight.attempts.values()]
         for request in out:
             driver.end(request, Outcome.OK, elapsed=0.2, work=0.2)
         driver.now += 0.06
--- a/tests/test_ordinary_path.py
+++ b/tests/test_ordinary_path.py
@@ -24,13 +24,13 @@
     driver = Driver(make_settings(**changes), engines=1)
     for _ in range(40):
         driver.end(driver.ask(), Outcome.OK, work=0.1, elapsed=0.1)
-    driver.gateway.pressure.limit = 1.0
+    driver.gateway.concurrency_limit.limit = 1.0
     return driver
 
 
 def test_deadline_is_ten_times_the_exec_time_seeded_to_the_aim(driver: Driver) -> None:
     request = driver.ask(cls=1)
-    assert driver.gateway.owed.requests[request].deadline == pytest.approx(
+    assert driver.gateway.pending.requests[request].deadline == pytest.approx(
         100.0 + 10.0 * REPORT.latency_objective
     )
 
@@ -42,8 +42,10 @@
     blocker = driver.ask(estimated_cost=0.1)
     large, small = driver.arrival(estimated_cost=0.12), driver.arrival(estimated_cost=0.10)
     driver.step(large, small)
-    driver.gateway.owed.requests[large.request].deadline = driver.now + 1.0
-    driver.gateway.owed.requests[small.request].deadline = driver.now + 1.05  # within Gr of the earlier one
+    driver.gateway.pending.requests[large.request].deadline = driver.now + 1.0
+    driver.gateway.pending.requests[small.request].deadline = (
+        driver.now + 1.05
+    )  # within Gr of the earlier one
     driver.end(blocker, Outcome.OK, work=0.1, elapsed=0.1)
     assert driver.sends()[-1].request == small.request
 
@@ -61,9 +63,9 @@
     driver = crowded_driver(classes=(replace(LOOKUP, late_priority_weight=0.5),))
     blocker = driver.ask()
     early = driver.ask()
-    driver.gateway.owed.requests[early].deadline = driver.now + 0.5
+    driver.gateway.pending.requests[early].deadline = driver.now + 0.5
     late = driver.ask(estimated_cost=0.01)
-    driver.gateway.owed.requests[late].deadline = driver.now + 5.0
+    driver.gateway.pending.requests[late].deadline = driver.now + 5.0
     driver.end(blocker, Outcome.OK, work=0.1, elapsed=0.1)
     assert driver.sends()[-1].request == early
 
@@ -96,15 +98,17 @@
     first, second = (Driver(make_settings(gateway_index=p), engines=6, seed=p) for p in (0, 1))
     orders = []
     for tables in range(20):
-        order = [e.id for e in first.gateway.placement.rooms.order(float(tables))]
-        assert order == [e.id for e in second.gateway.placement.rooms.order(float(tables))]
+        order = [e.id for e in first.gateway.engine_selector.eligibility.rendezvous_order(float(tables))]
+        assert order == [
+            e.id for e in second.gateway.engine_selector.eligibility.rendezvous_order(float(tables))
+        ]
         orders.append(order[0])
     assert len(set(orders)) > 2
 
 
 def test_a_table_group_stays_on_its_first_two_engines_and_spills_past_the_limit() -> None:
     driver = Driver(make_settings(), engines=6)
-    home = [e.id for e in driver.gateway.placement.rooms.order(3.0)[:2]]
+    home = [e.id for e in driver.gateway.engine_selector.eligibility.rendezvous_order(3.0)[:2]]
     few = [driver.sends(driver.ask(table_group=3.0))[0].engine for _ in range(3)]
     assert set(few) <= set(home)
     many = [driver.sends(driver.ask(table_group=3.0))[0].engine for _ in range(30)]
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -68,11 +68,11 @@
         )
         super().__init__(settings, 1)
         self.ends: list[d.AttemptDone] = []
-        self.notes: list[d.AttemptNote] = []
+        self.notes: list[d.AttemptProgress] = []
 
     def step(self, now: float, inputs: list[d.Input]) -> list[d.Effect]:
         self.ends += [i for i in inputs if isinstance(i, d.AttemptDone)]
-        self.notes += [i for i in inputs if isinstance(i, d.AttemptNote)]
+        self.notes += [i for i in inputs if isinstance(i, d.AttemptProgress)]
         return super().step(now, inputs)
 
 
@@ -180,7 +180,7 @@
         call.trailers = ((orca.TRAILER, report.SerializeToString()),)
 
     end = outcome_of(handler)
-    assert (end.outcome, end.work, end.memory_mb, end.report) == (Outcome.OK, 0.25, 7.0, (3.0, 0.5))
+    assert (end.outcome, end.work, end.memory_mb, end.load_report) == (Outcome.OK, 0.25, 7.0, (3.0, 0.5))
 
 
 def test_a_refused_connection_never_ran() -> None:
@@ -248,7 +248,7 @@
 )
 def test_an_engines_error(status: Status, outcome: Outcome, fault: bool) -> None:
     end = outcome_of(ends_with(status))
-    assert (end.outcome, end.fault) == (outcome, fault)
+    assert (end.outcome, end.is_query_fault) == (outcome, fault)
 
 
 def test_what_is_no_protobuf_is_an_error_of_the_engine() -> None:
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -13,7 +13,7 @@
 from saffronlane.dispatch.errors import RecordingError
 from saffronlane.dispatch.recording import RecordingWriter, ReplayedStep, _records, replay
 from saffronlane.dispatch.recording_schema import VERSION, decode, decode_input, encode, encode_input
-from saffronlane.learned_state import Memory
+from saffronlane.learned_state import PersistedState
 
 RECORDINGS = sorted(Path(__file__).parent.glob("fixtures/recordings/*.record"))
 EFFECTS_RECORDED = {
@@ -57,7 +57,7 @@
     """Decoded and encoded again, every input and the settings are the bytes of the recording."""
     header, *steps = _records(io.BytesIO(path.read_bytes()))
     assert encode(decode(header[0], api.Settings)) == header[0]
-    assert header[3] is None or encode(decode(header[3], Memory)) == header[3]
+    assert header[3] is None or encode(decode(header[3], PersistedState)) == header[3]
     for _, inputs, _ in steps:
         for name, fields in inputs:
             assert repr(encode_input(decode_input(name, fields))) == repr([name, fields])
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -28,11 +28,11 @@
 
 def test_a_long_queue_of_one_class_is_not_tried_engine_by_engine(monkeypatch: pytest.MonkeyPatch) -> None:
     driver = warmed()
-    driver.gateway.pressure.limit = 0.5
+    driver.gateway.concurrency_limit.limit = 0.5
     driver.step(*(driver.arrival() for _ in range(300)))
     calls = []
-    place = driver.gateway.placement.place
-    monkeypatch.setattr(driver.gateway.placement, "place", lambda job: calls.append(job) or place(job))
+    place = driver.gateway.engine_selector.select
+    monkeypatch.setattr(driver.gateway.engine_selector, "select", lambda job: calls.append(job) or place(job))
     driver.step()
     assert len(calls) <= 2
 
@@ -45,7 +45,7 @@
 
 
 def test_errors_condemn_an_engine_and_trials_bring_it_back(driver: Driver) -> None:
-    bad = driver.gateway.placement.rooms.order(0.0)[0]
+    bad = driver.gateway.engine_selector.eligibility.rendezvous_order(0.0)[0]
     for _ in range(100):
         request = driver.ask(table_group=0.0)
         if driver.sends(request)[0].engine == bad.id:
@@ -70,8 +70,8 @@
 
 def test_no_verdict_binds_when_most_engines_look_ill(driver: Driver) -> None:
     for engine in list(driver.gateway.fleet.engines.values())[:3]:
-        driver.gateway.health.condemn(engine, "failing")
-    driver.gateway.health.trust()
+        driver.gateway.outlier_detector.condemn(engine, "failing")
+    driver.gateway.outlier_detector.update_panic_mode()
     used = {driver.sends(driver.ask(table_group=float(i)))[0].engine for i in range(12)}
     assert len(used) > 1
 
@@ -88,16 +88,16 @@
         engine = driver.sends(other)[0].engine
         driver.step(api.ProgressReport(other, 0, engine, ProgressKind.PROGRESS, 0.9))
     assert silent.is_ejected and driver.of_kind(api.Cancel, request)
-    driver.gateway.health.ended(late, Outcome.OK)
+    driver.gateway.outlier_detector.ended(late, Outcome.OK)
     assert not silent.is_ejected
 
 
 def test_engine_with_only_a_long_query_is_not_silent_where_no_notes_come() -> None:
     driver = Driver(make_settings(classes=(LOOKUP, replace(REPORT, latency_objective=3.0))), engines=4)
-    first = driver.gateway.placement.rooms.order(0.0)[0].id
+    first = driver.gateway.engine_selector.eligibility.rendezvous_order(0.0)[0].id
     long = driver.ask(cls=1, table_group=0.0)
     assert driver.sends(long)[0].engine == first
-    order = driver.gateway.placement.rooms.order
+    order = driver.gateway.engine_selector.eligibility.rendezvous_order
     others = [t for t in map(float, range(1, 40)) if first not in [e.id for e in order(t)[:2]]]
     for _ in range(20):
         requests = [driver.ask(table_group=tables) for tables in others[:4]]
@@ -127,7 +127,7 @@
     driver = Driver(make_settings(), engines=4)
     for cls, seconds in ((0, 0.1), (1, 2.0)) * 20:
         driver.end(driver.ask(cls=cls), Outcome.OK, work=seconds, elapsed=seconds)
-    driver.gateway.pressure.limit = 4.0
+    driver.gateway.concurrency_limit.limit = 4.0
     first, second = driver.ask(cls=1), driver.ask(cls=1)
     assert driver.sends(first) and not driver.sends(second)
     assert driver.sends(driver.ask())
@@ -157,7 +157,7 @@
         driver.end(driver.ask(), Outcome.OK, work=0.1, elapsed=0.1)
     for _ in range(150):
         driver.end(driver.ask(), Outcome.OK, work=0.1, elapsed=0.6)
-    assert driver.gateway.pressure.crowd > PRESSED
+    assert driver.gateway.concurrency_limit.latency_inflation > PRESSED
 
 
 def test_engine_back_with_its_old_start_time_counts_as_cold() -> None:
@@ -185,7 +185,7 @@
     driver.now += 0.5
     driver.end(second, Outcome.REJECTED)
     driver.end(first, Outcome.NOT_SENT, attempt=1)
-    assert list(driver.gateway.answers.permits.ration.retries)[0] == 111.5
+    assert list(driver.gateway.completion.retry_policy.budget.retries)[0] == 111.5
 
 
 def test_a_failed_subscription_is_asked_for_again() -> None:
@@ -202,8 +202,8 @@
     driver = Driver(make_settings(classes=classes), engines=3)
     for _ in range(20):
         driver.end(driver.ask(), Outcome.OK, work=0.1, elapsed=0.1)
-    bad = driver.gateway.placement.rooms.order(0.0)[0]
-    driver.gateway.health.condemn(bad, "failing")
+    bad = driver.gateway.engine_selector.eligibility.rendezvous_order(0.0)[0]
+    driver.gateway.outlier_detector.condemn(bad, "failing")
     driver.now += 5.0
     assert driver.sends(driver.ask(cls=0, table_group=0.0))[0].engine != bad.id
     assert driver.sends(driver.ask(cls=1, table_group=0.0))[0].engine == bad.id
@@ -238,7 +238,8 @@
         driver.now += 0.01
         driver.end(driver.ask(), api.Outcome.OK, elapsed=0.5, work=0.05)
     assert (
-        driver.gateway.classes.learned[0].baseline_inflation < 1.5 and driver.gateway.pressure.crowd > PRESSED
+        driver.gateway.workload_estimates.estimators[0].baseline_inflation < 1.5
+        and driver.gateway.concurrency_limit.latency_inflation > PRESSED
     )
 
 
@@ -257,7 +258,7 @@
         request = driver.ask()
         if driver.sends(request):
             driver.end(request, api.Outcome.OK, elapsed=0.2, work=0.05)  # a quarter of its speed
-    assert driver.sends() and driver.gateway.pressure.crowd < PRESSED / 2.0
+    assert driver.sends() and driver.gateway.concurrency_limit.latency_inflation < PRESSED / 2.0
 
 
 def test_a_cold_engine_goes_first_only_while_it_is_not_loaded_beyond_its_part():
