--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -53,16 +53,16 @@
     from saffronlane import gossip_messages as messages
     from saffronlane import interface as api
     from saffronlane.platform.config import Member, Members, parse
-    from saffronlane.platform.discovery.endpoints import Fleet
+    from saffronlane.platform.discovery.endpoints import EndpointTable
 
     base = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0
     data = config(nodes)
     began = time.process_time()
     read = parse(data)
-    fleet = Fleet(read.settings, time.monotonic, time.time)
+    fleet = EndpointTable(read.settings, time.monotonic, time.time)
     core = d.Dispatcher(read.settings, read.seed)
-    for members in read.known:
-        core.step(0.0, [fleet.take(members)[0]])
+    for members in read.known_events:
+        core.step(0.0, [fleet.apply(members)[0]])
     start = time.process_time() - began
 
     now, rounds = 1.0, 50
@@ -71,7 +71,7 @@
         now += 0.01
         phase = ("draining", "up")[n % 2]
         one = Members([Member(f"s-{n // 2 % nodes:08x}", "10.1.0.1:4100", flavor="std", phase=phase)])
-        core.step(now, [fleet.take(one)[0]])
+        core.step(now, [fleet.apply(one)[0]])
     update = (time.process_time() - began) / rounds
 
     def queries(count: int, tables: int) -> float:
--- a/saffronlane/platform/config.py
+++ b/saffronlane/platform/config.py
@@ -69,21 +69,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NodeConfig:
+class DispatcherConfig:
     name: str
     listen: Address
     feed: Address
     seed: int
-    sockets: int
+    max_sockets: int
     memory_mb: float
     cores: float
     peer_listen: Address | None
     peers: tuple[Address, ...]
     peers_all: Address | None
-    last: int  # number of the last event that is known
-    known: tuple[Members, ...]
+    last_sequence: int  # number of the last event that is known
+    known_events: tuple[Members, ...]
     settings: Settings
-    idle_close: float  # seconds after which nodes close idle connections; 0: not told
+    engine_idle_timeout: float  # seconds after which nodes close idle connections; 0: not told
 
 
 def address(text: str, pointer: str) -> Address:
@@ -103,7 +103,7 @@
     return "/" + re.sub(r"[.\[]+", "/", path.replace("]", "")).strip("/") + ": " + _WHERE.sub("", text)
 
 
-def parse(data: bytes) -> NodeConfig:
+def parse(data: bytes) -> DispatcherConfig:
     """Read a configuration. ConfigError says what is wrong and where."""
     try:
         file = msgspec.json.decode(data, type=_File)
@@ -124,25 +124,25 @@
         raise ConfigError(f"/seed: no hexadecimal number: {file.seed!r}") from None
     if file.limits.sockets < 64:
         raise ConfigError(f"/limits/sockets: {file.limits.sockets} is too few, 64 are needed")
-    return NodeConfig(
+    return DispatcherConfig(
         name=file.name,
         listen=address(file.listen, "/listen"),
         feed=address(file.feed, "/feed"),
         seed=seed,
-        sockets=file.limits.sockets,
+        max_sockets=file.limits.sockets,
         memory_mb=file.limits.memory_mb,
         cores=file.limits.cores,
         peer_listen=address(file.peer_listen, "/peer_listen") if file.peer_listen else None,
         peers=tuple(address(peer, f"/peers/{n}") for n, peer in enumerate(file.peers)),
         peers_all=address(file.peers_all, "/peers_all") if file.peers_all else None,
-        last=max([file.known.n, *(event.n or 0 for event in file.known.events)]),
-        known=tuple(event.members for event in file.known.events if event.members is not None),
+        last_sequence=max([file.known.n, *(event.n or 0 for event in file.known.events)]),
+        known_events=tuple(event.members for event in file.known.events if event.members is not None),
         settings=settings,
-        idle_close=idle_close,
+        engine_idle_timeout=idle_close,
     )
 
 
-def load(path: Path) -> NodeConfig:
+def load(path: Path) -> DispatcherConfig:
     """Read a file. ConfigError as above, also where it cannot be read."""
     try:
         data = path.read_bytes()
--- a/saffronlane/platform/discovery/endpoints.py
+++ b/saffronlane/platform/discovery/endpoints.py
@@ -15,7 +15,7 @@
 STATES = {"up": EngineState.READY, "draining": EngineState.DRAINING, "removed": EngineState.REMOVED}
 
 
-class Fleet:
+class EndpointTable:
     """What is listed now. A node that is removed leaves nothing here.
 
     Starts are told in wall time and kept in monotonic time; each is converted once, when it is first seen, so
@@ -37,7 +37,7 @@
         entry = self._listed.get(engine)
         return None if entry is None else entry[0]
 
-    def take(self, event: Members) -> tuple[EndpointListUpdate, list[bytes]]:
+    def apply(self, event: Members) -> tuple[EndpointListUpdate, list[bytes]]:
         """One event of the feed: the update of the list, and the nodes that went with it.
 
         A member that cannot be read is left out and logged: the others must not wait for it.
--- a/saffronlane/platform/downstream/__init__.py
+++ b/saffronlane/platform/downstream/__init__.py
@@ -4,7 +4,7 @@
 cannot be read. Clients that send what is wrong are answered later, so that the others do not wait for them.
 """
 
-from .request_decoder import Asked, Reader
-from .server import Front
+from .request_decoder import DecodedRequest, RequestDecoder
+from .server import DownstreamServer
 
-__all__ = ["Asked", "Front", "Reader"]
+__all__ = ["DecodedRequest", "DownstreamServer", "RequestDecoder"]
--- a/saffronlane/platform/downstream/client_connection.py
+++ b/saffronlane/platform/downstream/client_connection.py
@@ -9,50 +9,56 @@
 import structlog
 
 from ... import msgpackrpc as rpc
-from ..errors import BadRequest
+from ..errors import BadRequestError
 from ..lifecycle import Bounds, Connection, Event
 from ..managed_connection import Endpoint
 from ..stream import Stream
 
 if TYPE_CHECKING:
-    from .server import Front
+    from .server import DownstreamServer
 
 log = structlog.get_logger()
-MOST_MESSAGE = 262_144  # bytes of a request: statements are texts of a person's or a tool's making
-MOST_ITEMS = 256  # of a request: its fields are a dozen
-MOST_OPEN = 32  # requests on one connection, as the protocol has it
-MOST_ANSWER = 49_152  # bytes of an answer: a result has 48,000 at most
-MOST_UNREAD = MOST_OPEN * MOST_ANSWER  # bytes that a client may leave unread: all that it may ask for
-FIRST_WAIT = 2.0  # seconds without a byte, for the first whole message and for the rest of one that has begun
-MESSAGE_WAIT = 10.0  # seconds for the whole of a message, however it trickles
-IDLE = 5.0  # seconds without an open request; clients close theirs after 4
-FAULTS_MOST = 8  # messages that are wrong until the connection is closed
-PENALTY = 0.25  # seconds that the answer to one waits, so that its sender does not send the next at once
+MAX_MESSAGE_BYTES = 262_144  # bytes of a request: statements are texts of a person's or a tool's making
+MAX_MESSAGE_ITEMS = 256  # of a request: its fields are a dozen
+MAX_OPEN_REQUESTS = 32  # requests on one connection, as the protocol has it
+MAX_REPLY_BYTES = 49_152  # bytes of an answer: a result has 48,000 at most
+MAX_UNREAD_BYTES = (
+    MAX_OPEN_REQUESTS * MAX_REPLY_BYTES
+)  # bytes that a client may leave unread: all that it may ask for
+RECEIVE_TIMEOUT = (
+    2.0  # seconds without a byte, for the first whole message and for the rest of one that has begun
+)
+MESSAGE_TIMEOUT = 10.0  # seconds for the whole of a message, however it trickles
+IDLE_TIMEOUT = 5.0  # seconds without an open request; clients close theirs after 4
+MAX_FAULTS = 8  # messages that are wrong until the connection is closed
+FAULT_REPLY_DELAY = (
+    0.25  # seconds that the answer to one waits, so that its sender does not send the next at once
+)
 SHED, FAULT = "Shed", "Fault"
-BOUNDS = Bounds(stall=IDLE)
+BOUNDS = Bounds(stall=IDLE_TIMEOUT)
 
 
-class Reply:
+class ReplyChannel:
     """Where the answer to one request goes."""
 
-    __slots__ = ("client", "msgid", "rid")
+    __slots__ = ("client", "message_id", "request_id")
 
     def __init__(self, client: ClientConnection, msgid: int, rid: bytes) -> None:
-        self.client, self.msgid, self.rid = client, msgid, rid
+        self.client, self.message_id, self.request_id = client, msgid, rid
 
     @property
     def unread(self) -> bool:
         return self.client.unheard
 
     def served(self, body: bytes) -> None:
-        self.client.answer(self, rpc.Reply(self.msgid, None, {}, body))
+        self.client.answer(self, rpc.Reply(self.message_id, None, {}, body))
 
     def refused(self, retry_after: float) -> None:
         fields = {"backoff": str(max(1, round(retry_after * 1000.0)))} if retry_after > 0.0 else {}
-        self.client.answer(self, rpc.Reply(self.msgid, SHED, fields))
+        self.client.answer(self, rpc.Reply(self.message_id, SHED, fields))
 
     def failed(self, why: str) -> None:
-        self.client.answer(self, rpc.Reply(self.msgid, FAULT, {}))
+        self.client.answer(self, rpc.Reply(self.message_id, FAULT, {}))
 
 
 class ClientConnection(Endpoint):
@@ -62,32 +68,34 @@
     client takes back, is known at once, and nothing is sent on for one that has gone.
     """
 
-    def __init__(self, front: Front, connection: socket.socket) -> None:
+    def __init__(self, front: DownstreamServer, connection: socket.socket) -> None:
         loop = asyncio.get_running_loop()
-        stream = Stream(connection, 2 * MOST_MESSAGE, MOST_UNREAD)
+        stream = Stream(connection, 2 * MAX_MESSAGE_BYTES, MAX_UNREAD_BYTES)
         stream.set_nodelay(True)
         super().__init__(stream, Connection(BOUNDS, loop.time()))
-        self.front = front
-        self.open: dict[int, tuple[int, bytes]] = {}  # request and its id by message id
-        self.since = self.quiet_since = self.partial_since = self.heard_at = loop.time()
-        self.spoke = False
-        self.asked = 0  # requests taken
-        self.faults = 0
-        self.scanner = rpc.Scanner(MOST_MESSAGE, MOST_ITEMS)
-        self._readable = True  # bytes are where a message may begin
-        self._out: list[bytes] = []
-        self._late: dict[asyncio.TimerHandle, bytes] = {}  # answers to faults, until their penalty is over
+        self.server = front
+        self.open_requests: dict[int, tuple[int, bytes]] = {}  # request and its id by message id
+        self.opened_at = self.idle_since = self.message_started_at = self.last_received_at = loop.time()
+        self.has_sent_message = False
+        self.request_count = 0  # requests taken
+        self.fault_count = 0
+        self.scanner = rpc.Scanner(MAX_MESSAGE_BYTES, MAX_MESSAGE_ITEMS)
+        self._is_readable = True  # bytes are where a message may begin
+        self._output: list[bytes] = []
+        self._delayed_faults: dict[
+            asyncio.TimerHandle, bytes
+        ] = {}  # answers to faults, until their penalty is over
 
     # --- reading ---
 
     def take(self, data: bytes) -> None:
-        if not self._readable:
+        if not self._is_readable:
             return
-        self.heard_at = self.loop.time()
+        self.last_received_at = self.loop.time()
         began = not self.scanner.pending
         messages, error = self.scanner.feed(data)
         if began or messages:
-            self.partial_since = self.heard_at
+            self.message_started_at = self.last_received_at
         for message in messages:
             if not self.life.acts:
                 return
@@ -99,130 +107,130 @@
                 self.drain("message failed")
         if error is not None:
             log.debug("unreadable client", why=str(error))
-            self._readable = False
+            self._is_readable = False
             self.drain("unreadable")
 
     def _on_message(self, message: bytes) -> None:
         try:
             called = rpc.read(message)
         except rpc.Malformed as error:
-            self._fault(error.id, str(error))
+            self._on_fault(error.id, str(error))
             return
-        if not self.spoke:
-            self.spoke = True
-            self._at_rest()
+        if not self.has_sent_message:
+            self.has_sent_message = True
+            self._update_idle()
         if isinstance(called, rpc.Notice):
             for msgid in called.ids if called.method == "forget" else ():
-                self._forget(msgid)
+                self._on_cancel(msgid)
         elif not self.life.takes:
             return  # it has sent too much that is wrong; what it has open is answered
         elif called.method == "isWell":
-            self.write(rpc.reply(rpc.Reply(called.id, None, {}, self.front.well())))
-            self._at_rest()
+            self.write(rpc.reply(rpc.Reply(called.id, None, {}, self.server.is_healthy())))
+            self._update_idle()
         else:
             self._on_call(called)
 
     def _on_call(self, call: rpc.Call) -> None:
-        if call.id in self.open:
+        if call.id in self.open_requests:
             # Which of the two an answer would be for, nobody can tell: neither gets one.
             self.abort("two requests under one number")
             return
-        if len(self.open) >= MOST_OPEN:
-            self._fault(call.id, f"more than {MOST_OPEN} requests open")
+        if len(self.open_requests) >= MAX_OPEN_REQUESTS:
+            self._on_fault(call.id, f"more than {MAX_OPEN_REQUESTS} requests open")
             return
         try:
-            asked = self.front.reader.read(call)
-            if asked.statement.id in self.front.ids:
-                raise BadRequest("rid: it is open already")
-        except BadRequest as error:
-            self._fault(call.id, str(error))
+            asked = self.server.decoder.decode(call)
+            if asked.statement.request_id in self.server.open_request_ids:
+                raise BadRequestError("rid: it is open already")
+        except BadRequestError as error:
+            self._on_fault(call.id, str(error))
             return
-        number = self.front.submit(asked, Reply(self, call.id, asked.statement.id))
-        self.open[call.id] = (number, asked.statement.id)
-        self.asked += 1
-        self.front.room.busy(self)
+        number = self.server.submit(asked, ReplyChannel(self, call.id, asked.statement.request_id))
+        self.open_requests[call.id] = (number, asked.statement.request_id)
+        self.request_count += 1
+        self.server.eviction.mark_busy(self)
 
-    def _forget(self, msgid: int) -> None:
-        number, rid = self.open.pop(msgid, (0, b""))
+    def _on_cancel(self, msgid: int) -> None:
+        number, rid = self.open_requests.pop(msgid, (0, b""))
         if number:
-            self.front.gone(number, rid)
-            self._at_rest()
+            self.server.cancel(number, rid)
+            self._update_idle()
 
-    def _fault(self, msgid: int | None, why: str) -> None:
+    def _on_fault(self, msgid: int | None, why: str) -> None:
         """Answer what is wrong, later than what is right; past a few, take no more."""
-        self.faults += 1
-        self.front.faults += 1
+        self.fault_count += 1
+        self.server.fault_count += 1
         log.debug("bad message", why=why)
         if msgid is not None:
             data = rpc.reply(rpc.Reply(msgid, FAULT, {}))
-            timer = self.loop.call_later(PENALTY, self._on_penalty_over)
-            self._late[timer] = data
-            self.front.room.busy(self)
-        if self.faults >= FAULTS_MOST or msgid is None:
-            self._end_penalties()
+            timer = self.loop.call_later(FAULT_REPLY_DELAY, self._on_penalty_over)
+            self._delayed_faults[timer] = data
+            self.server.eviction.mark_busy(self)
+        if self.fault_count >= MAX_FAULTS or msgid is None:
+            self._flush_delayed_faults()
             self.drain("too much that is wrong")
 
     def _on_penalty_over(self) -> None:
-        timer = next(iter(self._late))  # they are as long as each other: the first is over first
-        self.write(self._late.pop(timer))
-        self._at_rest()
+        timer = next(iter(self._delayed_faults))  # they are as long as each other: the first is over first
+        self.write(self._delayed_faults.pop(timer))
+        self._update_idle()
 
-    def _end_penalties(self) -> None:
-        for timer, data in self._late.items():
+    def _flush_delayed_faults(self) -> None:
+        for timer, data in self._delayed_faults.items():
             timer.cancel()
             self.write(data)
-        self._late.clear()
+        self._delayed_faults.clear()
 
     # --- answering ---
 
     @property
     def owed(self) -> bool:
-        return bool(self.open or self._late)
+        return bool(self.open_requests or self._delayed_faults)
 
-    def answer(self, reply: Reply, answer: rpc.Reply) -> None:
-        if self.open.pop(reply.msgid, None) is not None:
-            self.front.ids.discard(reply.rid)
+    def answer(self, reply: ReplyChannel, answer: rpc.Reply) -> None:
+        if self.open_requests.pop(reply.message_id, None) is not None:
+            self.server.open_request_ids.discard(reply.request_id)
             self.write(rpc.reply(answer))
-            self._at_rest()
+            self._update_idle()
 
-    def _at_rest(self) -> None:
+    def _update_idle(self) -> None:
         if not self.owed:
-            self.quiet_since = self.loop.time()
-            self.front.room.rests(self)
+            self.idle_since = self.loop.time()
+            self.server.eviction.mark_idle(self)
         self.settle()
 
     def write(self, data: bytes) -> None:
         """Leaves at the end of this turn of the loop with all else that does, in one piece."""
-        self._out.append(data)
+        self._output.append(data)
         self.pour_soon()
 
     def pour(self) -> None:
-        if self._out and not self.stream.closed():
-            out, self._out = self._out, []
+        if self._output and not self.stream.closed():
+            out, self._output = self._output, []
             self.hand_over(b"".join(out))
 
     @property
     def queued(self) -> bool:
-        return bool(self._out) and not self.stream.closed()
+        return bool(self._output) and not self.stream.closed()
 
     # --- ending ---
 
     def drain(self, why: str) -> None:
-        self._end_penalties()
+        self._flush_delayed_faults()
         super().drain(why)
 
     def move(self, event: Event, why: str) -> None:
         super().move(event, why)
         if not (self.life.takes or self.life.closed):
-            self.front.room.closes(self)
+            self.server.eviction.mark_closing(self)
 
     @property
-    def at_rest(self) -> bool:
+    def is_idle(self) -> bool:
         """Nothing is open, under way, unwritten or unheard."""
         under_way = self.owed or self.scanner.pending or self.unwritten or self.unheard
         return self.life.takes and not under_way
 
-    def look(self, now: float) -> None:
+    def check_timeouts(self, now: float) -> None:
         """What only the absence of bytes can tell."""
         if self.unwritten:
             if self.unmoved() > BOUNDS.stall:
@@ -230,36 +238,38 @@
         elif not self.life.takes:
             return  # on its way out, within bounds of its own
         elif self.scanner.pending:
-            if self._unfinished(now):
-                self.once_read(self._leave_unfinished)
-        elif not self.spoke and not self.owed:
-            if now > self.since + FIRST_WAIT:
-                self.once_read(self._leave_idle)
-        elif now > self.quiet_since + IDLE:
-            self.once_read(self._leave_idle)
-
-    def _unfinished(self, now: float) -> bool:
+            if self._message_timed_out(now):
+                self.once_read(self._drain_unfinished)
+        elif not self.has_sent_message and not self.owed:
+            if now > self.opened_at + RECEIVE_TIMEOUT:
+                self.once_read(self._drain_idle)
+        elif now > self.idle_since + IDLE_TIMEOUT:
+            self.once_read(self._drain_idle)
+
+    def _message_timed_out(self, now: float) -> bool:
         """Whether the rest of a message has had its time."""
-        late = now > self.heard_at + FIRST_WAIT or now > self.partial_since + MESSAGE_WAIT
+        late = (
+            now > self.last_received_at + RECEIVE_TIMEOUT or now > self.message_started_at + MESSAGE_TIMEOUT
+        )
         return bool(self.scanner.pending) and late
 
-    def _leave_unfinished(self) -> None:
+    def _drain_unfinished(self) -> None:
         """A message whose rest does not come: what is open is answered, and nothing more is read."""
-        if self._unfinished(self.loop.time()) and not self.unheard:
-            self._readable = False
+        if self._message_timed_out(self.loop.time()) and not self.unheard:
+            self._is_readable = False
             self.drain("a message stopped short")
 
-    def _leave_idle(self) -> None:
-        if self.at_rest:
+    def _drain_idle(self) -> None:
+        if self.is_idle:
             self.drain("idle")
 
     def on_closed(self, event: Event, why: str) -> None:
         """Its client has gone, or is not wanted: nobody waits for what is open here."""
-        for timer in self._late:
+        for timer in self._delayed_faults:
             timer.cancel()
-        self._late.clear()
-        for number, rid in self.open.values():
-            self.front.gone(number, rid)
-        self.open.clear()
-        self._out.clear()
-        self.front.dropped(self)
+        self._delayed_faults.clear()
+        for number, rid in self.open_requests.values():
+            self.server.cancel(number, rid)
+        self.open_requests.clear()
+        self._output.clear()
+        self.server.on_connection_closed(self)
--- a/saffronlane/platform/downstream/request_decoder.py
+++ b/saffronlane/platform/downstream/request_decoder.py
@@ -7,7 +7,7 @@
 
 from ... import msgpackrpc as rpc
 from ...interface import ClassSettings, Idempotency, Settings
-from ..errors import BadRequest
+from ..errors import BadRequestError
 from ..sql_tables import table_group
 from ..statement import Statement
 
@@ -18,20 +18,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class DecodedRequest:
     """A request read: what goes to compute nodes, and what the dispatcher is told."""
 
     statement: Statement
-    cls: int
-    tenant: int
-    remaining: float
-    key: int
-    cost: float
+    class_index: int
+    tenant_index: int
+    timeout: float
+    ordering_key: int
+    estimated_work: float
     memory_mb: float
-    tables: float
+    table_group: float
 
 
-class Reader:
+class RequestDecoder:
     """Turns calls into requests by the settings' names. BadRequest names the field that is wrong."""
 
     def __init__(self, settings: Settings) -> None:
@@ -39,25 +39,25 @@
         self._tenants = {t.name: n for n, t in enumerate(settings.tenants)}
         self._settings = settings
 
-    def read(self, call: rpc.Call) -> Asked:
+    def decode(self, call: rpc.Call) -> DecodedRequest:
         index = self._classes.get(call.method)
         if index is None:
-            raise BadRequest(f"no such class: {call.method[:40]!r}")
+            raise BadRequestError(f"no such class: {call.method[:40]!r}")
         cls, fields = self._settings.classes[index], call.fields
         name = fields.get("rid", "")
         if not _ID.fullmatch(name):
-            raise BadRequest(f"rid: {name[:40]!r}")
+            raise BadRequestError(f"rid: {name[:40]!r}")
         if call.body is None or not call.body:
-            raise BadRequest("no statement")
+            raise BadRequestError("no statement")
         try:
             call.body.decode()
         except UnicodeDecodeError:
-            raise BadRequest("the statement is no text") from None
+            raise BadRequestError("the statement is no text") from None
         most = MOST_DEADLINES * cls.deadline * 1000.0
         budget = _number(fields, "budget", most)
         if not budget:
-            raise BadRequest("budget: none")
-        return Asked(
+            raise BadRequestError("budget: none")
+        return DecodedRequest(
             Statement(name.encode(), call.method.encode(), call.body, self._token(cls, fields)),
             index,
             self._tenant(fields),
@@ -73,7 +73,7 @@
             return 0
         tenant = self._tenants.get(fields.get("acct", ""))
         if tenant is None:
-            raise BadRequest(f"acct: {fields.get('acct', '')[:40]!r}")
+            raise BadRequestError(f"acct: {fields.get('acct', '')[:40]!r}")
         return tenant
 
     def _token(self, cls: ClassSettings, fields: dict[str, str]) -> bytes:
@@ -81,7 +81,7 @@
         if cls.idempotency is not Idempotency.KEYED:
             return b""
         if not _TOKEN.fullmatch(token):
-            raise BadRequest(f"token: {token[:40]!r}")
+            raise BadRequestError(f"token: {token[:40]!r}")
         return token.encode()
 
     def _key(self, cls: ClassSettings, fields: dict[str, str]) -> int:
@@ -89,7 +89,7 @@
         if not cls.is_ordered or not key:
             return 0
         if not _ID.fullmatch(key):
-            raise BadRequest(f"obj: {key[:40]!r}")
+            raise BadRequestError(f"obj: {key[:40]!r}")
         return int(key, 16)
 
 
@@ -98,5 +98,5 @@
     if text is None:
         return 0.0
     if not _FIGURE.fullmatch(text) or float(text) > most:
-        raise BadRequest(f"{name}: {text[:40]!r}")
+        raise BadRequestError(f"{name}: {text[:40]!r}")
     return float(text)
--- a/saffronlane/platform/downstream/server.py
+++ b/saffronlane/platform/downstream/server.py
@@ -11,20 +11,20 @@
 from ...engines import Executor
 from ...interface import Settings
 from ..config import Address
-from ..descriptors import Shortage
-from .client_connection import ClientConnection, Reply
-from .connection_eviction import Room
+from ..descriptors import DescriptorExhaustion
+from .client_connection import ClientConnection, ReplyChannel
+from .connection_eviction import EvictionOrder
 from .listener import Listener
-from .request_decoder import Asked, Reader
+from .request_decoder import DecodedRequest, RequestDecoder
 
-MOST_PARTIAL = 8_388_608  # bytes of unfinished messages over all connections
-UNREAD_SHARE = 0.25  # of the memory, for answers over all connections that their clients leave unread
-EARLY = 0.9  # of the connections, from which on room is made before it is needed
-LOOK_EVERY = 0.25
-ROOM_AGAIN = 0.02  # seconds until room is looked for again
+MAX_PARTIAL_BYTES = 8_388_608  # bytes of unfinished messages over all connections
+MAX_UNREAD_RATIO = 0.25  # of the memory, for answers over all connections that their clients leave unread
+EARLY_EVICTION_RATIO = 0.9  # of the connections, from which on room is made before it is needed
+SWEEP_INTERVAL = 0.25
+EVICTION_RETRY_INTERVAL = 0.02  # seconds until room is looked for again
 
 
-class Front:
+class DownstreamServer:
     """Listens, and keeps the clients' connections within bounds.
 
     Args:
@@ -40,26 +40,26 @@
         self,
         executor: Executor,
         settings: Settings,
-        most_clients: int,
-        well: Callable[[], bool],
-        shortage: Shortage,
-        memory: float,
+        max_clients: int,
+        is_healthy: Callable[[], bool],
+        shortage: DescriptorExhaustion,
+        memory_bytes: float,
     ) -> None:
-        self.reader = Reader(settings)
+        self.decoder = RequestDecoder(settings)
         self.clients: dict[ClientConnection, None] = {}  # oldest first
-        self.room = Room(most_clients)
-        self.ids: set[bytes] = set()  # of open requests
-        self.faults = 0
-        self.taken = 0
-        self.last_taken = 0.0
-        self.accepted = self.displaced = 0
-        self.well = well
-        self.most_clients = most_clients
+        self.eviction = EvictionOrder(max_clients)
+        self.open_request_ids: set[bytes] = set()  # of open requests
+        self.fault_count = 0
+        self.request_count = 0
+        self.last_request_at = 0.0
+        self.accepted_count = self.evicted_count = 0
+        self.is_healthy = is_healthy
+        self.max_clients = max_clients
         self.listener = Listener(self._on_connection, shortage)
-        self._executor, self._most_unread = executor, UNREAD_SHARE * memory
+        self._executor, self._max_unread_bytes = executor, MAX_UNREAD_RATIO * memory_bytes
         self._loop = asyncio.get_running_loop()
-        self._room_timer: asyncio.TimerHandle | None = None
-        self._look = self._loop.call_later(LOOK_EVERY, self._on_look)
+        self._eviction_timer: asyncio.TimerHandle | None = None
+        self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL, self._on_sweep_due)
 
     def listen(self, address: Address) -> None:
         """OSError where the address cannot be had."""
@@ -72,112 +72,114 @@
     # --- room ---
 
     def _on_connection(self, connection: socket.socket) -> bool:
-        self.accepted += 1
+        self.accepted_count += 1
         client = ClientConnection(self, connection)
         self.clients[client] = None
-        self.room.came(client)
+        self.eviction.add(client)
         client.start()
-        return self._room()
+        return self._has_capacity()
 
-    def _room(self) -> bool:
+    def _has_capacity(self) -> bool:
         """Whether one more may come; where not, room is looked for until it may."""
         count = len(self.clients)
-        if count < self.most_clients:
-            if count > EARLY * self.most_clients:
-                self._make_room_early()
+        if count < self.max_clients:
+            if count > EARLY_EVICTION_RATIO * self.max_clients:
+                self._evict_early()
             return True
-        if self._room_timer is None:
+        if self._eviction_timer is None:
             # What those that would make way have sent by now is to be read first.
-            self._room_timer = self._loop.call_later(0.0, self._loop.call_soon, self._on_room_timer)
+            self._eviction_timer = self._loop.call_later(0.0, self._loop.call_soon, self._on_eviction_due)
         return False
 
-    def _on_room_timer(self) -> None:
+    def _on_eviction_due(self) -> None:
         # First, and cancelled where there is room: a fault below must not leave the listener paused.
-        self._room_timer = self._loop.call_later(ROOM_AGAIN, self._on_room_timer)
-        if len(self.clients) < self.most_clients or self.make_room():
-            self._room_timer.cancel()
-            self._room_timer = None
+        self._eviction_timer = self._loop.call_later(EVICTION_RETRY_INTERVAL, self._on_eviction_due)
+        if len(self.clients) < self.max_clients or self.evict_now():
+            self._eviction_timer.cancel()
+            self._eviction_timer = None
             self.listener.resume()
 
-    def _make_room_early(self) -> None:
+    def _evict_early(self) -> None:
         """While a few descriptors are left, the connection that is missed least gets a graceful close."""
-        if self.room.closing >= (1.0 - EARLY) * self.most_clients:
+        if self.eviction.closing_count >= (1.0 - EARLY_EVICTION_RATIO) * self.max_clients:
             return
-        client = self.room.to_displace(self._loop.time())
+        client = self.eviction.graceful_candidate(self._loop.time())
         if client is not None:
-            client.once_read(functools.partial(self._displace, client))
+            client.once_read(functools.partial(self._evict_if_idle, client))
 
-    def _displace(self, client: ClientConnection) -> None:
-        if client.at_rest:
+    def _evict_if_idle(self, client: ClientConnection) -> None:
+        if client.is_idle:
             client.drain("room for another")
-            self.displaced += 1
+            self.evicted_count += 1
 
-    def make_room(self) -> bool:
+    def evict_now(self) -> bool:
         """Close the connection that is missed least at once; whether there was one."""
-        client = self.room.to_abort(self._loop.time())
+        client = self.eviction.abort_candidate(self._loop.time())
         if client is None:
             return False
-        self.displaced += client.life.takes
+        self.evicted_count += client.life.takes
         client.abort("room for another")
         return True
 
     # --- requests ---
 
-    def submit(self, asked: Asked, reply: Reply) -> int:
-        self.taken += 1
-        self.last_taken = self._loop.time()
-        self.ids.add(asked.statement.id)
+    def submit(self, asked: DecodedRequest, reply: ReplyChannel) -> int:
+        self.request_count += 1
+        self.last_request_at = self._loop.time()
+        self.open_request_ids.add(asked.statement.request_id)
         return self._executor.submit(
             asked.statement,
             reply,
             lambda number: d.Submit(
                 number,
-                asked.cls,
-                asked.remaining,
-                asked.tenant,
-                asked.key,
-                asked.cost,
+                asked.class_index,
+                asked.timeout,
+                asked.tenant_index,
+                asked.ordering_key,
+                asked.estimated_work,
                 asked.memory_mb,
-                asked.tables,
+                asked.table_group,
             ),
         )
 
-    def gone(self, number: int, rid: bytes) -> None:
-        self.ids.discard(rid)
+    def cancel(self, number: int, rid: bytes) -> None:
+        self.open_request_ids.discard(rid)
         self._executor.client_gone(number)
 
-    def dropped(self, client: ClientConnection) -> None:
+    def on_connection_closed(self, client: ClientConnection) -> None:
         """A connection is closed."""
         self.clients.pop(client, None)
-        self.room.left(client)
-        if len(self.clients) < self.most_clients:
+        self.eviction.remove(client)
+        if len(self.clients) < self.max_clients:
             self.listener.resume()
 
     # --- time, and the end ---
 
-    def _on_look(self) -> None:
-        self._look = self._loop.call_later(LOOK_EVERY, self._on_look)  # first: no fault is its last
+    def _on_sweep_due(self) -> None:
+        self._sweep_timer = self._loop.call_later(
+            SWEEP_INTERVAL, self._on_sweep_due
+        )  # first: no fault is its last
         now = self._loop.time()
         partial, unread = 0, 0.0
         for client in list(self.clients):
-            client.guarded(functools.partial(client.look, now))
+            client.guarded(functools.partial(client.check_timeouts, now))
             if not client.life.closed:
                 partial += client.scanner.pending
                 unread += client.backlog
-                if partial > MOST_PARTIAL:
+                if partial > MAX_PARTIAL_BYTES:
                     partial -= client.scanner.pending
                     client.abort("too much is unfinished")
-        while unread > self._most_unread:
+        while unread > self._max_unread_bytes:
             slowest = max(self.clients, key=lambda client: client.backlog)
             unread -= slowest.backlog
             slowest.abort("too much is left unread by all")
 
     @property
-    def owed(self) -> bool:
+    def has_unsent_replies(self) -> bool:
         """Whether an answer has not left."""
         return any(client.owed or client.unwritten for client in self.clients)
 
-    def unread(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Whether something waits to be accepted, or to be acted on. What can be accepted is."""
         waiting = self.listener.accept_waiting()
         return waiting or any(client.stream.handed_over for client in self.clients)
@@ -190,9 +192,9 @@
 
     def close(self) -> None:
         """End at once."""
-        self._look.cancel()
-        if self._room_timer is not None:
-            self._room_timer.cancel()
+        self._sweep_timer.cancel()
+        if self._eviction_timer is not None:
+            self._eviction_timer.cancel()
         self.listener.close()
         for client in list(self.clients):
             client.abort("closed")
--- a/saffronlane/platform/errors.py
+++ b/saffronlane/platform/errors.py
@@ -11,7 +11,7 @@
     remedy = "Correct the configuration at the JSON pointer in the text and start or send SIGHUP again."
 
 
-class FeedBroken(SaffronlaneError):
+class DiscoveryError(SaffronlaneError):
     """This connection is of no use any more."""
 
     remedy = (
@@ -20,7 +20,7 @@
     )
 
 
-class BadRequest(SaffronlaneError):
+class BadRequestError(SaffronlaneError):
     """A request that cannot be taken; the text names the field."""
 
     remedy = "Have the client correct the field that the text names; nothing is wrong here."
--- a/saffronlane/platform/server.py
+++ b/saffronlane/platform/server.py
@@ -16,11 +16,11 @@
 from ..errors import told
 from ..gossip_transport import Peers
 from ..interface import PeerMessage
-from .config import Members, NodeConfig, load
-from .descriptors import Shortage, allot
-from .discovery.endpoints import Fleet
-from .discovery.watch import Feed
-from .downstream import Front
+from .config import DispatcherConfig, Members, load
+from .descriptors import DescriptorExhaustion, allocate_descriptors
+from .discovery.endpoints import EndpointTable
+from .discovery.watch import DiscoveryWatch
+from .downstream import DownstreamServer
 from .errors import ConfigError
 from .lifecycle import Bounds, Phase, Process
 from .lifecycle.process import Debts, patience
@@ -36,18 +36,18 @@
 class Node:
     """One dispatcher process. `start`, then `run` until it has ended."""
 
-    def __init__(self, config: NodeConfig, path: Path | None = None) -> None:
+    def __init__(self, config: DispatcherConfig, path: Path | None = None) -> None:
         self.config, self._path = config, path
         self._loop = asyncio.get_running_loop()
         settings = config.settings
-        self.fleet = Fleet(settings, self._loop.time, time.time)
+        self.fleet = EndpointTable(settings, self._loop.time, time.time)
         self.dispatcher = d.Dispatcher(settings, config.seed)
-        shares, shortage = allot(config.sockets), Shortage()
+        shares, shortage = allocate_descriptors(config.max_sockets), DescriptorExhaustion()
         limits = LinkLimits(
             max_streams=settings.limits.max_concurrent_streams,
             connect_timeout=settings.limits.connect_timeout or CONNECT_TIMEOUT,
-            idle_close=config.idle_close or IDLE_CLOSE,
-            most_links=shares.nodes,
+            idle_close=config.engine_idle_timeout or IDLE_CLOSE,
+            most_links=shares.engines,
         )
         self.links = Links(limits, self.fleet.address, shortage)
         self.peers: Peers | None = None
@@ -57,8 +57,10 @@
             )
         self.executor = Executor(self.dispatcher, self.links, self.peers.send if self.peers else None)
         memory = config.memory_mb * 1e6
-        self.front = Front(self.executor, settings, shares.clients, self._well, shortage, memory)
-        self.feed = Feed(config.feed, config.last, self._on_members, Random(config.seed), shortage)
+        self.front = DownstreamServer(self.executor, settings, shares.clients, self._well, shortage, memory)
+        self.feed = DiscoveryWatch(
+            config.feed, config.last_sequence, self._on_members, Random(config.seed), shortage
+        )
         longest = max((cls.deadline for cls in settings.classes), default=0.0)
         self.process = Process(Bounds().linger, patience(longest))
         self._hurrying = False
@@ -71,7 +73,7 @@
         return len(self.fleet) > 0 and self.process.phase is Phase.SERVING
 
     def _on_members(self, members: Members) -> None:
-        update, gone = self.fleet.take(members)
+        update, gone = self.fleet.apply(members)
         self.executor.feed(update)
         for engine in gone:
             self.links.forget_engine(engine)
@@ -83,7 +85,7 @@
 
     def start(self) -> None:
         """Listen. OSError where the address cannot be had."""
-        for members in self.config.known:
+        for members in self.config.known_events:
             self._on_members(members)
         self.front.listen(self.config.listen)
         if self.peers is not None:
@@ -96,7 +98,7 @@
             host=self.config.listen[0],
             port=self.front.port,
             name=self.config.name,
-            sockets=self.config.sockets,
+            sockets=self.config.max_sockets,
             memory_mb=self.config.memory_mb,
             cores=self.config.cores,
         )
@@ -115,11 +117,19 @@
             log.error("configuration kept as it was", why="it is another's", name=config.name)
             return
         log.info("configuration read again", feed=config.feed, kept=self._kept(config))
-        self.feed.move(config.feed)
+        self.feed.change_address(config.feed)
 
-    def _kept(self, config: NodeConfig) -> list[str]:
+    def _kept(self, config: DispatcherConfig) -> list[str]:
         """What another start would take of a file, and this process does not."""
-        names = ("listen", "sockets", "peer_listen", "peers", "peers_all", "settings", "idle_close")
+        names = (
+            "listen",
+            "max_sockets",
+            "peer_listen",
+            "peers",
+            "peers_all",
+            "settings",
+            "engine_idle_timeout",
+        )
         return [name for name in names if getattr(config, name) != getattr(self.config, name)]
 
     def stop(self) -> None:
@@ -156,17 +166,17 @@
 
     def _debts(self) -> Debts:
         front = self.front
-        owed = bool(self.dispatcher.pending_count or self.executor.pending or front.owed)
-        unread = self.process.phase is Phase.DRAINING and not owed and front.unread()
+        owed = bool(self.dispatcher.pending_count or self.executor.pending or front.has_unsent_replies)
+        unread = self.process.phase is Phase.DRAINING and not owed and front.has_unread_input()
         # Guards against an end while connections are full: the system has taken those that wait outside,
         # and what they sent is owed. Room is made in some hundredths of a second, if the end can wait.
-        unread = unread or (front.listener.paused and not self.process.hurried)
-        return Debts(front.last_taken, owed, unread, len(front.clients))
+        unread = unread or (front.listener.is_paused and not self.process.hurried)
+        return Debts(front.last_request_at, owed, unread, len(front.clients))
 
     async def run(self) -> None:
         await self.ended.wait()
         self.close()
-        log.info("ended", taken=self.front.taken)
+        log.info("ended", taken=self.front.request_count)
 
     def close(self) -> None:
         if self._reports is not None:
@@ -194,11 +204,11 @@
                 cpu_s=round(time.process_time(), 2),
                 memory_mb=_resident_mb(),
                 clients=len(self.front.clients),
-                taken=self.front.taken,
-                faults=self.front.faults,
-                accepted=self.front.accepted,
-                displaced=self.front.displaced,
-                pauses=self.front.listener.pauses,
+                taken=self.front.request_count,
+                faults=self.front.fault_count,
+                accepted=self.front.accepted_count,
+                displaced=self.front.evicted_count,
+                pauses=self.front.listener.pause_count,
                 owed=self.dispatcher.pending_count,
                 held=self.dispatcher.queued_count,
                 out=self.dispatcher.in_flight_count,
@@ -222,7 +232,7 @@
     return round(pages * resource.getpagesize() / 1e6, 1)
 
 
-async def serve(config: NodeConfig, path: Path) -> None:
+async def serve(config: DispatcherConfig, path: Path) -> None:
     """Run a node until SIGTERM or SIGINT."""
     import signal
 
--- a/saffronlane/platform/statement.py
+++ b/saffronlane/platform/statement.py
@@ -9,7 +9,7 @@
 class Statement:
     """What an attempt sends: all of it as the client sent it."""
 
-    id: bytes
-    cls: bytes
+    request_id: bytes
+    query_class: bytes
     body: bytes
-    token: bytes = b""
+    idempotency_key: bytes = b""
--- a/saffronlane/platform/upstream/connection.py
+++ b/saffronlane/platform/upstream/connection.py
@@ -189,7 +189,7 @@
 
     def release(self, sending: Sending) -> None:
         """An attempt has ended."""
-        self.open.pop(sending.statement.id, None)
+        self.open.pop(sending.statement.request_id, None)
         self.rest()
 
     def rest(self) -> None:
@@ -212,7 +212,7 @@
             if broken and self.came_up and not (sending.left_at or sending.relinked):
                 # It closed while it rested, or with what had left before: a new one tells whether its node
                 # is there. Guards against a verdict on a node that closes idle connections.
-                del self.open[sending.statement.id]
+                del self.open[sending.statement.request_id]
                 self.owner.relink(sending)
             else:
                 self.owner.ended(sending, Outcome.RESET if sending.may_have_run else failed)
--- a/saffronlane/platform/upstream/pool.py
+++ b/saffronlane/platform/upstream/pool.py
@@ -13,7 +13,7 @@
 from ...interface import Outcome, ProbeResult
 from ...resp import command
 from ..config import Address
-from ..descriptors import Shortage
+from ..descriptors import DescriptorExhaustion
 from .attempt import Sending
 from .client import client_of
 from .connection import MOST_SPENT, NodeConnection
@@ -36,7 +36,7 @@
     """
 
     def __init__(
-        self, limits: LinkLimits, address: Callable[[bytes], Address | None], shortage: Shortage
+        self, limits: LinkLimits, address: Callable[[bytes], Address | None], shortage: DescriptorExhaustion
     ) -> None:
         self.limits, self._address, self._shortage = limits, address, shortage
         self._loop = asyncio.get_running_loop()
@@ -57,19 +57,19 @@
     def begin(self, attempt: Attempt) -> None:
         assert isinstance(attempt, Sending)
         statement, effect = attempt.statement, attempt.effect
-        link = self._link(attempt.engine, statement.id)
+        link = self._link(attempt.engine, statement.request_id)
         if link is None:
             self.ended(attempt, Outcome.NOT_SENT)
             return
         attempt.link = link
-        link.open[statement.id] = attempt
+        link.open[statement.request_id] = attempt
         attempt.timer = self._loop.call_at(attempt.started + effect.timeout, self._on_timeout, attempt)
-        told = [b"c=" + statement.cls, b"w=%d" % max(1, round(effect.timeout * 1000.0))]
-        if statement.token:
-            told.append(b"i=" + statement.token)
+        told = [b"c=" + statement.query_class, b"w=%d" % max(1, round(effect.timeout * 1000.0))]
+        if statement.idempotency_key:
+            told.append(b"i=" + statement.idempotency_key)
         if effect.grant_mb >= 1.0:
             told.append(b"allot=%d" % round(effect.grant_mb))
-        link.write(command(b"fetch", statement.id, b",".join(told), statement.body), attempt)
+        link.write(command(b"fetch", statement.request_id, b",".join(told), statement.body), attempt)
 
     def relink(self, sending: Sending) -> None:
         """Begin again, once, on another connection to its node: nothing of it has left."""
@@ -173,7 +173,7 @@
             try:
                 link = NodeConnection(self, engine, address)
             except OSError as error:
-                if not self._shortage.met(error, "connect"):
+                if not self._shortage.report_if_exhausted(error, "connect"):
                     log.error("no socket", why=str(error))
                 if not self._make_room():
                     return None
@@ -241,7 +241,7 @@
             failed = outcome is Outcome.CONNECT_FAILED and not link.came_up
             self.ended(sending, outcome if failed else Outcome.NOT_SENT)
             return
-        link.write(command(b"abort", sending.statement.id))
+        link.write(command(b"abort", sending.statement.request_id))
         quiet = self._loop.time() - sending.left_at
         self.ended(sending, outcome)
         # Guards against a machine that has vanished or a link that was cut: open connections stay open and
@@ -277,7 +277,7 @@
         elapsed = self._loop.time() - (sending.left_at or sending.started)
         link = sending.link
         if link is not None and sending.left_at and outcome is not Outcome.OK:
-            link.spent.add(sending.statement.id)
+            link.spent.add(sending.statement.request_id)
         self._executor.done(sending, outcome, elapsed, sending.work, sending.memory_mb)
         if link is not None:
             link.release(sending)
--- a/saffronlane/platform/upstream/response_assembler.py
+++ b/saffronlane/platform/upstream/response_assembler.py
@@ -58,7 +58,7 @@
 
     def _on_page(self, sending: Sending) -> None:
         """One more page is there: the result is whole, or further ones are asked for."""
-        link, name = sending.link, sending.statement.id
+        link, name = sending.link, sending.statement.request_id
         assert link is not None
         if sending.whole:
             if sending.sheets > 1:
@@ -85,5 +85,5 @@
         link = sending.link
         assert link is not None
         for number in sending.missing():
-            link.write(command(b"more", sending.statement.id, b"%d" % number))
+            link.write(command(b"more", sending.statement.request_id, b"%d" % number))
         self._expect_pages(sending, min(PAGE_WAIT_MOST, 2.0 * wait))
--- a/tests/node/support.py
+++ b/tests/node/support.py
@@ -135,7 +135,9 @@
 
 def own_descriptors(monkeypatch: pytest.MonkeyPatch) -> None:
     """The node counts what a process of its own would have open, not what the tests hold beside it."""
-    monkeypatch.setattr(descriptors_module, "_open", lambda: descriptors_module.USUAL)
+    monkeypatch.setattr(
+        descriptors_module, "_open_descriptor_count", lambda: descriptors_module.DEFAULT_OPEN_DESCRIPTORS
+    )
 
 
 def paged(page: bytes, pages: int) -> Script:
@@ -225,6 +227,6 @@
         (one,) = front.clients
         one.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8192)
         client.sendall(b"".join(call(n, rid=rid(n)) for n in range(1, asked + 1)))
-        await built.until(lambda: front.taken == asked and not one.open)
+        await built.until(lambda: front.request_count == asked and not one.open_requests)
         client.setblocking(False)
         yield client, one
--- a/tests/node/test_bad_clients.py
+++ b/tests/node/test_bad_clients.py
@@ -9,8 +9,8 @@
 import pytest
 from platform_world import ROWS, Peer, World
 
-from saffronlane.platform.downstream.client_connection import FAULTS_MOST, ClientConnection
-from saffronlane.platform.downstream.connection_eviction import Room
+from saffronlane.platform.downstream.client_connection import MAX_FAULTS, ClientConnection
+from saffronlane.platform.downstream.connection_eviction import EvictionOrder
 
 from .support import RID, SyncClient, call, own_descriptors, play, rid, silent
 
@@ -121,10 +121,10 @@
 
     async def work(built: World) -> None:
         bad = await built.client()
-        for _ in range(FAULTS_MOST):
+        for _ in range(MAX_FAULTS):
             bad.raw(call(1, "nothing"))
         assert await bad.closed(3.0)
-        assert built.node.front.faults <= FAULTS_MOST
+        assert built.node.front.fault_count <= MAX_FAULTS
 
     play(work)
 
@@ -145,7 +145,7 @@
         client = await built.client()
         for n in range(5):
             client.call("ask", rid(n))
-        await built.until(lambda: built.node.front.taken == 5)
+        await built.until(lambda: built.node.front.request_count == 5)
         client.close()
         await built.until(lambda: not any(built.tables().values()))
 
@@ -166,7 +166,7 @@
         good = await built.client()
         msgid = good.call("ask", rid(1))
         await built.until(lambda: waiting)
-        most = built.node.front.most_clients
+        most = built.node.front.max_clients
         for _ in range(most + 60):
             await built.client()
         late = await built.client()
@@ -188,20 +188,22 @@
         client = await built.client()
         assert (await client.answer(client.call("ask", rid(1))))[0] is None
         idle = next(iter(front.clients))
-        await built.until(lambda: loop.time() > idle.quiet_since + 0.15)
-        assert front.make_room() and idle.life.closed and front.displaced == 1
+        await built.until(lambda: loop.time() > idle.idle_since + 0.15)
+        assert front.evict_now() and idle.life.closed and front.evicted_count == 1
         client = await built.client()
         assert (await client.answer(client.call("ask", rid(2))))[0] is None
-        assert not front.make_room()  # a moment ago it was in use
+        assert not front.evict_now()  # a moment ago it was in use
 
     play(work)
 
 
 async def asks_once(built: World, number: int) -> SyncClient:
     """One that connects, asks in the same moment and stays; once it has its answer."""
-    taken, client = built.node.front.taken, SyncClient(built.node.front.port)
+    taken, client = built.node.front.request_count, SyncClient(built.node.front.port)
     client.send(call(1, rid=rid(number)))
-    await built.until(lambda: built.node.front.taken > taken and not built.node.front.owed)
+    await built.until(
+        lambda: built.node.front.request_count > taken and not built.node.front.has_unsent_replies
+    )
     return client
 
 
@@ -209,7 +211,7 @@
     """Guards against a search through all connections for each that comes: 640 descriptors held by idle
     ones took 2.4 ms of processor time a connection, and usual clients waited three seconds outside."""
     looked: list[ClientConnection] = []
-    real = ClientConnection.at_rest
+    real = ClientConnection.is_idle
 
     def at_rest(client: ClientConnection) -> bool:
         looked.append(client)
@@ -218,13 +220,13 @@
 
     async def work(built: World) -> None:
         front = built.node.front
-        front.most_clients = 60
+        front.max_clients = 60
         flood = [await asks_once(built, n) for n in range(60)]
-        await built.until(lambda: front.room.to_displace(built.node._loop.time()) is not None)
-        monkeypatch.setattr(ClientConnection, "at_rest", property(at_rest))
-        displaced, looked[:] = front.displaced, []
+        await built.until(lambda: front.eviction.graceful_candidate(built.node._loop.time()) is not None)
+        monkeypatch.setattr(ClientConnection, "is_idle", property(at_rest))
+        displaced, looked[:] = front.evicted_count, []
         flood += [await asks_once(built, n) for n in range(60, 90)]
-        assert front.displaced >= displaced + 25 and len(looked) <= 30 * 4
+        assert front.evicted_count >= displaced + 25 and len(looked) <= 30 * 4
         for client in flood:
             client.close()
 
@@ -239,13 +241,13 @@
 
     async def work(built: World) -> None:
         front, now = built.node.front, built.node._loop.time
-        most = front.most_clients
+        most = front.max_clients
         usual = [await built.client() for _ in range(most // 3)]
         for n, client in enumerate(usual * 2):
             assert (await client.answer(client.call("ask", rid(n))))[0] is None
-        await built.until(lambda: all(now() > c.quiet_since + 0.1 for c in front.clients))
+        await built.until(lambda: all(now() > c.idle_since + 0.1 for c in front.clients))
         flood = [await asks_once(built, n) for n in range(1000, 1000 + 3 * most)]
-        assert front.displaced > most
+        assert front.evicted_count > most
         for n, client in enumerate(usual):
             assert (await client.answer(client.call("ask", rid(500 + n))))[0] is None
         for one in flood:
@@ -262,21 +264,25 @@
         __hash__, __eq__ = object.__hash__, object.__eq__  # each is itself, as connections are
 
     def one(asked: int, quiet_since: float) -> Any:
-        return Resting(asked=asked, quiet_since=quiet_since, at_rest=True, life=SimpleNamespace(takes=True))
+        return Resting(
+            request_count=asked, idle_since=quiet_since, is_idle=True, life=SimpleNamespace(takes=True)
+        )
 
-    room = Room(10)
+    room = EvictionOrder(10)
     again = [one(2, 100.0 + n) for n in range(6)]
     once = [one(1, 99.0), one(1, 110.0)]
     for client in (*again, *once):
-        room.rests(client)
-    assert room.to_displace(120.0) is again[0]  # six of ten are more than half
-    room.left(again[0])
-    assert room.to_displace(120.0) is once[0]
-    room.left(once[0])
-    assert room.to_displace(110.05) is None  # the other was in use a moment ago: it makes way in another
-    assert room.to_displace(120.0) is once[1]
-    room.left(once[1])
-    assert room.to_displace(120.0) is again[1]  # nobody else is there
+        room.mark_idle(client)
+    assert room.graceful_candidate(120.0) is again[0]  # six of ten are more than half
+    room.remove(again[0])
+    assert room.graceful_candidate(120.0) is once[0]
+    room.remove(once[0])
+    assert (
+        room.graceful_candidate(110.05) is None
+    )  # the other was in use a moment ago: it makes way in another
+    assert room.graceful_candidate(120.0) is once[1]
+    room.remove(once[1])
+    assert room.graceful_candidate(120.0) is again[1]  # nobody else is there
 
 
 def test_a_client_that_writes_slowly_makes_way_after_those_that_say_nothing() -> None:
@@ -288,19 +294,19 @@
         message = call(1, rid=rid(1))
         slow.raw(message[:40])
         await built.until(lambda: len(front.clients) == 2 and any(c.scanner.pending for c in front.clients))
-        await built.until(lambda: all(now() > c.since + 0.1 for c in front.clients))
-        assert front.make_room() and await silent_one.closed()
-        assert front.room.to_displace(now()) is None  # it may yet end what it has begun
+        await built.until(lambda: all(now() > c.opened_at + 0.1 for c in front.clients))
+        assert front.evict_now() and await silent_one.closed()
+        assert front.eviction.graceful_candidate(now()) is None  # it may yet end what it has begun
         slow.raw(message[40:])
         assert await slow.answer(1) == (None, [ROWS, {}])
         half = await built.client()
         half.raw(message[:40])
-        await built.until(lambda: any(c.scanner.pending and now() > c.since + 0.1 for c in front.clients))
-        (rests,) = (c for c in front.clients if c.spoke)
-        rests.quiet_since = now()
-        assert not front.make_room()  # one was in use a moment ago, and makes way in another
-        rests.quiet_since -= 1.0
-        assert front.make_room() and rests.life.closed and len(front.clients) == 1
-        assert front.make_room() and await half.closed()  # nobody else is left
+        await built.until(lambda: any(c.scanner.pending and now() > c.opened_at + 0.1 for c in front.clients))
+        (rests,) = (c for c in front.clients if c.has_sent_message)
+        rests.idle_since = now()
+        assert not front.evict_now()  # one was in use a moment ago, and makes way in another
+        rests.idle_since -= 1.0
+        assert front.evict_now() and rests.life.closed and len(front.clients) == 1
+        assert front.evict_now() and await half.closed()  # nobody else is left
 
     play(work)
--- a/tests/node/test_closing.py
+++ b/tests/node/test_closing.py
@@ -46,7 +46,7 @@
         built.computes[0].script = script
         client = SyncClient(front.port)
         client.send(call(1))
-        await built.until(lambda: front.taken == 1)
+        await built.until(lambda: front.request_count == 1)
         client.send(NOISE)
         data, reset = await client.rest()
         assert not reset
@@ -63,20 +63,20 @@
         data, reset = await client.rest()
         answers = {told[1]: told[2] for told in messages(data)}
         assert not reset and answers[1] is None
-        assert len(answers) == 1 + connection.FAULTS_MOST
+        assert len(answers) == 1 + connection.MAX_FAULTS
 
     play(work)
 
 
 def test_a_request_that_crosses_an_idle_close_is_not_sent_on(monkeypatch: pytest.MonkeyPatch) -> None:
     """It is read after the shutdown: no answer could be written, so nothing may be done for it."""
-    monkeypatch.setattr(connection, "IDLE", 0.05)
+    monkeypatch.setattr(connection, "IDLE_TIMEOUT", 0.05)
 
     async def work(built: World) -> None:
         front = built.node.front
         client = SyncClient(front.port)
         client.send(call(1))
-        await built.until(lambda: front.taken == 1 and built.computes[0].words(b"fetch"))
+        await built.until(lambda: front.request_count == 1 and built.computes[0].words(b"fetch"))
         shut = stream.Stream.shut_write
 
         def cross(one: stream.Stream) -> None:
@@ -87,7 +87,7 @@
         data, reset = await client.rest()
         assert not reset and [told[1] for told in messages(data)] == [1]
         await built.until(lambda: not front.clients)
-        assert front.taken == 1 and len(built.computes[0].words(b"fetch")) == 1
+        assert front.request_count == 1 and len(built.computes[0].words(b"fetch")) == 1
 
     play(work)
 
@@ -99,14 +99,14 @@
         front = built.node.front
         client = SyncClient(front.port)
         client.send(call(1))
-        await built.until(lambda: front.taken == 1 and not front.owed)
+        await built.until(lambda: front.request_count == 1 and not front.has_unsent_replies)
         (one,) = front.clients
         client.send(call(2, rid=rid(2)))
-        one.look(one.quiet_since + connection.IDLE + 1.0)  # before the loop could read it
-        one.quiet_since -= 1.0
-        monkeypatch.setattr(front, "most_clients", 1)
-        assert not front._room()
-        await built.until(lambda: front.taken == 2 and not front.owed)
+        one.check_timeouts(one.idle_since + connection.IDLE_TIMEOUT + 1.0)  # before the loop could read it
+        one.idle_since -= 1.0
+        monkeypatch.setattr(front, "max_clients", 1)
+        assert not front._has_capacity()
+        await built.until(lambda: front.request_count == 2 and not front.has_unsent_replies)
         client.close()
 
     play(work)
@@ -114,7 +114,7 @@
 
 def test_a_slow_reader_gets_its_answers_whole(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against an idle close that cuts what the connection still has to write."""
-    monkeypatch.setattr(connection, "IDLE", 0.3)
+    monkeypatch.setattr(connection, "IDLE_TIMEOUT", 0.3)
     page = (b"x" * 2990 + b"\ty\tz\n") * 2
     pages = 7
 
@@ -160,9 +160,9 @@
         await built.until(lambda: len(front.clients) == 3)
         for one, size in zip(front.clients, (10, 300_000, 20), strict=True):
             one.stream._total_write_index += size
-        front._most_unread = 1000.0
-        front._look.cancel()
-        front._on_look()
+        front._max_unread_bytes = 1000.0
+        front._sweep_timer.cancel()
+        front._on_sweep_due()
         assert len(front.clients) == 2 and all(one.backlog < 100 for one in front.clients)
         assert clients
 
@@ -172,14 +172,14 @@
 def test_a_fault_in_handling_one_message_takes_no_other_with_it(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work(built: World) -> None:
         front = built.node.front
-        read = front.reader.read
+        read = front.decoder.decode
 
         def fails(told: Any) -> Any:
             if told.id == 2:
                 raise RuntimeError("a fault in the handling")
             return read(told)
 
-        monkeypatch.setattr(front.reader, "read", fails)
+        monkeypatch.setattr(front.decoder, "decode", fails)
         client = SyncClient(front.port)
         client.send(call(1) + call(2, rid=rid(2)))
         data, reset = await client.rest()
@@ -194,10 +194,10 @@
         client = await built.client()
         await built.until(lambda: front.clients)
         (one,) = front.clients
-        one.quiet_since -= 100.0
+        one.idle_since -= 100.0
         client.raw(msgspec.msgpack.encode([0, 1, "isWell", [{}]]))
         assert await client.answer(1) == (None, [True, {}])
-        assert one.quiet_since > one.loop.time() - 10.0
+        assert one.idle_since > one.loop.time() - 10.0
 
     play(work)
 
@@ -283,7 +283,7 @@
         free = hold_connections(monkeypatch)
         client = SyncClient(built.node.front.port)
         client.send(call(1) + call(2, "nothing", rid=rid(2)))
-        await built.until(lambda: built.node.front.faults == 1 and built.tables()["open"])
+        await built.until(lambda: built.node.front.fault_count == 1 and built.tables()["open"])
         client.send(msgspec.msgpack.encode([2, "forget", [1]])) if how == "forget" else client.close()
         await gone(built, free)
 
@@ -300,7 +300,7 @@
             clients.append(SyncClient(front.port))
             clients[-1].send(call(1, rid=rid(number)))
             if number % 50 == 49:
-                await built.until(lambda n=number: front.taken == n + 1)  # type: ignore[misc]
+                await built.until(lambda n=number: front.request_count == n + 1)  # type: ignore[misc]
         await built.until(lambda: built.tables()["open"])
         for client in clients:
             client.close()
@@ -317,7 +317,7 @@
             client = SyncClient(front.port)
             client.send(call(1, rid=rid(number)))
             client.close()  # both are there before the loop's turn
-        await built.until(lambda: front.accepted == 20 and not front.clients)
+        await built.until(lambda: front.accepted_count == 20 and not front.clients)
         await built.until(lambda: not any(built.tables().values()))
         assert not built.computes[0].words(b"fetch")
 
@@ -339,7 +339,7 @@
             compute.script = script
         client = SyncClient(front.port)
         client.send(call(1))
-        await built.until(lambda: front.taken == 1 and not front.clients)
+        await built.until(lambda: front.request_count == 1 and not front.clients)
         await built.until(lambda: not any(built.tables().values()))
         assert sum(len(compute.words(b"fetch")) for compute in built.computes) == 1
 
@@ -405,13 +405,13 @@
         waiting = client.call("ask", rid(2))
         await built.until(lambda: held)
         (one,) = built.node.front.clients
-        await built.until(lambda: one.loop.time() > one.since + 0.3)
+        await built.until(lambda: one.loop.time() > one.opened_at + 0.3)
         write = one.write
 
         def crossed(data: bytes) -> None:
             write(data)
             looked.append(one.unwritten)
-            one.look(one.loop.time())
+            one.check_timeouts(one.loop.time())
 
         monkeypatch.setattr(one, "write", crossed)
         asked = client.call("ask", rid(3))
@@ -448,7 +448,7 @@
         gone, rests = SyncClient(front.port), SyncClient(front.port)
         for n, client in enumerate((gone, rests)):
             client.send(call(1, rid=rid(n)))
-        await built.until(lambda: front.taken == 2 and not front.owed)
+        await built.until(lambda: front.request_count == 2 and not front.has_unsent_replies)
         drain, name = front.drain, gone.socket.getsockname()
 
         def crossed() -> None:
@@ -496,7 +496,7 @@
     """At a client's connection and at a node's: all others would be kept for good, whatever they do."""
 
     async def work(built: World) -> None:
-        monkeypatch.setattr(connection, "FIRST_WAIT", 0.3)
+        monkeypatch.setattr(connection, "RECEIVE_TIMEOUT", 0.3)
         front, links = built.node.front, built.node.links
         client = await built.client()
         assert (await client.answer(client.call("ask", rid(1))))[0] is None
@@ -504,15 +504,15 @@
         first = SyncClient(front.port)
         await built.until(lambda: len(front.clients) == 2)
         struck = [list(front.clients)[1], link]
-        for kind in (connection.ClientConnection, NodeConnection):
-            real = kind.look
+        for kind, name in ((connection.ClientConnection, "check_timeouts"), (NodeConnection, "look")):
+            real = getattr(kind, name)
 
             def look(one: Any, *told: Any, real: Any = real) -> None:
                 if one in struck:
                     raise RuntimeError("a fault")
                 real(one, *told)
 
-            monkeypatch.setattr(kind, "look", look)
+            monkeypatch.setattr(kind, name, look)
         second = SyncClient(front.port)
         assert (await first.rest(), await second.rest()) == ((b"", False), (b"", False))
         await built.until(lambda: link.life.closed)
@@ -531,19 +531,19 @@
         gone, asks = SyncClient(front.port), SyncClient(front.port)
         for n, client in enumerate((gone, asks)):
             client.send(call(1, rid=rid(n)))
-        await built.until(lambda: front.taken == 2 and not front.owed)
-        await built.until(lambda: all(now() > c.quiet_since + 0.15 for c in front.clients))
+        await built.until(lambda: front.request_count == 2 and not front.has_unsent_replies)
+        await built.until(lambda: all(now() > c.idle_since + 0.15 for c in front.clients))
         name = gone.socket.getsockname()
         (one,) = (c for c in front.clients if c.stream.socket.getpeername() == name)
         # Nothing runs between this and the looks for room but these lines.
         unseen_end(one, gone)
         asks.send(call(2, rid=rid(3)))
-        assert not front.make_room() and front.room.to_displace(now()) is None
+        assert not front.evict_now() and front.eviction.graceful_candidate(now()) is None
         for client in list(front.clients):
-            front._displace(client)
-            client._leave_idle()
+            front._evict_if_idle(client)
+            client._drain_idle()
         asks.socket.settimeout(5.0)
-        await built.until(lambda: front.taken == 3 and not front.owed)
+        await built.until(lambda: front.request_count == 3 and not front.has_unsent_replies)
         asks.socket.shutdown(socket.SHUT_WR)
         data, reset = await asks.rest()
         assert not reset and [m[1] for m in messages(data)] == [1, 2]
@@ -556,10 +556,10 @@
         front, now = built.node.front, built.node._loop.time
         client = SyncClient(front.port)
         await built.until(lambda: front.clients)
-        await built.until(lambda: all(now() > c.since + 0.1 for c in front.clients))
+        await built.until(lambda: all(now() > c.opened_at + 0.1 for c in front.clients))
         client.send(call(1, rid=rid(1)))
-        assert not front.make_room() and front.room.to_displace(now()) is None
-        await built.until(lambda: front.taken == 1 and not front.owed)
+        assert not front.evict_now() and front.eviction.graceful_candidate(now()) is None
+        await built.until(lambda: front.request_count == 1 and not front.has_unsent_replies)
         client.close()
 
     play(work)
@@ -580,7 +580,7 @@
 
         monkeypatch.setattr(NodeConnection, "pour", cross)
         client.send(call(1, rid=rid(1)))
-        await built.until(lambda: built.node.front.taken == 20 and not any(built.tables().values()))
+        await built.until(lambda: built.node.front.request_count == 20 and not any(built.tables().values()))
         client.socket.shutdown(socket.SHUT_WR)
         data, reset = await client.rest()
         assert not reset and sorted(one[1] for one in messages(data)) == sent
--- a/tests/node/test_descriptors.py
+++ b/tests/node/test_descriptors.py
@@ -21,18 +21,20 @@
 
 
 def test_the_shares_leave_a_reserve_of_what_is_really_open() -> None:
-    shares = descriptors.allot(256)
+    shares = descriptors.allocate_descriptors(256)
     held = len(os.listdir("/proc/self/fd"))
-    assert shares.nodes == 64
-    assert shares.clients + shares.nodes + descriptors.RESERVE + held <= 256 + 2  # the listing has one open
-    assert descriptors.allot(64).clients >= 1
+    assert shares.engines == 64
+    assert (
+        shares.clients + shares.engines + descriptors.RESERVED_DESCRIPTORS + held <= 256 + 2
+    )  # the listing has one open
+    assert descriptors.allocate_descriptors(64).clients >= 1
 
 
 def test_the_systems_own_limit_binds_where_it_is_less(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(resource, "getrlimit", lambda which: (128, 4096))
-    assert descriptors.allot(1024).nodes == 32
+    assert descriptors.allocate_descriptors(1024).engines == 32
     monkeypatch.setattr(resource, "getrlimit", lambda which: (resource.RLIM_INFINITY,) * 2)
-    assert descriptors.allot(1024).nodes == 256
+    assert descriptors.allocate_descriptors(1024).engines == 256
 
 
 class Starved:
@@ -73,7 +75,7 @@
             await asyncio.sleep(0.5)
             assert starved.tries - before <= (loop.time() - since) / 0.05 + 1
             starved.left = False  # one is free again: service returns by itself
-            await built.until(lambda: built.node.front.taken == 1, 1.0)
+            await built.until(lambda: built.node.front.request_count == 1, 1.0)
         said = [one for one in logs if one["event"] == "no descriptor left"]
         assert len(said) == 1 and said[0]["where"] == "accept" and said[0]["remedy"]
         client.close()
--- a/tests/node/test_ends.py
+++ b/tests/node/test_ends.py
@@ -42,7 +42,7 @@
             feed.event(number, [member(name, port, "draining"), member(f"new-{turn}", port)])
             feed.event(number + 1, [member(name, port, "removed")])
             number, name = number + 1, f"new-{turn}"
-            await built.until(lambda last=number: built.node.feed.last == last)  # type: ignore[misc]
+            await built.until(lambda last=number: built.node.feed.last_sequence == last)  # type: ignore[misc]
         await built.until(lambda: not any(built.tables().values()) and not built.node.front.clients)
         node = built.node
         assert len(node.fleet) == len(node.dispatcher._engines) == 1
--- a/tests/node/test_feed.py
+++ b/tests/node/test_feed.py
@@ -66,7 +66,7 @@
         feed, node = built.feed, built.node
         await built.until(lambda: feed.writers)
         feed.event(9, [member("new", built.computes[0].port)], complete=True)
-        await built.until(lambda: node.feed.last == 9)
+        await built.until(lambda: node.feed.last_sequence == 9)
         assert len(node.fleet) == 1 and node.fleet.address(b"new") is not None
         feed.event(11, [member("other", 9)])  # of what is missing between two others, nothing tells
         await built.until(lambda: len(feed.asked) == 2)
@@ -79,7 +79,7 @@
     async def work(built: World) -> None:
         await built.until(lambda: built.feed.writers)
         built.feed.event(2, [member("x", 9)])
-        await built.until(lambda: built.node.feed.last == 2)
+        await built.until(lambda: built.node.feed.last_sequence == 2)
         other = FeedServer()
         await other.start()
         path = tmp_path / "config.json"
@@ -111,7 +111,7 @@
     asked = len(feed.asked)
     await built.until(lambda: len(feed.asked) > asked, CURRENT)
     feed.event(n, [member("node-0", built.computes[0].port, "draining")])
-    await built.until(lambda: built.node.feed.last == n, CURRENT)
+    await built.until(lambda: built.node.feed.last_sequence == n, CURRENT)
     before = len(built.computes[0].words(b"fetch"))
     client = await built.client()
     assert (await client.answer(client.call("ask", RID)))[0] is None
@@ -160,7 +160,7 @@
         await built.until(lambda: built.feed.writers)
         for n in (2, 3):
             built.feed.event(n, [member("late", 9, "removed")])
-        await built.until(lambda: built.node.feed.last == 3)
+        await built.until(lambda: built.node.feed.last_sequence == 3)
         repeating(built, line, every)
         await moved_on(built, 4)
 
@@ -185,16 +185,16 @@
 
     async def work(built: World) -> None:
         await built.until(lambda: built.feed.writers)
-        fleet, take = built.node.fleet, built.node.fleet.take
+        fleet, take = built.node.fleet, built.node.fleet.apply
 
         def fails(event: object) -> None:
-            fleet.take = take  # type: ignore[method-assign]
+            fleet.apply = take  # type: ignore[method-assign]
             raise RuntimeError("a fault in the handling")
 
-        fleet.take = fails  # type: ignore[method-assign, assignment]
+        fleet.apply = fails  # type: ignore[method-assign, assignment]
         built.feed.event(2, [member("x", 9)])
         built.feed.event(3, [member("node-0", built.computes[0].port, "draining")])
-        await built.until(lambda: built.node.feed.last == 3, 1.0)
+        await built.until(lambda: built.node.feed.last_sequence == 3, 1.0)
         client = await built.client()
         assert (await client.answer(client.call("ask", RID)))[0] is None
         assert not built.computes[0].words(b"fetch")
@@ -205,13 +205,13 @@
 def test_a_fault_in_the_watch_itself_begins_another() -> None:
     async def work(built: World) -> None:
         await built.until(lambda: built.feed.writers)
-        feed, take = built.node.feed, built.node.feed._take
+        feed, take = built.node.feed, built.node.feed._on_line
 
         def fails(line: bytes) -> bool:
-            feed._take = take  # type: ignore[method-assign]
+            feed._on_line = take  # type: ignore[method-assign]
             raise RuntimeError("a fault in the watch")
 
-        feed._take = fails  # type: ignore[method-assign]
+        feed._on_line = fails  # type: ignore[method-assign]
         built.feed.say(b"1\n1\n")
         await moved_on(built, 2)
 
@@ -223,7 +223,7 @@
         await built.until(lambda: built.feed.writers)
         odd = member("odd", 9, up_since_ms=1e308) | {"size": 1.0}
         built.feed.event(2, [odd, member("node-0", built.computes[0].port, "draining")])
-        await built.until(lambda: built.node.feed.last == 2)
+        await built.until(lambda: built.node.feed.last_sequence == 2)
         entry = built.node.dispatcher._engines[b"node-0"]
         assert entry.state.name == "DRAINING"
 
@@ -237,7 +237,7 @@
             await built.until(lambda n=n: len(feed.asked) == n - 1, 2.0)  # type: ignore[misc]
             assert feed.asked[-1] == n - 1
             feed.event(n, [member(f"late-{n}", 9)])
-            await built.until(lambda n=n: built.node.feed.last == n, 1.0)  # type: ignore[misc]
+            await built.until(lambda n=n: built.node.feed.last_sequence == n, 1.0)  # type: ignore[misc]
             feed.writers[-1].close()
         assert len(built.node.fleet) == 11
 
@@ -263,7 +263,7 @@
         await built.until(lambda: built.feed.writers)
         gone = [member(f"node-{n}", compute.port, "draining") for n, compute in enumerate(built.computes)]
         built.feed.event(2, gone)
-        await built.until(lambda: built.node.feed.last == 2)
+        await built.until(lambda: built.node.feed.last_sequence == 2)
         client = await built.client()
         ids = [client.call(cls, rid(n), budget="900") for n, cls in enumerate(("ask", "frail"))]
         for msgid in ids:
@@ -289,7 +289,7 @@
         built.node.reload()
         await built.until(lambda: other.asked, 0.5)
         other.event(2, [member("node-0", built.computes[0].port, "draining")])
-        await built.until(lambda: built.node.feed.last == 2, 0.5)
+        await built.until(lambda: built.node.feed.last_sequence == 2, 0.5)
         assert loop.time() < began + 0.5
         client = await built.client()
         assert (await client.answer(client.call("ask", RID)))[0] is None
--- a/tests/node/test_sigterm.py
+++ b/tests/node/test_sigterm.py
@@ -90,7 +90,7 @@
 
     async def work(built: World) -> None:
         front, late = built.node.front, []
-        front.most_clients = 2
+        front.max_clients = 2
         resting = await built.client()
         assert (await resting.answer(resting.call("ask", rid(1))))[0] is None  # too lately to make way
 
@@ -133,7 +133,7 @@
         node = built.node
         client = SyncClient(node.front.port)
         client.send(call(1, rid=rid(1)))
-        await built.until(lambda: node.front.taken == 1 and not node.front.owed)
+        await built.until(lambda: node.front.request_count == 1 and not node.front.has_unsent_replies)
         drain = node.front.drain
 
         def crossed() -> None:
@@ -174,7 +174,7 @@
         node, loop = built.node, asyncio.get_running_loop()
         client = await built.client()
         ids = {client.call("ask", rid(n), budget=str(900 + 200 * n)): 0.9 + 0.2 * n for n in range(4)}
-        await built.until(lambda: node.front.taken == 4)
+        await built.until(lambda: node.front.request_count == 4)
         began = loop.time()
         node.stop()
         for msgid, seconds in ids.items():
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -235,7 +235,7 @@
             "jobs": len(gateway.pending.requests),
             "attempts": len(gateway.in_flight.attempts),
             "held": len(gateway.pending.queued),
-            "ids": len(node.front.ids),
+            "ids": len(node.front.open_request_ids),
             "open": sum(len(link.open) for links in node.links.by_node.values() for link in links),
         }
 
--- a/tests/test_platform_parts.py
+++ b/tests/test_platform_parts.py
@@ -11,7 +11,7 @@
 
 from saffronlane import interface as api
 from saffronlane.platform.config import ConfigError, Members, load, parse
-from saffronlane.platform.discovery.endpoints import Fleet
+from saffronlane.platform.discovery.endpoints import EndpointTable
 from saffronlane.platform.sql_tables import table_group
 from saffronlane.simulator import settings as params
 
@@ -111,8 +111,15 @@
 
 def test_a_configuration_is_read() -> None:
     config = parse(raw(peers=["10.0.0.1:1", "10.0.0.2:2"], peers_all="10.0.0.255:3"))
-    assert config.last == 1 and config.peers[1] == ("10.0.0.2", 2) and config.peers_all == ("10.0.0.255", 3)
-    assert config.idle_close == 30.0 and config.settings.classes[2].idempotency is api.Idempotency.UNSAFE
+    assert (
+        config.last_sequence == 1
+        and config.peers[1] == ("10.0.0.2", 2)
+        and config.peers_all == ("10.0.0.255", 3)
+    )
+    assert (
+        config.engine_idle_timeout == 30.0
+        and config.settings.classes[2].idempotency is api.Idempotency.UNSAFE
+    )
 
 
 @pytest.mark.parametrize(
@@ -154,25 +161,25 @@
     return msgspec.convert({"members": list(members), "revision": 3, "complete": complete}, Members)
 
 
-def fleet() -> Fleet:
+def fleet() -> EndpointTable:
     settings = params.read_settings(params.Params.of_object(SETTINGS))
-    return Fleet(settings, lambda: 100.0, lambda: 1_000_000.0)
+    return EndpointTable(settings, lambda: 100.0, lambda: 1_000_000.0)
 
 
 def test_removed_nodes_leave_nothing() -> None:
     one = fleet()
-    one.take(told(member("a", 1), member("b", 2), complete=True))
-    update, gone = one.take(told(member("a", 1, "removed")))
+    one.apply(told(member("a", 1), member("b", 2), complete=True))
+    update, gone = one.apply(told(member("a", 1, "removed")))
     assert gone == [b"a"] and one.address(b"a") is None and len(one) == 1
     assert update.mode is api.EndpointListMode.DELTA and update.entries[0].state is api.EngineState.REMOVED
-    _, gone = one.take(told(member("c", 1), complete=True))
+    _, gone = one.apply(told(member("c", 1), complete=True))
     assert gone == [b"b"] and len(one) == 1
 
 
 def test_a_new_node_at_a_known_address_is_a_new_node() -> None:
     one = fleet()
-    one.take(told(member("a", 1), complete=True))
-    update, gone = one.take(told(member("a", 1, "removed"), member("b", 1, up_since_ms=999_990_000.0)))
+    one.apply(told(member("a", 1), complete=True))
+    update, gone = one.apply(told(member("a", 1, "removed"), member("b", 1, up_since_ms=999_990_000.0)))
     assert gone == [b"a"] and one.address(b"b") == ("127.0.0.1", 1)
     assert update.entries[1].started_at == pytest.approx(90.0)
 
@@ -181,14 +188,14 @@
     """Guards against a step of the wall clock, which would look like a restart of every node."""
     walls = iter([1_000_000.0, 2_000_000.0])
     settings = params.read_settings(params.Params.of_object(SETTINGS))
-    one = Fleet(settings, lambda: 100.0, lambda: next(walls))
-    first, _ = one.take(told(member("a", 1, up_since_ms=999_990_000.0)))
-    second, _ = one.take(told(member("a", 1, "draining", up_since_ms=999_990_000.0)))
+    one = EndpointTable(settings, lambda: 100.0, lambda: next(walls))
+    first, _ = one.apply(told(member("a", 1, up_since_ms=999_990_000.0)))
+    second, _ = one.apply(told(member("a", 1, "draining", up_since_ms=999_990_000.0)))
     assert first.entries[0].started_at == second.entries[0].started_at == pytest.approx(90.0)
 
 
 def test_a_member_that_cannot_be_read_is_left_out_alone() -> None:
     one = fleet()
     odd = [member("a", 1, "asleep"), member("b", 1, flavor="none"), member("c", 0), member("d", 4)]
-    update, _ = one.take(told(*odd))
+    update, _ = one.apply(told(*odd))
     assert [entry.engine for entry in update.entries] == [b"d"]
