--- a/saffronlane/platform/descriptors.py
+++ b/saffronlane/platform/descriptors.py
@@ -1,4 +1,4 @@
-"""Descriptors: how they are shared out, and what is said when the system gives none."""
+"""File descriptors: their allocation to clients and engines, and the report where the system has none left."""
 
 from __future__ import annotations
 
@@ -11,35 +11,36 @@
 import structlog
 
 log = structlog.get_logger()
-ENGINE_RATIO = 0.25  # of the descriptors, for compute nodes
-RESERVED_DESCRIPTORS = 16  # for the feed, the peers' socket, and connections that linger while others begin
-DEFAULT_OPEN_DESCRIPTORS = (
-    8  # open at the start where the system does not tell: standard streams, the loop's own
-)
-LOG_INTERVAL = 5.0  # seconds for which one shortage is told but once
+ENGINE_RATIO = 0.25  # of the descriptors, for connections to engines
+RESERVED_DESCRIPTORS = 16  # for discovery, gossip, and connections that close while others open
+DEFAULT_OPEN_DESCRIPTORS = 8  # standard streams and the event loop's, where the system does not tell
+LOG_INTERVAL = 5.0  # seconds between log events of exhaustion
 REMEDY = "Raise the limit on descriptors, or look who holds connections; service returns by itself."
-_SHORT = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+_EXHAUSTION_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 @dataclass(frozen=True, slots=True)
 class DescriptorAllocation:
-    """How many connections may be open to clients and to compute nodes."""
+    """How many connections to clients and to engines may be open."""
 
     clients: int
     engines: int
 
 
 def allocate_descriptors(configured_limit: int) -> DescriptorAllocation:
-    """Share out the descriptors that the process may hold: as many as it was told, or the system's limit.
+    """Divide the descriptors that the process may hold.
 
-    What is open already counts as it is, so that the reserve is there when it is needed.
+    Those that are open already are subtracted, so that the reserve is available when it is needed.
+
+    Args:
+        configured_limit: used unless the system's limit is lower.
     """
-    soft = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    limit = configured_limit if soft == resource.RLIM_INFINITY else min(configured_limit, soft)
-    nodes = int(limit * ENGINE_RATIO)
-    return DescriptorAllocation(
-        max(1, limit - nodes - RESERVED_DESCRIPTORS - _open_descriptor_count()), max(1, nodes)
-    )
+    system_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    is_unlimited = system_limit == resource.RLIM_INFINITY
+    limit = configured_limit if is_unlimited else min(configured_limit, system_limit)
+    engines = int(limit * ENGINE_RATIO)
+    clients = limit - engines - RESERVED_DESCRIPTORS - _open_descriptor_count()
+    return DescriptorAllocation(clients=max(1, clients), engines=max(1, engines))
 
 
 def _open_descriptor_count() -> int:
@@ -50,21 +51,25 @@
 
 
 class DescriptorExhaustion:
-    """Says once that the system gives no descriptor, not at each try."""
+    """Recognizes and logs lack of descriptors, at most once in `LOG_INTERVAL`."""
 
     def __init__(self) -> None:
         self.occurrence_count = 0
         self._logged_at = -LOG_INTERVAL
 
-    def report_if_exhausted(self, error: OSError, where: str) -> bool:
-        """Whether an error means that no descriptor, or no memory for one, is left."""
-        if error.errno not in _SHORT:
+    def report_if_exhausted(self, error: OSError, operation: str) -> bool:
+        """Return whether an error means that no descriptor, or no memory for one, is left; log it if so."""
+        if error.errno not in _EXHAUSTION_ERRORS:
             return False
         self.occurrence_count += 1
         now = time.monotonic()
         if now >= self._logged_at + LOG_INTERVAL:
             self._logged_at = now
             log.error(
-                "no descriptor left", where=where, why=str(error), times=self.occurrence_count, remedy=REMEDY
+                "descriptors exhausted",
+                operation=operation,
+                error=str(error),
+                occurrences=self.occurrence_count,
+                remedy=REMEDY,
             )
         return True
--- a/saffronlane/platform/discovery/endpoints.py
+++ b/saffronlane/platform/discovery/endpoints.py
@@ -1,81 +1,127 @@
-"""The compute nodes as the control feed tells them, and the updates that the dispatcher gets of them."""
+"""The engines' endpoints as listed by discovery, and the updates for the dispatcher that follow from them."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from typing import NamedTuple
 
 import structlog
 
-from ...errors import told
+from ...errors import told as error_fields
 from ...interface import EndpointListMode, EndpointListUpdate, EngineEntry, EngineState, Settings
 from ..config import Address, Member, Members, address
 from ..errors import ConfigError
 
 log = structlog.get_logger()
-STATES = {"up": EngineState.READY, "draining": EngineState.DRAINING, "removed": EngineState.REMOVED}
+STATE_BY_PHASE = {"up": EngineState.READY, "draining": EngineState.DRAINING, "removed": EngineState.REMOVED}
+MS_PER_SECOND = 1000.0
+MIN_STARTED_AT = 1e-6  # seconds; 0 stands for an unknown start
+
+
+class ListedEndpoint(NamedTuple):
+    """An engine that is listed.
+
+    Attributes:
+        address: host and port.
+        wall_started_at: its start as listed, in seconds of wall time; 0: unknown.
+        started_at: the same on the monotonic clock; 0: unknown.
+    """
+
+    address: Address
+    wall_started_at: float
+    started_at: float
+
+
+class EndpointUpdate(NamedTuple):
+    """The effect of one watch event: the update for the dispatcher, and the engines no longer listed."""
+
+    update: EndpointListUpdate
+    removed_engines: list[bytes]
 
 
 class EndpointTable:
-    """What is listed now. A node that is removed leaves nothing here.
+    """The engines that are listed now.
 
-    Starts are told in wall time and kept in monotonic time; each is converted once, when it is first seen, so
-    that a step of the clock later does not look like a restart of every node.
+    Starts are listed in wall time and kept in monotonic time. Each is converted once, when it is first seen, so
+    that a later step of the wall clock does not look like a restart of every engine.
+
+    Args:
+        settings: the names of zones and machine types.
+        monotonic: returns the monotonic time in seconds.
+        wall: returns the wall time in seconds.
     """
 
     def __init__(self, settings: Settings, monotonic: Callable[[], float], wall: Callable[[], float]) -> None:
-        self._zones = {zone: n for n, zone in enumerate(settings.zones)}
-        self._kinds = {kind.name: n for n, kind in enumerate(settings.machine_types)}
-        self._monotonic, self._wall = monotonic, wall
-        self._listed: dict[
-            bytes, tuple[Address, float, float]
-        ] = {}  # address, start as told and on our clock
+        self._zone_index_by_name = {zone: index for index, zone in enumerate(settings.zones)}
+        self._machine_type_index_by_name = {
+            machine_type.name: index for index, machine_type in enumerate(settings.machine_types)
+        }
+        self._monotonic = monotonic
+        self._wall = wall
+        self._endpoints: dict[bytes, ListedEndpoint] = {}
 
     def __len__(self) -> int:
-        return len(self._listed)
+        return len(self._endpoints)
 
     def address(self, engine: bytes) -> Address | None:
-        entry = self._listed.get(engine)
-        return None if entry is None else entry[0]
-
-    def apply(self, event: Members) -> tuple[EndpointListUpdate, list[bytes]]:
-        """One event of the feed: the update of the list, and the nodes that went with it.
+        """Return an engine's address; None where it is not listed."""
+        endpoint = self._endpoints.get(engine)
+        return None if endpoint is None else endpoint.address
 
-        A member that cannot be read is left out and logged: the others must not wait for it.
-        """
-        before = set(self._listed)
-        named: set[bytes] = set()
+    def apply(self, event: Members) -> EndpointUpdate:
+        """Apply one watch event. Members that are invalid are logged and left out."""
+        before = set(self._endpoints)
+        listed: set[bytes] = set()
         entries = []
         for member in event.members:
-            name = member.id.encode()
+            engine = member.id.encode()
             try:
-                entry = self._entry(name, member)
+                entry = self._apply_member(engine, member)
             except ConfigError as error:
-                log.error("member left out", member=member.id, **told(error))
+                log.error("invalid endpoint ignored", engine=member.id, **error_fields(error))
                 continue
             entries.append(entry)
-            if entry.state is EngineState.REMOVED:
-                self._listed.pop(name, None)
-            else:
-                named.add(name)
+            if entry.state is not EngineState.REMOVED:
+                listed.add(engine)
         if event.complete:
-            for name in before - named:
-                self._listed.pop(name, None)
+            self._remove(before - listed)
         mode = EndpointListMode.FULL if event.complete else EndpointListMode.DELTA
-        return EndpointListUpdate(mode, event.revision, tuple(entries)), sorted(before - set(self._listed))
+        update = EndpointListUpdate(mode, event.revision, tuple(entries))
+        return EndpointUpdate(update, sorted(before - set(self._endpoints)))
+
+    def _remove(self, engines: set[bytes]) -> None:
+        for engine in engines:
+            self._endpoints.pop(engine, None)
 
-    def _entry(self, name: bytes, member: Member) -> EngineEntry:
-        state = STATES.get(member.phase)
+    def _apply_member(self, engine: bytes, member: Member) -> EngineEntry:
+        """Update the table with one member.
+
+        Raises:
+            ConfigError: the member is invalid.
+        """
+        state = STATE_BY_PHASE.get(member.phase)
         if state is None:
             raise ConfigError(f"/phase: unknown: {member.phase!r}")
-        kind = self._kinds.get(member.flavor)
-        if kind is None and state is not EngineState.REMOVED:
+        machine_type = self._machine_type_index_by_name.get(member.flavor)
+        if machine_type is None and state is not EngineState.REMOVED:
             raise ConfigError(f"/flavor: unknown: {member.flavor!r}")
-        wall = max(0.0, member.up_since_ms) / 1000.0
-        _, before, started = self._listed.get(name, (None, 0.0, 0.0))
-        if wall != before:
-            age = max(0.0, self._wall() - wall) if wall else 0.0  # a start in the future counts as now
-            started = max(1e-6, self._monotonic() - age) if wall else 0.0
-        if state is not EngineState.REMOVED:
-            self._listed[name] = (address(member.host_port, "/host_port"), wall, started)
-        zone = self._zones.get(member.locality, 0)
-        return EngineEntry(name, state, started, zone, kind or 0, member.cell, member.size)
+        wall_started_at = max(0.0, member.up_since_ms) / MS_PER_SECOND
+        started_at = self._started_at(engine, wall_started_at)
+        if state is EngineState.REMOVED:
+            self._endpoints.pop(engine, None)
+        else:
+            endpoint_address = address(member.host_port, "/host_port")
+            self._endpoints[engine] = ListedEndpoint(endpoint_address, wall_started_at, started_at)
+        zone = self._zone_index_by_name.get(member.locality, 0)
+        return EngineEntry(engine, state, started_at, zone, machine_type or 0, member.cell, member.size)
+
+    def _started_at(self, engine: bytes, wall_started_at: float) -> float:
+        """Return an engine's start on the monotonic clock; 0 where it is unknown."""
+        endpoint = self._endpoints.get(engine)
+        known_wall_started_at = 0.0 if endpoint is None else endpoint.wall_started_at
+        if wall_started_at == known_wall_started_at:
+            return 0.0 if endpoint is None else endpoint.started_at
+        if not wall_started_at:
+            return 0.0
+        age = max(0.0, self._wall() - wall_started_at)  # a start in the future counts as now
+        return max(MIN_STARTED_AT, self._monotonic() - age)
--- a/saffronlane/platform/downstream/__init__.py
+++ b/saffronlane/platform/downstream/__init__.py
@@ -1,7 +1,8 @@
-"""The front: MessagePack-RPC clients, bounded in bytes, requests and descriptors. It decides nothing.
+"""The downstream side: MessagePack-RPC clients, bounded in bytes, requests and descriptors.
 
-What is wrong with a message ends as an error to its sender, and with its connection where the bytes after it
-cannot be read. Clients that send what is wrong are answered later, so that the others do not wait for them.
+It makes no scheduling decisions. An invalid message is answered with an error to its sender; its connection is
+closed only where the bytes after the message cannot be parsed. Replies to invalid messages are delayed so that
+their senders do not hold up other clients.
 """
 
 from .request_decoder import DecodedRequest, RequestDecoder
--- a/saffronlane/platform/downstream/connection_eviction.py
+++ b/saffronlane/platform/downstream/connection_eviction.py
@@ -1,4 +1,4 @@
-"""Whose connection is missed least, known at once: a flood of idle ones must not cost a search each."""
+"""The order in which idle client connections are evicted, kept up to date so that no eviction needs a search."""
 
 from __future__ import annotations
 
@@ -9,93 +9,96 @@
 if TYPE_CHECKING:
     from .client_connection import ClientConnection
 
-NEW_CONNECTION_PROTECTION = 0.05  # seconds that a new connection is safe from making room for others
-IDLE_CONNECTION_PROTECTION = (
-    0.1  # seconds for which an idle connection is safe from it: longer, and floods of them wait outside
-)
-MAX_PROTECTED_RATIO = (
-    0.5  # of the connections, for those that have been used again: clients hold a third at most
-)
+NEW_CONNECTION_PROTECTION = 0.05  # seconds for which a new connection is not evicted
+IDLE_CONNECTION_PROTECTION = 0.1  # seconds for which a connection that became idle is not evicted
+MAX_PROTECTED_RATIO = 0.5  # of all connections: reused ones that are preferred over others
 
 
 class EvictionOrder:
-    """The connections on which nothing is open, each kind in the order in which it is to make way.
+    """The connections without open requests, by kind, each kind in eviction order.
 
-    Each connection is in one of them at most; `left` takes it out of all. Those at rest are a segmented list
-    by least recent use: those used again are kept as long as there are others and they are not the most, or a
-    flood that asks once and stays would push the usual clients out, who would wait behind it.
+    A connection is in at most one kind. Idle connections form a segmented LRU list: reused ones are kept
+    while there are others and they are not the majority. Otherwise a flood of clients that send one request
+    each and stay connected would evict the regular clients.
 
     Args:
-        most: connections at once.
+        max_connections: limit on connections open at once.
     """
 
     def __init__(self, max_connections: int) -> None:
         self._max_protected = MAX_PROTECTED_RATIO * max_connections
-        self._without_message: dict[ClientConnection, None] = {}  # never a whole message; the oldest first
-        self._used_once: dict[ClientConnection, None] = {}  # the one that has been idle longest first
-        self._reused: dict[ClientConnection, None] = {}  # the same
-        self._closing: dict[ClientConnection, None] = {}  # they wait for their peer alone
+        self._without_message: dict[ClientConnection, None] = {}  # oldest first
+        self._used_once: dict[ClientConnection, None] = {}  # longest idle first
+        self._reused: dict[ClientConnection, None] = {}  # longest idle first
+        self._closing: dict[ClientConnection, None] = {}  # waiting for the peer to close
 
     @property
     def closing_count(self) -> int:
+        """Number of connections that wait for their peer to close."""
         return len(self._closing)
 
     def add(self, client: ClientConnection) -> None:
+        """Add a new connection, which has not sent a message."""
         self._without_message[client] = None
 
     def mark_busy(self, client: ClientConnection) -> None:
-        """It has spoken, and something is open on it."""
-        for kind in (self._without_message, self._used_once, self._reused):
-            kind.pop(client, None)
+        """Exempt a connection from eviction: it has sent a message and has something open."""
+        for clients in (self._without_message, self._used_once, self._reused):
+            clients.pop(client, None)
 
     def mark_idle(self, client: ClientConnection) -> None:
-        """It has spoken, and nothing is open on it since now."""
+        """Add a connection that has sent a message and has had nothing open since now."""
         self.mark_busy(client)
         if client.life.takes:
-            kind = self._reused if client.request_count > 1 else self._used_once
-            kind[client] = None
+            clients = self._reused if client.request_count > 1 else self._used_once
+            clients[client] = None
 
     def mark_closing(self, client: ClientConnection) -> None:
-        """Nothing is taken from it any more."""
+        """Note that a connection accepts no more requests."""
         self.mark_busy(client)
         if client.life.closing:
             self._closing[client] = None
 
     def remove(self, client: ClientConnection) -> None:
+        """Remove a connection that is closed."""
         self.mark_busy(client)
         self._closing.pop(client, None)
 
     def graceful_candidate(self, now: float) -> ClientConnection | None:
-        """The one that may get a graceful close to make room, in use by nobody as far as is known."""
+        """Return the connection to close gracefully next; None where all may be in use."""
         return self._oldest_without_message(now) or self._longest_idle(now)
 
     def abort_candidate(self, now: float) -> ClientConnection | None:
-        """The one that may be closed at once.
+        """Return the connection to close at once; None where none may be.
 
-        One that has never spoken, to which nothing was written; one that closes anyway, since its peer may
-        never close its side; the longest idle. Where there is none of these, and not only for the moment, one
-        that has sent half of its first message, which it may yet end.
+        In order of preference: a connection without a message, to which nothing was written; one that is half
+        closed, since its peer may never close; the longest idle. Where no connection is idle at all, one with
+        an unfinished first message.
         """
         half_closed = (client for client in self._closing if client.life.state is State.HALF_CLOSED)
         client = self._oldest_without_message(now) or next(half_closed, None) or self._longest_idle(now)
-        if client is None and not (self._used_once or self._reused):
-            client = self._oldest_without_message(now, unfinished=True)
+        has_idle = bool(self._used_once or self._reused)
+        if client is None and not has_idle:
+            client = self._oldest_without_message(now, is_partial=True)
         return client
 
-    def _oldest_without_message(self, now: float, unfinished: bool = False) -> ClientConnection | None:
-        """Not one that is new, whose first request may be on its way, nor one that is writing it slowly."""
+    def _oldest_without_message(self, now: float, is_partial: bool = False) -> ClientConnection | None:
+        """Return the oldest connection without a whole message; `is_partial`: with a part of one.
+
+        New connections are passed over, since their first request may be on its way.
+        """
         for client in self._without_message:
             if client.opened_at >= now - NEW_CONNECTION_PROTECTION:
                 return None
-            begun = bool(client.scanner.pending)
-            if client.life.takes and begun is unfinished and not client.unheard:
+            has_partial = bool(client.scanner.pending)
+            if client.life.takes and has_partial is is_partial and not client.unheard:
                 return client
         return None
 
     def _longest_idle(self, now: float) -> ClientConnection | None:
-        """Not one that was in use a moment ago."""
-        protected = self._used_once and len(self._reused) <= self._max_protected
-        for client in self._used_once if protected else self._reused:
+        """Return the connection that has been idle longest, unless that is only for a moment."""
+        protects_reused = self._used_once and len(self._reused) <= self._max_protected
+        for client in self._used_once if protects_reused else self._reused:
             if client.idle_since > now - IDLE_CONNECTION_PROTECTION:
                 return None
             if client.is_idle:
--- a/tests/node/test_descriptors.py
+++ b/tests/node/test_descriptors.py
@@ -76,8 +76,8 @@
             assert starved.tries - before <= (loop.time() - since) / 0.05 + 1
             starved.left = False  # one is free again: service returns by itself
             await built.until(lambda: built.node.front.request_count == 1, 1.0)
-        said = [one for one in logs if one["event"] == "no descriptor left"]
-        assert len(said) == 1 and said[0]["where"] == "accept" and said[0]["remedy"]
+        said = [one for one in logs if one["event"] == "descriptors exhausted"]
+        assert len(said) == 1 and said[0]["operation"] == "accept" and said[0]["remedy"]
         client.close()
 
     play(work)
@@ -100,8 +100,8 @@
             error, _ = await client.answer(msgid)
             assert error is None or error[0] == "Shed"
             assert (await client.answer(client.call("ask", rid(2))))[0] is None
-        said = [one for one in logs if one["event"] == "no descriptor left"]
-        assert len(said) == 1 and said[0]["where"] == "connect"
+        said = [one for one in logs if one["event"] == "descriptors exhausted"]
+        assert len(said) == 1 and said[0]["operation"] == "connect"
         assert not any("effect failed" in one["event"] for one in logs)
 
     play(work)
@@ -163,7 +163,7 @@
             assert later.words(b"fetch") and not first.words(b"fetch")
             client.close()
             again.close()
-            said = [line for line in logged if b"no descriptor left" in line]
+            said = [line for line in logged if b"descriptors exhausted" in line]
             assert len(said) <= 1 and not any(b"Traceback" in line for line in logged)
         for one in idle:
             one.close()
