--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -52,13 +52,13 @@
     from saffronlane import dispatch as d
     from saffronlane import gossip_messages as messages
     from saffronlane import interface as api
-    from saffronlane.platform.config import Member, Members, parse
+    from saffronlane.platform.config import ListedEngine, EndpointList, parse_config
     from saffronlane.platform.discovery.endpoints import EndpointTable
 
     base = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0
     data = config(nodes)
     began = time.process_time()
-    read = parse(data)
+    read = parse_config(data)
     fleet = EndpointTable(read.settings, time.monotonic, time.time)
     core = d.Dispatcher(read.settings, read.seed)
     for members in read.known_events:
@@ -70,7 +70,7 @@
     for n in range(rounds):
         now += 0.01
         phase = ("draining", "up")[n % 2]
-        one = Members([Member(f"s-{n // 2 % nodes:08x}", "10.1.0.1:4100", flavor="std", phase=phase)])
+        one = EndpointList([ListedEngine(f"s-{n // 2 % nodes:08x}", "10.1.0.1:4100", machine_type="std", state=phase)])
         core.step(now, [fleet.apply(one)[0]])
     update = (time.process_time() - began) / rounds
 
--- a/saffronlane/daemon.py
+++ b/saffronlane/daemon.py
@@ -18,7 +18,7 @@
 from .engines.flight import ExecutorLimits, FlightLinks
 from .engines.pool import PoolLimits
 from .flight import FlightFront
-from .gossip_transport import Peers
+from .gossip_transport import GossipTransport
 from .http2 import ConnectionLimits
 from .http2.transport import local_sockets
 from .interface import PeerMessage
@@ -59,7 +59,7 @@
         )
         self.peers = None
         if config.peer_listen is not None:
-            self.peers = Peers(
+            self.peers = GossipTransport(
                 config.peer_listen, config.peer_addresses, config.settings.gateway_index, self._on_peer
             )
         self.links = FlightLinks(limits, self.view.address, str(config.settings.gateway_index))
--- a/saffronlane/gossip_transport.py
+++ b/saffronlane/gossip_transport.py
@@ -10,12 +10,14 @@
 
 log = structlog.get_logger()
 Address = tuple[str, int]
-GATHER = 0.05  # seconds in which messages gather: they are news for later decisions, and each wake costs
-RETRY = 1.0  # seconds until the next try to listen
-MOST_AT_ONCE = 1024  # read in one turn of the loop; a flood of more waits in the socket or is lost there
+READ_DELAY = 0.05  # seconds in which messages gather: they are news for later decisions, and each wake costs
+LISTEN_RETRY_INTERVAL = 1.0  # seconds until the next try to listen
+MAX_READS_PER_TURN = (
+    1024  # read in one turn of the loop; a flood of more waits in the socket or is lost there
+)
 
 
-class Peers:
+class GossipTransport:
     """The gateway's ear and mouth among its peers.
 
     What hundreds of gateways tell wakes each of them once in GATHER, not once a message.
@@ -28,7 +30,7 @@
         to_all: one address that reaches every peer; None: each is written to.
     """
 
-    MOST = 256
+    MAX_DATAGRAM_BYTES = 256
 
     def __init__(
         self,
@@ -42,7 +44,7 @@
         self._on_message, self._to_all = on_message, to_all
         self._socket: socket.socket | None = None
         self._positions = {address: n for n, address in enumerate(self._addresses)}
-        self._later: asyncio.TimerHandle | None = None  # the next read, or the next try to listen
+        self._timer: asyncio.TimerHandle | None = None  # the next read, or the next try to listen
 
     def start(self) -> None:
         """Listen; where the address cannot be had, say so and try again: it serves without peers too."""
@@ -56,7 +58,7 @@
             if bound is not None:
                 bound.close()
             log.error("peers are not heard", listen=self._listen, why=str(error))
-            self._later = loop.call_later(RETRY, self.start)
+            self._timer = loop.call_later(LISTEN_RETRY_INTERVAL, self.start)
             return
         self._socket = bound
         loop.add_reader(bound.fileno(), self._on_readable)  # a socket would be printed, at two calls
@@ -65,7 +67,7 @@
         loop = asyncio.get_running_loop()
         if self._socket is not None:
             loop.remove_reader(self._socket.fileno())
-        self._later = loop.call_later(GATHER, self._read)
+        self._timer = loop.call_later(READ_DELAY, self._read)
 
     def _read(self) -> None:
         if self._socket is None:
@@ -76,19 +78,19 @@
             asyncio.get_running_loop().add_reader(self._socket.fileno(), self._on_readable)
 
     def _read_all(self, bound: socket.socket) -> None:
-        for _ in range(MOST_AT_ONCE):
+        for _ in range(MAX_READS_PER_TURN):
             try:
-                data, address = bound.recvfrom(self.MOST + 1)
+                data, address = bound.recvfrom(self.MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 break
             except OSError:  # an earlier message found nobody; what follows is still to be read
                 continue
             sender = self._positions.get(address)
-            if sender is not None and sender != self._position and len(data) <= self.MOST:
+            if sender is not None and sender != self._position and len(data) <= self.MAX_DATAGRAM_BYTES:
                 self._on_message(sender, data)
 
     def send(self, peer: int | None, data: bytes) -> None:
-        if self._socket is None or len(data) > self.MOST:
+        if self._socket is None or len(data) > self.MAX_DATAGRAM_BYTES:
             return
         if peer is None and self._to_all is not None:
             self._write(self._socket, data, self._to_all)
@@ -105,8 +107,8 @@
             return
 
     def close(self) -> None:
-        if self._later is not None:
-            self._later.cancel()
+        if self._timer is not None:
+            self._timer.cancel()
         if self._socket is not None:
             asyncio.get_running_loop().remove_reader(self._socket.fileno())
             self._socket.close()
--- a/saffronlane/msgpackrpc/__init__.py
+++ b/saffronlane/msgpackrpc/__init__.py
@@ -1,7 +1,16 @@
 """MessagePack-RPC as bytes: whole messages found within bounds, read strictly, written. No I/O."""
 
-from .errors import Malformed, ScanError
-from .messages import Call, Notice, Reply, read, reply
+from .errors import InvalidMessageError, ScanError
+from .messages import Call, Notification, Reply, decode_message, encode_reply
 from .scanner import Scanner
 
-__all__ = ["Call", "Malformed", "Notice", "Reply", "ScanError", "Scanner", "read", "reply"]
+__all__ = [
+    "Call",
+    "InvalidMessageError",
+    "Notification",
+    "Reply",
+    "ScanError",
+    "Scanner",
+    "decode_message",
+    "encode_reply",
+]
--- a/saffronlane/msgpackrpc/errors.py
+++ b/saffronlane/msgpackrpc/errors.py
@@ -5,7 +5,7 @@
 from ..errors import SaffronlaneError
 
 
-class Malformed(SaffronlaneError):
+class InvalidMessageError(SaffronlaneError):
     """A whole message that is no call as agreed; `id` where an error can be answered."""
 
     remedy = "Have the client correct the call; the connection goes on."
--- a/saffronlane/msgpackrpc/messages.py
+++ b/saffronlane/msgpackrpc/messages.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from .errors import Malformed
+from .errors import InvalidMessageError
 
 REQUEST, RESPONSE, NOTIFY = 0, 1, 2
 _Id = Annotated[int, msgspec.Meta(ge=0, lt=2**32)]
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Notice:
+class Notification:
     method: str
     ids: tuple[int, ...]
 
@@ -56,37 +56,37 @@
     return int.from_bytes(head[1 : 1 + width], "big")
 
 
-def read(message: bytes) -> Call | Notice:
+def decode_message(message: bytes) -> Call | Notification:
     """Read one whole message. Malformed names what is wrong."""
     if message[0] == 0x93:
         try:
             kind, method, raw = _NOTICE.decode(message)
             ids = tuple(_IDS.decode(raw))
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            raise Malformed(f"no notice: {error}") from None
+            raise InvalidMessageError(f"no notice: {error}") from None
         if kind != NOTIFY:
-            raise Malformed(f"a message of three items has type {kind}")
-        return Notice(method, ids)
+            raise InvalidMessageError(f"a message of three items has type {kind}")
+        return Notification(method, ids)
     try:
         kind, msgid, raw_name, raw = _HEAD.decode(message)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise Malformed(f"no request: {error}") from None
+        raise InvalidMessageError(f"no request: {error}") from None
     if kind != REQUEST:
-        raise Malformed(f"a message of four items has type {kind}")
+        raise InvalidMessageError(f"a message of four items has type {kind}")
     try:
         method, params = _NAME.decode(raw_name), _PARAMS.decode(raw)
         if not 1 <= len(params) <= 2:
-            raise Malformed(f"{len(params)} parameters", msgid)
+            raise InvalidMessageError(f"{len(params)} parameters", msgid)
         fields = _FIELDS.decode(params[0])
         body = _BODY.decode(params[1]) if len(params) == 2 else None
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise Malformed(f"odd parameters: {error}", msgid) from None
+        raise InvalidMessageError(f"odd parameters: {error}", msgid) from None
     if len(fields) != _count(params[0]):
-        raise Malformed("a field is there twice", msgid)
+        raise InvalidMessageError("a field is there twice", msgid)
     return Call(msgid, method, fields, body)
 
 
-def reply(answer: Reply) -> bytes:
+def encode_reply(answer: Reply) -> bytes:
     if answer.error is None:
         return _ENCODER.encode((RESPONSE, answer.id, None, (answer.result, answer.fields)))
     return _ENCODER.encode((RESPONSE, answer.id, (answer.error, answer.fields), None))
--- a/saffronlane/msgpackrpc/scanner.py
+++ b/saffronlane/msgpackrpc/scanner.py
@@ -25,15 +25,15 @@
         most_items: of a message, those inside others counted too; also bounds how deep it may be.
     """
 
-    def __init__(self, most_bytes: int, most_items: int) -> None:
-        self._most_bytes, self._most_items = most_bytes, most_items
+    def __init__(self, max_bytes: int, max_items: int) -> None:
+        self._max_bytes, self._max_items = max_bytes, max_items
         self._buffer = bytearray()
         self._begin_message()
 
     def _begin_message(self) -> None:
-        self._at = 0  # where the next item begins, in the buffer
-        self._open = 1  # items still to come of the message
-        self._items = 0
+        self._position = 0  # where the next item begins, in the buffer
+        self._remaining_items = 1  # items still to come of the message
+        self._item_count = 0
 
     @property
     def pending(self) -> int:
@@ -46,8 +46,8 @@
         found: list[bytes] = []
         try:
             while self._buffer and self._scan():
-                found.append(bytes(self._buffer[: self._at]))
-                del self._buffer[: self._at]
+                found.append(bytes(self._buffer[: self._position]))
+                del self._buffer[: self._position]
                 self._begin_message()
         except ScanError as error:
             self._buffer.clear()
@@ -56,27 +56,27 @@
 
     def _scan(self) -> bool:
         """Go on to the message's end; whether it is reached."""
-        buffer, at = self._buffer, self._at
+        buffer, at = self._buffer, self._position
         size = len(buffer)
-        while self._open:
+        while self._remaining_items:
             if at >= size:
-                self._at = at
+                self._position = at
                 return False
             end, inside = self._item(at)
             if end < 0:  # its head is not whole
-                self._at = at
+                self._position = at
                 return False
-            if end > self._most_bytes:
-                raise ScanError(f"a message of more than {self._most_bytes} bytes")
+            if end > self._max_bytes:
+                raise ScanError(f"a message of more than {self._max_bytes} bytes")
             if end > size and not inside:  # a string: what is there of it need not be looked at again
-                self._at = at
+                self._position = at
                 return False
-            self._items += 1
-            self._open += inside - 1
-            if self._items + self._open > self._most_items:
-                raise ScanError(f"a message of more than {self._most_items} items")
+            self._item_count += 1
+            self._remaining_items += inside - 1
+            if self._item_count + self._remaining_items > self._max_items:
+                raise ScanError(f"a message of more than {self._max_items} items")
             at = end
-        self._at = at
+        self._position = at
         return True
 
     def _item(self, at: int) -> tuple[int, int]:
--- a/saffronlane/platform/__main__.py
+++ b/saffronlane/platform/__main__.py
@@ -11,7 +11,7 @@
 import structlog
 
 from .. import logging_setup as logs
-from .config import load
+from .config import load_config
 from .errors import ConfigError
 from .server import serve
 
@@ -23,7 +23,7 @@
         print("BALANCER_CONFIG is not set", file=sys.stderr)
         return 2
     try:
-        config = load(Path(name))
+        config = load_config(Path(name))
     except ConfigError as error:
         print(f"configuration: {error}", file=sys.stderr)
         return 2
--- a/saffronlane/platform/config.py
+++ b/saffronlane/platform/config.py
@@ -1,4 +1,7 @@
-"""The node's configuration: JSON, read once at the start and again on SIGHUP."""
+"""The dispatcher's configuration: JSON, read at the start and again on SIGHUP.
+
+The structures map the file's and the control feed's names; nothing behind this module uses those.
+"""
 
 from __future__ import annotations
 
@@ -9,67 +12,93 @@
 import msgspec
 
 from ..interface import Settings
-from ..simulator import settings as params
+from ..simulator import settings as simulator_settings
 from .errors import ConfigError
 
 Address = tuple[str, int]
+MIN_SOCKETS = 64
+MAX_PORT = 65_535
+_ERROR_PATH = re.compile(r" - at `\$(?P<path>[^`]*)`$")
 
 
-class _Limits(msgspec.Struct):
-    sockets: int = 1024
-    memory_mb: float = 192.0
-    cores: float = 1.0
-
-
-class Member(msgspec.Struct):
-    """One compute node as the control feed tells it."""
+class ListedEngine(msgspec.Struct):
+    """One engine as listed by the control feed."""
 
-    id: str
-    host_port: str
-    locality: str = ""
-    flavor: str = ""
+    engine: str = msgspec.field(name="id")
+    address: str = msgspec.field(name="host_port")
+    zone: str = msgspec.field(name="locality", default="")
+    machine_type: str = msgspec.field(name="flavor", default="")
     cell: int = 0
-    phase: str = "up"
+    state: str = msgspec.field(name="phase", default="up")
     size: float = 1.0
-    up_since_ms: float = 0.0
+    started_at_ms: float = msgspec.field(name="up_since_ms", default=0.0)
+
 
+class EndpointList(msgspec.Struct):
+    """Endpoints that changed, or all of them where the list is complete."""
 
-class Members(msgspec.Struct):
-    members: list[Member]
+    endpoints: list[ListedEngine] = msgspec.field(name="members")
     revision: int = 0
-    complete: bool = False
+    is_complete: bool = msgspec.field(name="complete", default=False)
+
+
+class WatchEvent(msgspec.Struct):
+    """One event of the control feed."""
+
+    sequence: int = msgspec.field(name="n")
+    endpoint_list: EndpointList | None = msgspec.field(name="members", default=None)
 
 
-class FeedEvent(msgspec.Struct):
-    n: int
-    members: Members | None = None
+class _KnownEvent(msgspec.Struct):
+    endpoint_list: EndpointList | None = msgspec.field(name="members", default=None)
+    sequence: int | None = msgspec.field(name="n", default=None)
 
 
-class _Event(msgspec.Struct):
-    members: Members | None = None
-    n: int | None = None
+class _KnownEvents(msgspec.Struct):
+    sequence: int = msgspec.field(name="n", default=0)
+    events: list[_KnownEvent] = []
 
 
-class _Known(msgspec.Struct):
-    n: int = 0
-    events: list[_Event] = []
+class _ResourceLimits(msgspec.Struct):
+    sockets: int = 1024
+    memory_mb: float = 192.0
+    cores: float = 1.0
 
 
-class _File(msgspec.Struct):
+class _ConfigFile(msgspec.Struct):
     name: str
     listen: str
     settings: dict[str, object]
     feed: str
     seed: str = "0"
-    limits: _Limits = msgspec.field(default_factory=_Limits)
+    limits: _ResourceLimits = msgspec.field(default_factory=_ResourceLimits)
     peer_listen: str = ""
     peers: list[str] = []
     peers_all: str = ""
-    known: _Known = msgspec.field(default_factory=_Known)
+    known: _KnownEvents = msgspec.field(default_factory=_KnownEvents)
 
 
 @dataclass(frozen=True, slots=True)
 class DispatcherConfig:
+    """A valid configuration.
+
+    Attributes:
+        name: of this dispatcher.
+        listen: where clients connect.
+        feed: address of the control feed.
+        seed: of the random numbers.
+        max_sockets: limit on descriptors.
+        memory_mb: that the process may use.
+        cores: that the process may use.
+        peer_listen: where gossip comes in; None: there is none.
+        peers: all dispatchers' addresses by position.
+        broadcast_address: one address that reaches every peer; None: each is written to.
+        last_sequence: number of the last known event.
+        known_events: the endpoint lists known at the start, in order.
+        settings: of the policy.
+        engine_idle_timeout: seconds after which engines close idle connections; 0: unknown.
+    """
+
     name: str
     listen: Address
     feed: Address
@@ -79,73 +108,103 @@
     cores: float
     peer_listen: Address | None
     peers: tuple[Address, ...]
-    peers_all: Address | None
-    last_sequence: int  # number of the last event that is known
-    known_events: tuple[Members, ...]
+    broadcast_address: Address | None
+    last_sequence: int
+    known_events: tuple[EndpointList, ...]
     settings: Settings
-    engine_idle_timeout: float  # seconds after which nodes close idle connections; 0: not told
+    engine_idle_timeout: float
+
 
+def parse_address(text: str, pointer: str) -> Address:
+    """Parse `host:port`.
 
-def address(text: str, pointer: str) -> Address:
-    host, mark, port = text.rpartition(":")
-    if not mark or not host or not port.isdigit() or not 0 < int(port) < 65536:
+    Raises:
+        ConfigError: begins with `pointer`.
+    """
+    host, colon, port = text.rpartition(":")
+    if not colon or not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise ConfigError(f"{pointer}: no host:port: {text!r}")
     return host, int(port)
 
 
-_WHERE = re.compile(r" - at `\$(?P<path>[^`]*)`$")
+def _optional_address(text: str, pointer: str) -> Address | None:
+    return parse_address(text, pointer) if text else None
 
 
-def _pointer(error: msgspec.ValidationError) -> str:
+def _with_pointer(error: msgspec.ValidationError) -> str:
+    """Return an error's text behind the JSON pointer of its place."""
     text = str(error)
-    where = _WHERE.search(text)
-    path = where["path"] if where else ""
-    return "/" + re.sub(r"[.\[]+", "/", path.replace("]", "")).strip("/") + ": " + _WHERE.sub("", text)
+    place = _ERROR_PATH.search(text)
+    path = place["path"] if place else ""
+    pointer = re.sub(r"[.\[]+", "/", path.replace("]", "")).strip("/")
+    return f"/{pointer}: {_ERROR_PATH.sub('', text)}"
 
 
-def parse(data: bytes) -> DispatcherConfig:
-    """Read a configuration. ConfigError says what is wrong and where."""
+def _decode_file(data: bytes) -> _ConfigFile:
     try:
-        file = msgspec.json.decode(data, type=_File)
+        return msgspec.json.decode(data, type=_ConfigFile)
     except msgspec.ValidationError as error:
-        raise ConfigError(_pointer(error)) from None
+        raise ConfigError(_with_pointer(error)) from error
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise ConfigError(f"/: {error}") from None
+        raise ConfigError(f"/: {error}") from error
+
+
+def _read_settings(values: dict[str, object]) -> tuple[Settings, float]:
+    """Return the settings and the engines' idle timeout in seconds."""
     try:
-        told = params.Params.of_object(file.settings)
-        settings, idle_close = params.read_settings(told), told.number("limits.idleClose", 0.0)
-    except params.SettingsError as error:
-        raise ConfigError(f"/settings/{error.path.replace('.', '/')}: {error}") from None
+        params = simulator_settings.Params.of_object(values)
+        return simulator_settings.read_settings(params), params.number("limits.idleClose", 0.0)
+    except simulator_settings.SettingsError as error:
+        raise ConfigError(f"/settings/{error.path.replace('.', '/')}: {error}") from error
     except (ValueError, OverflowError) as error:
-        raise ConfigError(f"/settings: {error}") from None
+        raise ConfigError(f"/settings: {error}") from error
+
+
+def _read_seed(text: str) -> int:
     try:
-        seed = int(file.seed, 16)
-    except ValueError:
-        raise ConfigError(f"/seed: no hexadecimal number: {file.seed!r}") from None
-    if file.limits.sockets < 64:
-        raise ConfigError(f"/limits/sockets: {file.limits.sockets} is too few, 64 are needed")
+        return int(text, 16)
+    except ValueError as error:
+        raise ConfigError(f"/seed: no hexadecimal number: {text!r}") from error
+
+
+def parse_config(data: bytes) -> DispatcherConfig:
+    """Parse a configuration.
+
+    Raises:
+        ConfigError: says what is invalid and where.
+    """
+    file = _decode_file(data)
+    settings, engine_idle_timeout = _read_settings(file.settings)
+    seed = _read_seed(file.seed)
+    if file.limits.sockets < MIN_SOCKETS:
+        raise ConfigError(f"/limits/sockets: {file.limits.sockets} is too few, {MIN_SOCKETS} are needed")
+    events = file.known.events
     return DispatcherConfig(
         name=file.name,
-        listen=address(file.listen, "/listen"),
-        feed=address(file.feed, "/feed"),
+        listen=parse_address(file.listen, "/listen"),
+        feed=parse_address(file.feed, "/feed"),
         seed=seed,
         max_sockets=file.limits.sockets,
         memory_mb=file.limits.memory_mb,
         cores=file.limits.cores,
-        peer_listen=address(file.peer_listen, "/peer_listen") if file.peer_listen else None,
-        peers=tuple(address(peer, f"/peers/{n}") for n, peer in enumerate(file.peers)),
-        peers_all=address(file.peers_all, "/peers_all") if file.peers_all else None,
-        last_sequence=max([file.known.n, *(event.n or 0 for event in file.known.events)]),
-        known_events=tuple(event.members for event in file.known.events if event.members is not None),
+        peer_listen=_optional_address(file.peer_listen, "/peer_listen"),
+        peers=tuple(parse_address(peer, f"/peers/{index}") for index, peer in enumerate(file.peers)),
+        broadcast_address=_optional_address(file.peers_all, "/peers_all"),
+        last_sequence=max([file.known.sequence, *(event.sequence or 0 for event in events)]),
+        known_events=tuple(event.endpoint_list for event in events if event.endpoint_list is not None),
         settings=settings,
-        engine_idle_timeout=idle_close,
+        engine_idle_timeout=engine_idle_timeout,
     )
 
 
-def load(path: Path) -> DispatcherConfig:
-    """Read a file. ConfigError as above, also where it cannot be read."""
+def load_config(path: Path) -> DispatcherConfig:
+    """Read a configuration file.
+
+    Raises:
+        ConfigError: the file cannot be read or is invalid.
+    """
     try:
         data = path.read_bytes()
     except OSError as error:
-        raise ConfigError(f"{path}: {error.strerror}") from None
-    return parse(data)
+        raise ConfigError(f"{path}: {error.strerror}") from error
+    return parse_config(data)
--- a/saffronlane/platform/descriptors.py
+++ b/saffronlane/platform/descriptors.py
@@ -1,4 +1,4 @@
-"""File descriptors: their allocation to clients and engines, and the report where the system has none left."""
+"""File descriptors: their allocation to clients and engines, and the report where none is left."""
 
 from __future__ import annotations
 
--- a/saffronlane/platform/discovery/endpoints.py
+++ b/saffronlane/platform/discovery/endpoints.py
@@ -9,7 +9,7 @@
 
 from ...errors import told as error_fields
 from ...interface import EndpointListMode, EndpointListUpdate, EngineEntry, EngineState, Settings
-from ..config import Address, Member, Members, address
+from ..config import Address, EndpointList, ListedEngine, parse_address
 from ..errors import ConfigError
 
 log = structlog.get_logger()
@@ -42,8 +42,8 @@
 class EndpointTable:
     """The engines that are listed now.
 
-    Starts are listed in wall time and kept in monotonic time. Each is converted once, when it is first seen, so
-    that a later step of the wall clock does not look like a restart of every engine.
+    Starts are listed in wall time and kept in monotonic time. Each is converted once, when it is first seen,
+    so that a later step of the wall clock does not look like a restart of every engine.
 
     Args:
         settings: the names of zones and machine types.
@@ -68,24 +68,24 @@
         endpoint = self._endpoints.get(engine)
         return None if endpoint is None else endpoint.address
 
-    def apply(self, event: Members) -> EndpointUpdate:
+    def apply(self, event: EndpointList) -> EndpointUpdate:
         """Apply one watch event. Members that are invalid are logged and left out."""
         before = set(self._endpoints)
         listed: set[bytes] = set()
         entries = []
-        for member in event.members:
-            engine = member.id.encode()
+        for member in event.endpoints:
+            engine = member.engine.encode()
             try:
                 entry = self._apply_member(engine, member)
             except ConfigError as error:
-                log.error("invalid endpoint ignored", engine=member.id, **error_fields(error))
+                log.error("invalid endpoint ignored", engine=member.engine, **error_fields(error))
                 continue
             entries.append(entry)
             if entry.state is not EngineState.REMOVED:
                 listed.add(engine)
-        if event.complete:
+        if event.is_complete:
             self._remove(before - listed)
-        mode = EndpointListMode.FULL if event.complete else EndpointListMode.DELTA
+        mode = EndpointListMode.FULL if event.is_complete else EndpointListMode.DELTA
         update = EndpointListUpdate(mode, event.revision, tuple(entries))
         return EndpointUpdate(update, sorted(before - set(self._endpoints)))
 
@@ -93,26 +93,26 @@
         for engine in engines:
             self._endpoints.pop(engine, None)
 
-    def _apply_member(self, engine: bytes, member: Member) -> EngineEntry:
+    def _apply_member(self, engine: bytes, member: ListedEngine) -> EngineEntry:
         """Update the table with one member.
 
         Raises:
             ConfigError: the member is invalid.
         """
-        state = STATE_BY_PHASE.get(member.phase)
+        state = STATE_BY_PHASE.get(member.state)
         if state is None:
-            raise ConfigError(f"/phase: unknown: {member.phase!r}")
-        machine_type = self._machine_type_index_by_name.get(member.flavor)
+            raise ConfigError(f"/phase: unknown: {member.state!r}")
+        machine_type = self._machine_type_index_by_name.get(member.machine_type)
         if machine_type is None and state is not EngineState.REMOVED:
-            raise ConfigError(f"/flavor: unknown: {member.flavor!r}")
-        wall_started_at = max(0.0, member.up_since_ms) / MS_PER_SECOND
+            raise ConfigError(f"/flavor: unknown: {member.machine_type!r}")
+        wall_started_at = max(0.0, member.started_at_ms) / MS_PER_SECOND
         started_at = self._started_at(engine, wall_started_at)
         if state is EngineState.REMOVED:
             self._endpoints.pop(engine, None)
         else:
-            endpoint_address = address(member.host_port, "/host_port")
+            endpoint_address = parse_address(member.address, "/host_port")
             self._endpoints[engine] = ListedEndpoint(endpoint_address, wall_started_at, started_at)
-        zone = self._zone_index_by_name.get(member.locality, 0)
+        zone = self._zone_index_by_name.get(member.zone, 0)
         return EngineEntry(engine, state, started_at, zone, machine_type or 0, member.cell, member.size)
 
     def _started_at(self, engine: bytes, wall_started_at: float) -> float:
--- a/saffronlane/platform/discovery/watch.py
+++ b/saffronlane/platform/discovery/watch.py
@@ -1,4 +1,4 @@
-"""The control feed: numbered events over TCP, from the last one that is known, whatever the line does."""
+"""Watches the control feed: numbered events over TCP, resumed from the last one after any failure."""
 
 from __future__ import annotations
 
@@ -13,68 +13,82 @@
 import structlog
 from tornado.iostream import IOStream, StreamClosedError, UnsatisfiableReadError
 
-from ...errors import told
-from ..config import Address, FeedEvent, Members
+from ...errors import told as error_fields
+from ..config import Address, EndpointList, WatchEvent
 from ..descriptors import DescriptorExhaustion
 from ..errors import DiscoveryError
 
 log = structlog.get_logger()
-MAX_LINE_BYTES = 1_048_576  # bytes; a whole list of a thousand nodes is a fifth of it
-READ_TIMEOUT = 1.8  # seconds: the feed writes a line each second, so that this is a break
-MAX_HEARTBEAT_BYTES = 40  # bytes of a line that holds only the last number
-CONNECT_TIMEOUT = 0.7  # seconds; with SILENCE it stays under the time in which news counts as told
-BACKOFF, BACKOFF_MOST = 0.05, 0.8  # seconds between tries, doubled while they fail, each with jitter
+
+# The protocol's words.
+SUBSCRIBE_COMMAND = b"SUB %d\n"
+SEQUENCE_FIELD = "n"
+
+MAX_LINE_BYTES = 1_048_576
+MAX_HEARTBEAT_BYTES = 40
+MAX_SEQUENCE_DIGITS = 15
+READ_CHUNK_BYTES = 65_536
+READ_TIMEOUT = 1.8  # seconds; the feed writes a line each second
+CONNECT_TIMEOUT = 0.7  # seconds
+MIN_BACKOFF = 0.05  # seconds between attempts, doubled with each failure and jittered
+MAX_BACKOFF = 0.8  # seconds
+MIN_JITTER = 0.5  # of the backoff
 EXPECTED_ERRORS = (OSError, TimeoutError, StreamClosedError, UnsatisfiableReadError, DiscoveryError)
-_EVENT = msgspec.json.Decoder(FeedEvent)
+_DECODE_ERRORS = (msgspec.DecodeError, UnicodeDecodeError)
+_EVENT_DECODER = msgspec.json.Decoder(WatchEvent)
 
 
 def _heartbeat_sequence(line: bytes) -> int | None:
-    """The last number, where a line holds only that: bare, or as an object with nothing else.
+    """Return the sequence number of a heartbeat, a bare number or an object with nothing else.
 
-    Guards against taking it for an event without members, which would pass over the one of that number.
+    Taking a heartbeat for an event without endpoints would skip the event of that number.
     """
-    if line.isdigit() and len(line) < 16:
+    if line.isdigit() and len(line) <= MAX_SEQUENCE_DIGITS:
         return int(line)
     if len(line) > MAX_HEARTBEAT_BYTES or not line.startswith(b"{"):
         return None
     try:
-        told = msgspec.json.decode(line)
-    except (msgspec.DecodeError, UnicodeDecodeError):
+        fields = msgspec.json.decode(line)
+    except _DECODE_ERRORS:
         return None
-    number = told.get("n")
-    return number if len(told) == 1 and isinstance(number, int) else None
+    sequence = fields.get(SEQUENCE_FIELD)
+    return sequence if len(fields) == 1 and isinstance(sequence, int) else None
 
 
 class DiscoveryWatch:
-    """Follows the feed until it is closed.
+    """Watches the feed until it is closed.
 
     Args:
-        address: where it listens.
-        last: number of the last event that is known.
-        on_members: told each later event's list, once and in order.
-        random: of the jitter between tries.
-        shortage: told where the system gives no descriptor.
+        address: of the feed.
+        last_sequence: number of the last event that is known.
+        on_endpoints: called with each later event's list, once and in order.
+        random: of the jitter between attempts.
+        exhaustion: reports errors for lack of descriptors.
     """
 
     def __init__(
         self,
         address: Address,
-        last: int,
-        on_members: Callable[[Members], None],
+        last_sequence: int,
+        on_endpoints: Callable[[EndpointList], None],
         random: Random,
-        shortage: DescriptorExhaustion,
+        exhaustion: DescriptorExhaustion,
     ) -> None:
-        self.address, self.last_sequence = address, last
-        self._on_members, self._random, self._shortage = on_members, random, shortage
+        self.address = address
+        self.last_sequence = last_sequence
+        self._on_endpoints = on_endpoints
+        self._random = random
+        self._exhaustion = exhaustion
         self._stream: IOStream | None = None
         self._task: asyncio.Task[None] | None = None
-        self._address_changed = asyncio.Event()  # the address is another one now
+        self._address_changed = asyncio.Event()
 
     def start(self) -> None:
+        """Start watching."""
         self._task = asyncio.get_running_loop().create_task(self._follow())
 
     def change_address(self, address: Address) -> None:
-        """Go on at another address from the last event."""
+        """Resume at another address from the last event."""
         if address != self.address:
             self.address = address
             self._address_changed.set()
@@ -82,93 +96,120 @@
                 self._stream.close()
 
     def close(self) -> None:
+        """Stop watching."""
         if self._task is not None:
             self._task.cancel()
+        self._close_stream()
+
+    def _close_stream(self) -> None:
         if self._stream is not None:
             self._stream.close()
 
     async def _follow(self) -> None:
-        """Only `close` ends this: whatever a session ends by, another follows."""
-        wait = BACKOFF
+        """Connect again after any failure, with exponential backoff, until `close`."""
+        backoff = MIN_BACKOFF
         while True:
             self._address_changed.clear()
-            before, began = self.last_sequence, time.monotonic()
+            sequence_before = self.last_sequence
+            started_at = time.monotonic()
             try:
                 await self._watch_once()
             except Exception as error:
                 self._log_failure(error)
             finally:
-                if self._stream is not None:
-                    self._stream.close()
-                    self._stream = None
-            useful = self.last_sequence != before or time.monotonic() > began + CONNECT_TIMEOUT + READ_TIMEOUT
-            wait = BACKOFF if useful else min(BACKOFF_MOST, wait * 2.0)
+                self._close_stream()
+                self._stream = None
+            has_progressed = self.last_sequence != sequence_before
+            has_lasted = time.monotonic() > started_at + CONNECT_TIMEOUT + READ_TIMEOUT
+            backoff = MIN_BACKOFF if has_progressed or has_lasted else min(MAX_BACKOFF, backoff * 2.0)
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(wait * self._random.uniform(0.5, 1.0)):
+                async with asyncio.timeout(backoff * self._random.uniform(MIN_JITTER, 1.0)):
                     await self._address_changed.wait()
 
     def _log_failure(self, error: Exception) -> None:
-        if isinstance(error, OSError) and self._shortage.report_if_exhausted(error, "control feed"):
+        if isinstance(error, OSError) and self._exhaustion.report_if_exhausted(error, "discovery"):
             return
         if isinstance(error, EXPECTED_ERRORS):
-            log.warning("control feed broke", address=self.address, last=self.last_sequence, **told(error))
+            log.warning(
+                "discovery watch interrupted",
+                address=self.address,
+                last_sequence=self.last_sequence,
+                **error_fields(error),
+            )
         else:
-            # Guards against a fault here: without the feed, the list would stay as it is for good.
-            log.error("control feed failed", address=self.address, last=self.last_sequence, exc_info=error)
+            log.error(
+                "discovery watch failed",
+                address=self.address,
+                last_sequence=self.last_sequence,
+                exc_info=error,
+            )
 
     async def _watch_once(self) -> None:
-        """One connection, until it breaks, which raises."""
-        stream = self._stream = IOStream(
-            socket.socket(), max_buffer_size=2 * MAX_LINE_BYTES, read_chunk_size=65_536
+        """Watch over one connection until it fails, which raises."""
+        stream = IOStream(
+            socket.socket(), max_buffer_size=2 * MAX_LINE_BYTES, read_chunk_size=READ_CHUNK_BYTES
         )
+        self._stream = stream
         async with asyncio.timeout(CONNECT_TIMEOUT):
             await stream.connect(self.address)
-        stream.write(b"SUB %d\n" % self.last_sequence)
+        stream.write(SUBSCRIBE_COMMAND % self.last_sequence)
         while True:
             async with asyncio.timeout(READ_TIMEOUT):
-                # Guards against a watch that looks alive and tells nothing: only what shows that it is as
-                # far as we are counts as word from it.
-                while not self._on_line((await stream.read_until(b"\n", max_bytes=MAX_LINE_BYTES)).strip()):
-                    pass
+                # Only lines that show the feed to be up to date reset the timeout.
+                is_current = False
+                while not is_current:
+                    line = await stream.read_until(b"\n", max_bytes=MAX_LINE_BYTES)
+                    is_current = self._on_line(line.strip())
 
     def _on_line(self, line: bytes) -> bool:
-        """One whole line; whether it is word of now, not what was told before.
+        """Handle one line; return whether it shows that the feed is up to date.
 
-        FeedBroken where the stream of events is not what it should be.
+        Raises:
+            DiscoveryError: events are missing or the line is invalid.
         """
-        number = _heartbeat_sequence(line)
-        if number is not None:
-            if number > self.last_sequence:  # something was told that did not come
-                raise DiscoveryError(f"{number} events told, {self.last_sequence} came")
-            return number == self.last_sequence
+        sequence = _heartbeat_sequence(line)
+        if sequence is not None:
+            return self._on_heartbeat(sequence)
         try:
-            event = _EVENT.decode(line)
-        except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            self._skip_invalid(line, str(error))
+            event = _EVENT_DECODER.decode(line)
+        except _DECODE_ERRORS as error:
+            self._skip_invalid(line, error)
             return True
-        if event.n <= self.last_sequence:
-            return False  # told before
-        whole = event.members is not None and event.members.complete
-        if event.n != self.last_sequence + 1 and not whole:
-            # A whole list stands for all that came before it. Guards against a feed that keeps no more than
-            # that: it would be asked for what is gone, again and again, and the list stay as it was.
-            raise DiscoveryError(f"event {event.n} after {self.last_sequence}")
-        self.last_sequence = event.n
-        if event.members is not None:
+        return self._on_event(event)
+
+    def _on_heartbeat(self, sequence: int) -> bool:
+        if sequence > self.last_sequence:
+            raise DiscoveryError(f"heartbeat at {sequence}, last event {self.last_sequence}")
+        return sequence == self.last_sequence
+
+    def _on_event(self, event: WatchEvent) -> bool:
+        if event.sequence <= self.last_sequence:
+            return False  # a duplicate
+        endpoints = event.endpoint_list
+        is_complete = endpoints is not None and endpoints.is_complete
+        # A complete list stands for all events before it, which the feed may no longer have.
+        if event.sequence != self.last_sequence + 1 and not is_complete:
+            raise DiscoveryError(f"event {event.sequence} after {self.last_sequence}")
+        self.last_sequence = event.sequence
+        if endpoints is not None:
             try:
-                self._on_members(event.members)
+                self._on_endpoints(endpoints)
             except Exception:
-                # It would come again and fail again: what follows must not wait for it.
-                log.exception("event left out", n=event.n)
+                # It would fail again if it were requested again, and hold up later events.
+                log.exception("event skipped", sequence=event.sequence)
         return True
 
-    def _skip_invalid(self, line: bytes, why: str) -> None:
-        """A line that is no event: a numbered one is bad at its source, and would come again."""
-        with contextlib.suppress(msgspec.DecodeError, UnicodeDecodeError):
+    def _skip_invalid(self, line: bytes, decode_error: Exception) -> None:
+        """Skip an event that is invalid at its source, where its number is legible and the next one.
+
+        Raises:
+            DiscoveryError: the line has no such number.
+        """
+        with contextlib.suppress(*_DECODE_ERRORS):
             event = msgspec.json.decode(line)
-            number = event.get("n") if isinstance(event, dict) else None
-            if number == self.last_sequence + 1:
-                log.error("event left out", n=number, why=why)
-                self.last_sequence = int(number)
+            sequence = event.get(SEQUENCE_FIELD) if isinstance(event, dict) else None
+            if sequence == self.last_sequence + 1:
+                log.error("event skipped", sequence=sequence, error=str(decode_error))
+                self.last_sequence = int(sequence)
                 return
-        raise DiscoveryError(f"no event: {why}")
+        raise DiscoveryError(f"invalid event: {decode_error}") from decode_error
--- a/saffronlane/platform/downstream/client_connection.py
+++ b/saffronlane/platform/downstream/client_connection.py
@@ -101,24 +101,24 @@
 
     def _on_message(self, data: bytes) -> None:
         try:
-            message = rpc.read(data)
-        except rpc.Malformed as error:
+            message = rpc.decode_message(data)
+        except rpc.InvalidMessageError as error:
             self._on_fault(error.id, str(error))
             return
         if not self.has_sent_message:
             self.has_sent_message = True
             self._update_idle()
-        if isinstance(message, rpc.Notice):
+        if isinstance(message, rpc.Notification):
             self._on_notice(message)
         elif not self.life.takes:
             return  # the connection closes: only open requests are answered
         elif message.method == HEALTH_CHECK_METHOD:
-            self.write(rpc.reply(rpc.Reply(message.id, None, {}, self.server.is_healthy())))
+            self.write(rpc.encode_reply(rpc.Reply(message.id, None, {}, self.server.is_healthy())))
             self._update_idle()
         else:
             self._on_call(message)
 
-    def _on_notice(self, notice: rpc.Notice) -> None:
+    def _on_notice(self, notice: rpc.Notification) -> None:
         if notice.method == CANCEL_METHOD:
             for message_id in notice.ids:
                 self._on_cancel(message_id)
@@ -154,7 +154,7 @@
         self.server.fault_count += 1
         log.debug("invalid message received", reason=reason)
         if message_id is not None:
-            self._fault_replies.add(rpc.reply(rpc.Reply(message_id, FAULT_ERROR, {})))
+            self._fault_replies.add(rpc.encode_reply(rpc.Reply(message_id, FAULT_ERROR, {})))
             self.server.eviction.mark_busy(self)
         if self.fault_count >= MAX_FAULTS or message_id is None:
             self.drain("too many invalid messages")
@@ -170,7 +170,7 @@
         """Write the reply to a request, unless it was cancelled."""
         if self.open_requests.pop(channel.message_id, None) is not None:
             self.server.open_request_ids.discard(channel.request_id)
-            self.write(rpc.reply(reply))
+            self.write(rpc.encode_reply(reply))
             self._update_idle()
 
     def _update_idle(self) -> None:
--- a/saffronlane/platform/downstream/connection_eviction.py
+++ b/saffronlane/platform/downstream/connection_eviction.py
@@ -1,4 +1,4 @@
-"""The order in which idle client connections are evicted, kept up to date so that no eviction needs a search."""
+"""The order in which idle client connections are evicted, maintained so that no eviction needs a search."""
 
 from __future__ import annotations
 
--- a/saffronlane/platform/errors.py
+++ b/saffronlane/platform/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the platform node."""
+"""Errors of the platform."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class ConfigError(SaffronlaneError):
-    """The file cannot be used; the text is one line that names the JSON pointer."""
+    """The configuration is invalid; the text is one line that begins with the JSON pointer."""
 
     remedy = "Correct the configuration at the JSON pointer in the text and start or send SIGHUP again."
 
 
 class DiscoveryError(SaffronlaneError):
-    """This connection is of no use any more."""
+    """The connection to the control feed cannot be used any more."""
 
     remedy = (
         "Nothing if it is seldom, since the feed is asked again from the last event; else look "
@@ -21,12 +21,12 @@
 
 
 class BadRequestError(SaffronlaneError):
-    """A request that cannot be taken; the text names the field."""
+    """A request is invalid; the text names the field."""
 
     remedy = "Have the client correct the field that the text names; nothing is wrong here."
 
 
 class Spoilt(SaffronlaneError):
-    """An answer that is not what the protocol allows."""
+    """A response is not what the protocol allows."""
 
     remedy = "Look at that compute node and the network to it; the attempt has gone elsewhere."
--- /dev/null
+++ b/saffronlane/platform/reload.py
@@ -0,0 +1,47 @@
+"""Reload of the configuration: which of its fields take effect, and which need a restart."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import structlog
+
+from ..errors import told as error_fields
+from .config import DispatcherConfig, load_config
+from .errors import ConfigError
+
+log = structlog.get_logger()
+# Fields that only a restart applies, with the names in the file.
+RESTART_FIELDS = {
+    "listen": "listen",
+    "max_sockets": "sockets",
+    "peer_listen": "peer_listen",
+    "peers": "peers",
+    "broadcast_address": "peers_all",
+    "settings": "settings",
+    "engine_idle_timeout": "idle_close",
+}
+
+
+def pending_restart(current: DispatcherConfig, loaded: DispatcherConfig) -> list[str]:
+    """Return the names, as in the file, of changed fields that only a restart applies."""
+    return [
+        file_name
+        for attribute, file_name in RESTART_FIELDS.items()
+        if getattr(loaded, attribute) != getattr(current, attribute)
+    ]
+
+
+def reload_config(path: Path, current: DispatcherConfig) -> DispatcherConfig | None:
+    """Load the configuration again; None, with a log event, where it is invalid or another dispatcher's."""
+    try:
+        loaded = load_config(path)
+    except ConfigError as error:
+        log.error("configuration reload failed", **error_fields(error))
+        return None
+    if loaded.name != current.name:
+        # Another dispatcher's control feed may list other engines.
+        log.error("configuration reload failed", why="name differs", name=loaded.name)
+        return None
+    log.info("configuration reloaded", feed=loaded.feed, pending_restart=pending_restart(current, loaded))
+    return loaded
--- a/saffronlane/platform/server.py
+++ b/saffronlane/platform/server.py
@@ -1,102 +1,124 @@
-"""One node: dispatcher, front, links, feed and peers, from the start to the last answer."""
+"""The dispatcher's server process: assembles its parts and runs them from start to shutdown."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-import resource
+import signal
 import time
 from pathlib import Path
 from random import Random
 
 import structlog
 
-from .. import dispatch as d
+from .. import dispatch
 from ..engines import Executor
-from ..errors import told
-from ..gossip_transport import Peers
+from ..gossip_transport import GossipTransport
 from ..interface import PeerMessage
-from .config import DispatcherConfig, Members, load
+from .config import DispatcherConfig, EndpointList
 from .descriptors import DescriptorExhaustion, allocate_descriptors
 from .discovery.endpoints import EndpointTable
 from .discovery.watch import DiscoveryWatch
 from .downstream import DownstreamServer
-from .errors import ConfigError
 from .lifecycle import Bounds, Phase, Process
-from .lifecycle.process import Debts, patience
+from .lifecycle.process import patience
+from .reload import reload_config
+from .shutdown import GracefulShutdown
+from .stats import StatsReporter
 from .upstream import LinkLimits, Links
 
 log = structlog.get_logger()
-LOOK_EVERY = 0.02  # seconds between looks at what is owed, once the process ends
-REPORT_EVERY = 5.0
-LAG_STEP = 0.25  # seconds; each is a wake with nothing to do, on every node of a fleet
-CONNECT_TIMEOUT, IDLE_CLOSE = 0.25, 30.0  # seconds, where the settings tell none
+DEFAULT_CONNECT_TIMEOUT = 0.25  # seconds
+DEFAULT_ENGINE_IDLE_TIMEOUT = 30.0  # seconds
+BYTES_PER_MB = 1e6
 
 
-class Node:
-    """One dispatcher process. `start`, then `run` until it has ended."""
+class DispatcherServer:
+    """One dispatcher process. `start`, then `run` until it has ended.
+
+    Args:
+        config: its configuration.
+        path: of the configuration's file, for `reload`; None: there is none.
+    """
 
     def __init__(self, config: DispatcherConfig, path: Path | None = None) -> None:
-        self.config, self._path = config, path
+        self.config = config
+        self._path = path
         self._loop = asyncio.get_running_loop()
         settings = config.settings
-        self.fleet = EndpointTable(settings, self._loop.time, time.time)
-        self.dispatcher = d.Dispatcher(settings, config.seed)
-        shares, shortage = allocate_descriptors(config.max_sockets), DescriptorExhaustion()
-        limits = LinkLimits(
-            max_streams=settings.limits.max_concurrent_streams,
-            connect_timeout=settings.limits.connect_timeout or CONNECT_TIMEOUT,
-            idle_close=config.engine_idle_timeout or IDLE_CLOSE,
-            most_links=shares.engines,
-        )
-        self.links = Links(limits, self.fleet.address, shortage)
-        self.peers: Peers | None = None
-        if settings.limits.gossip and config.peer_listen is not None:
-            self.peers = Peers(
-                config.peer_listen, config.peers, settings.gateway_index, self._on_peer, config.peers_all
-            )
+        allocation = allocate_descriptors(config.max_sockets)
+        exhaustion = DescriptorExhaustion()
+        self.endpoints = EndpointTable(settings, self._loop.time, time.time)
+        self.dispatcher = dispatch.Dispatcher(settings, config.seed)
+        self.links = Links(_link_limits(config, allocation.engines), self.endpoints.address, exhaustion)
+        self.peers = self._gossip_transport()
         self.executor = Executor(self.dispatcher, self.links, self.peers.send if self.peers else None)
-        memory = config.memory_mb * 1e6
-        self.front = DownstreamServer(self.executor, settings, shares.clients, self._well, shortage, memory)
-        self.feed = DiscoveryWatch(
-            config.feed, config.last_sequence, self._on_members, Random(config.seed), shortage
+        self.downstream = DownstreamServer(
+            self.executor,
+            settings,
+            allocation.clients,
+            self._is_healthy,
+            exhaustion,
+            config.memory_mb * BYTES_PER_MB,
+        )
+        self.discovery = DiscoveryWatch(
+            config.feed, config.last_sequence, self._on_endpoints, Random(config.seed), exhaustion
+        )
+        max_deadline = max((entry.deadline for entry in settings.classes), default=0.0)
+        self.process = Process(Bounds().linger, patience(max_deadline))
+        self._shutdown = GracefulShutdown(self.process, self.dispatcher, self.executor, self.downstream)
+        self._stats = StatsReporter(self.dispatcher, self.downstream)
+
+    def _gossip_transport(self) -> GossipTransport | None:
+        config = self.config
+        if not config.settings.limits.gossip or config.peer_listen is None:
+            return None
+        return GossipTransport(
+            config.peer_listen,
+            config.peers,
+            config.settings.gateway_index,
+            self._on_peer_message,
+            config.broadcast_address,
         )
-        longest = max((cls.deadline for cls in settings.classes), default=0.0)
-        self.process = Process(Bounds().linger, patience(longest))
-        self._hurrying = False
-        self._ending: asyncio.Task[None] | None = None
-        self._report_at = self._lag = 0.0
-        self._reports: asyncio.TimerHandle | None = None
-        self.ended = asyncio.Event()
-
-    def _well(self) -> bool:
-        return len(self.fleet) > 0 and self.process.phase is Phase.SERVING
-
-    def _on_members(self, members: Members) -> None:
-        update, gone = self.fleet.apply(members)
+
+    def _is_healthy(self) -> bool:
+        return len(self.endpoints) > 0 and self.process.phase is Phase.SERVING
+
+    def _on_endpoints(self, endpoints: EndpointList) -> None:
+        update, removed_engines = self.endpoints.apply(endpoints)
         self.executor.feed(update)
-        for engine in gone:
+        for engine in removed_engines:
             self.links.forget_engine(engine)
-        changed = [f"{m.id} {m.phase} {m.up_since_ms:.0f}" for m in members.members if not members.complete]
-        log.info("list", revision=members.revision, nodes=len(self.fleet), changed=changed)
+        changed = []
+        if not endpoints.is_complete:
+            changed = [f"{one.engine} {one.state} {one.started_at_ms:.0f}" for one in endpoints.endpoints]
+        log.info(
+            "endpoints updated",
+            revision=endpoints.revision,
+            endpoints=len(self.endpoints),
+            changed=changed,
+        )
 
-    def _on_peer(self, sender: int, data: bytes) -> None:
+    def _on_peer_message(self, sender: int, data: bytes) -> None:
         self.executor.feed(PeerMessage(sender, data))
 
     def start(self) -> None:
-        """Listen. OSError where the address cannot be had."""
-        for members in self.config.known_events:
-            self._on_members(members)
-        self.front.listen(self.config.listen)
+        """Listen and serve.
+
+        Raises:
+            OSError: the address cannot be bound.
+        """
+        for endpoints in self.config.known_events:
+            self._on_endpoints(endpoints)
+        self.downstream.listen(self.config.listen)
         if self.peers is not None:
             self.peers.start()
-        self.feed.start()
-        self._report_at = self._loop.time()
-        self._watch_lag()
+        self.discovery.start()
+        self._stats.start()
         log.info(
             "listening",
             host=self.config.listen[0],
-            port=self.front.port,
+            port=self.downstream.port,
             name=self.config.name,
             sockets=self.config.max_sockets,
             memory_mb=self.config.memory_mb,
@@ -104,143 +126,51 @@
         )
 
     def reload(self) -> None:
-        """Read the file again and follow the feed where it is now. What cannot be read changes nothing."""
+        """Load the configuration again and watch its control feed. Invalid ones change nothing."""
         if self._path is None:
             return
-        try:
-            config = load(self._path)
-        except ConfigError as error:
-            log.error("configuration kept as it was", **told(error))
-            return
-        if config.name != self.config.name:
-            # Guards against another node's file in this place: its feed need not tell of our fleet.
-            log.error("configuration kept as it was", why="it is another's", name=config.name)
-            return
-        log.info("configuration read again", feed=config.feed, kept=self._kept(config))
-        self.feed.change_address(config.feed)
-
-    def _kept(self, config: DispatcherConfig) -> list[str]:
-        """What another start would take of a file, and this process does not."""
-        names = (
-            "listen",
-            "max_sockets",
-            "peer_listen",
-            "peers",
-            "peers_all",
-            "settings",
-            "engine_idle_timeout",
-        )
-        return [name for name in names if getattr(config, name) != getattr(self.config, name)]
+        config = reload_config(self._path, self.config)
+        if config is not None:
+            self.discovery.change_address(config.feed)
 
     def stop(self) -> None:
-        """Take what still comes, give every answer, end. A second call answers what is owed at once."""
-        self.process.terminate(self._loop.time())
-        log.info("stopping", owed=self.dispatcher.pending_count, hurried=self.process.hurried)
-        if self._ending is None:
-            self._ending = self._loop.create_task(self._finish())
-        self._hurry()
-
-    def _hurry(self) -> None:
-        """Answer all that is owed, once, when there is no more time for it."""
-        if self.process.hurried and not self._hurrying:
-            self._hurrying = True
-            log.warning("answering what is owed", owed=self.dispatcher.pending_count)
-            self.executor.feed(d.FinishDrain())
-
-    async def _finish(self) -> None:
-        try:
-            while self.process.phase is not Phase.ENDED:
-                await asyncio.sleep(LOOK_EVERY)
-                # Two more turns of the loop: what had come by now is read, or handed over to be.
-                await asyncio.sleep(0)
-                await asyncio.sleep(0)
-                # From here to `drain` nothing else runs: what is not there now crosses the close.
-                before = self.process.phase
-                if self.process.look(self._loop.time(), self._debts()) is Phase.CLOSING is not before:
-                    self.front.drain()
-                self._hurry()
-        except Exception:
-            log.exception("the end failed")
-        finally:  # guards against a process that was told to end and never does
-            self.ended.set()
-
-    def _debts(self) -> Debts:
-        front = self.front
-        owed = bool(self.dispatcher.pending_count or self.executor.pending or front.has_unsent_replies)
-        unread = self.process.phase is Phase.DRAINING and not owed and front.has_unread_input()
-        # Guards against an end while connections are full: the system has taken those that wait outside,
-        # and what they sent is owed. Room is made in some hundredths of a second, if the end can wait.
-        unread = unread or (front.listener.is_paused and not self.process.hurried)
-        return Debts(front.last_request_at, owed, unread, len(front.clients))
+        """Shut down gracefully. A second call answers all pending requests at once."""
+        self._shutdown.request()
 
     async def run(self) -> None:
-        await self.ended.wait()
+        """Serve until the shutdown is complete."""
+        await self._shutdown.ended.wait()
         self.close()
-        log.info("ended", taken=self.front.request_count)
+        log.info("ended", requests=self.downstream.request_count)
 
     def close(self) -> None:
-        if self._reports is not None:
-            self._reports.cancel()
-        if self._ending is not None:
-            self._ending.cancel()
-        self.feed.close()
+        """Close everything at once."""
+        self._stats.close()
+        self._shutdown.close()
+        self.discovery.close()
         if self.peers is not None:
             self.peers.close()
-        self.front.close()
+        self.downstream.close()
         self.executor.close()
 
-    def _watch_lag(self) -> None:
-        """How late the loop runs what is due: a lag here must not be taken for slow nodes."""
-        now = self._loop.time()
-        if self._reports is not None:
-            self._lag = max(self._lag, now - self._reports.when())
-        if now >= self._report_at + REPORT_EVERY:
-            self._report_at = now
-            gateway = self.dispatcher.gateway
-            now, cold_time = gateway.batch.now, gateway.batch.guarantees.slow_start_duration
-            log.info(
-                "report",
-                lag_ms=round(self._lag * 1000.0, 1),
-                cpu_s=round(time.process_time(), 2),
-                memory_mb=_resident_mb(),
-                clients=len(self.front.clients),
-                taken=self.front.request_count,
-                faults=self.front.fault_count,
-                accepted=self.front.accepted_count,
-                displaced=self.front.evicted_count,
-                pauses=self.front.listener.pause_count,
-                owed=self.dispatcher.pending_count,
-                held=self.dispatcher.queued_count,
-                out=self.dispatcher.in_flight_count,
-                crowd=round(gateway.concurrency_limit.latency_inflation, 2),
-                ill=sum(engine.is_ejected for engine in gateway.fleet.ready),
-                cold=sum(engine.warmup_remaining(now, cold_time) > 0.0 for engine in gateway.fleet.ready),
-                ready=len(gateway.fleet.ready),
-                threads=round(gateway.in_flight.threads, 1),
-                limit=round(min(gateway.concurrency_limit.limit, 1e6), 1),
-            )
-            self._lag = 0.0
-        self._reports = self._loop.call_later(LAG_STEP, self._watch_lag)
-
-
-def _resident_mb() -> float:
-    """0 where the system does not tell."""
-    try:
-        pages = int(Path("/proc/self/statm").read_text().split()[1])
-    except (OSError, ValueError, IndexError):
-        return 0.0
-    return round(pages * resource.getpagesize() / 1e6, 1)
 
+def _link_limits(config: DispatcherConfig, max_connections: int) -> LinkLimits:
+    limits = config.settings.limits
+    return LinkLimits(
+        max_streams=limits.max_concurrent_streams,
+        connect_timeout=limits.connect_timeout or DEFAULT_CONNECT_TIMEOUT,
+        idle_close=config.engine_idle_timeout or DEFAULT_ENGINE_IDLE_TIMEOUT,
+        most_links=max_connections,
+    )
 
-async def serve(config: DispatcherConfig, path: Path) -> None:
-    """Run a node until SIGTERM or SIGINT."""
-    import signal
 
-    node = Node(config, path)
+async def serve(config: DispatcherConfig, path: Path) -> None:
+    """Run a dispatcher until SIGTERM or SIGINT."""
+    server = DispatcherServer(config, path)
     loop = asyncio.get_running_loop()
-    loop.add_signal_handler(signal.SIGHUP, node.reload)
+    loop.add_signal_handler(signal.SIGHUP, server.reload)
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, node.stop)
-    node.start()
+        loop.add_signal_handler(number, server.stop)
+    server.start()
     with contextlib.suppress(asyncio.CancelledError):
-        await node.run()
+        await server.run()
--- a/saffronlane/platform/statement.py
+++ b/saffronlane/platform/statement.py
@@ -1,4 +1,4 @@
-"""What an attempt carries from a client to a compute node."""
+"""The statement that an attempt carries from a client to an engine."""
 
 from __future__ import annotations
 
@@ -7,7 +7,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Statement:
-    """What an attempt sends: all of it as the client sent it."""
+    """A statement as the client sent it.
+
+    Attributes:
+        request_id: the client's id for the request.
+        query_class: name of the class.
+        body: the text, UTF-8.
+        idempotency_key: empty where the class has none.
+    """
 
     request_id: bytes
     query_class: bytes
--- /dev/null
+++ b/saffronlane/platform/stats.py
@@ -0,0 +1,108 @@
+"""The periodic log event with the process's statistics."""
+
+from __future__ import annotations
+
+import asyncio
+import resource
+import time
+from pathlib import Path
+
+import structlog
+
+from ..dispatch import Dispatcher
+from .downstream import DownstreamServer
+
+log = structlog.get_logger()
+REPORT_INTERVAL = 5.0  # seconds
+LAG_SAMPLE_INTERVAL = 0.25  # seconds
+MAX_REPORTED_LIMIT = 1e6  # stands for no limit
+MS_PER_SECOND = 1000.0
+BYTES_PER_MB = 1e6
+
+
+class StatsReporter:
+    """Measures the event loop's lag and logs statistics.
+
+    The lag tells slow engines from a slow dispatcher.
+
+    Args:
+        dispatcher: whose statistics are logged.
+        downstream: whose statistics are logged.
+    """
+
+    def __init__(self, dispatcher: Dispatcher, downstream: DownstreamServer) -> None:
+        self._dispatcher = dispatcher
+        self._downstream = downstream
+        self._loop = asyncio.get_running_loop()
+        self._reported_at = 0.0
+        self._max_lag = 0.0  # seconds, since the last report
+        self._timer: asyncio.TimerHandle | None = None
+
+    def start(self) -> None:
+        """Start measuring."""
+        self._reported_at = self._loop.time()
+        self._on_sample_due()
+
+    def close(self) -> None:
+        """Stop measuring."""
+        if self._timer is not None:
+            self._timer.cancel()
+
+    def _on_sample_due(self) -> None:
+        now = self._loop.time()
+        if self._timer is not None:
+            self._max_lag = max(self._max_lag, now - self._timer.when())
+        if now >= self._reported_at + REPORT_INTERVAL:
+            self._reported_at = now
+            self._log_report()
+            self._max_lag = 0.0
+        self._timer = self._loop.call_later(LAG_SAMPLE_INTERVAL, self._on_sample_due)
+
+    def _log_report(self) -> None:
+        log.info(
+            "report",
+            lag_ms=round(self._max_lag * MS_PER_SECOND, 1),
+            cpu_s=round(time.process_time(), 2),
+            memory_mb=_resident_mb(),
+            **_downstream_stats(self._downstream),
+            **_dispatcher_stats(self._dispatcher),
+        )
+
+
+def _downstream_stats(downstream: DownstreamServer) -> dict[str, int]:
+    return {
+        "clients": len(downstream.clients),
+        "requests": downstream.request_count,
+        "faults": downstream.fault_count,
+        "accepted": downstream.accepted_count,
+        "evicted": downstream.evicted_count,
+        "pauses": downstream.listener.pause_count,
+    }
+
+
+def _dispatcher_stats(dispatcher: Dispatcher) -> dict[str, float]:
+    gateway = dispatcher.gateway
+    now = gateway.batch.now
+    slow_start_duration = gateway.batch.guarantees.slow_start_duration
+    ready = gateway.fleet.ready
+    concurrency_limit = gateway.concurrency_limit
+    return {
+        "pending": dispatcher.pending_count,
+        "queued": dispatcher.queued_count,
+        "in_flight": dispatcher.in_flight_count,
+        "latency_inflation": round(concurrency_limit.latency_inflation, 2),
+        "ejected": sum(engine.is_ejected for engine in ready),
+        "warming_up": sum(engine.warmup_remaining(now, slow_start_duration) > 0.0 for engine in ready),
+        "ready": len(ready),
+        "threads": round(gateway.in_flight.threads, 1),
+        "limit": round(min(concurrency_limit.limit, MAX_REPORTED_LIMIT), 1),
+    }
+
+
+def _resident_mb() -> float:
+    """Return the resident memory; 0 where the system does not tell."""
+    try:
+        pages = int(Path("/proc/self/statm").read_text().split()[1])
+    except (OSError, ValueError, IndexError):
+        return 0.0
+    return round(pages * resource.getpagesize() / BYTES_PER_MB, 1)
--- a/tests/node/support.py
+++ b/tests/node/support.py
@@ -219,7 +219,7 @@
 @contextlib.asynccontextmanager
 async def slow_client(built: World, asked: int) -> AsyncIterator[tuple[socket.socket, ClientConnection]]:
     """A client that has asked so much and read nothing, through small buffers; all has been answered."""
-    front = built.node.front
+    front = built.node.downstream
     with socket.socket() as client:
         client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         client.connect(("127.0.0.1", front.port))
--- a/tests/node/test_answers.py
+++ b/tests/node/test_answers.py
@@ -88,7 +88,7 @@
         msgid = client.call("frail", rid(1))
         await built.until(lambda: held)
         built.feed.event(2, [member("node-0", built.computes[0].port, "removed")])
-        await built.until(lambda: built.node.feed.last_sequence == 2)
+        await built.until(lambda: built.node.discovery.last_sequence == 2)
         held[0][0].done(held[0][1])
         assert await client.answer(msgid) == (None, [ROWS, {}])
         await built.until(lambda: not built.node.links.by_node)
--- a/tests/node/test_attempt_ends.py
+++ b/tests/node/test_attempt_ends.py
@@ -344,7 +344,7 @@
         await other.start()
         built.computes.append(other)
         built.feed.event(2, [member("node-0", other.port)])
-        await built.until(lambda: built.node.feed.last_sequence == 2)
+        await built.until(lambda: built.node.discovery.last_sequence == 2)
         for n in range(2, 5):
             assert (await client.answer(client.call("ask", rid(n))))[0] is None
         assert len(other.words(b"fetch")) == 3 and len(other.peers) == 1
--- a/tests/node/test_bad_clients.py
+++ b/tests/node/test_bad_clients.py
@@ -74,7 +74,7 @@
         bad.raw(data)
         assert await bad.closed(2.0)
         assert (await good.answer(good.call("ask", RID)))[0] is None
-        await built.until(lambda: len(built.node.front.clients) == 1)
+        await built.until(lambda: len(built.node.downstream.clients) == 1)
 
     play(work)
 
@@ -124,7 +124,7 @@
         for _ in range(MAX_FAULTS):
             bad.raw(call(1, "nothing"))
         assert await bad.closed(3.0)
-        assert built.node.front.fault_count <= MAX_FAULTS
+        assert built.node.downstream.fault_count <= MAX_FAULTS
 
     play(work)
 
@@ -135,7 +135,7 @@
         half.raw(call(1)[:20])
         assert await half.closed(3.0)
         assert await mute.closed(3.0)
-        await built.until(lambda: not built.node.front.clients, 1.0)  # they do not close their side
+        await built.until(lambda: not built.node.downstream.clients, 1.0)  # they do not close their side
 
     play(work)
 
@@ -145,7 +145,7 @@
         client = await built.client()
         for n in range(5):
             client.call("ask", rid(n))
-        await built.until(lambda: built.node.front.request_count == 5)
+        await built.until(lambda: built.node.downstream.request_count == 5)
         client.close()
         await built.until(lambda: not any(built.tables().values()))
 
@@ -166,14 +166,14 @@
         good = await built.client()
         msgid = good.call("ask", rid(1))
         await built.until(lambda: waiting)
-        most = built.node.front.max_clients
+        most = built.node.downstream.max_clients
         for _ in range(most + 60):
             await built.client()
         late = await built.client()
         assert (await late.answer(late.call("ask", rid(2))))[0] is None
         waiting[0][0].done(waiting[0][1])
         assert (await good.answer(msgid))[0] is None
-        assert len(built.node.front.clients) <= most
+        assert len(built.node.downstream.clients) <= most
 
     own_descriptors(monkeypatch)
     play(work, script, limits={"cores": 1.0, "memory_mb": 64, "sockets": 96})
@@ -184,7 +184,7 @@
     connections a second, when each was safe for half a second and the usual clients came 300 ms late."""
 
     async def work(built: World) -> None:
-        front, loop = built.node.front, asyncio.get_running_loop()
+        front, loop = built.node.downstream, asyncio.get_running_loop()
         client = await built.client()
         assert (await client.answer(client.call("ask", rid(1))))[0] is None
         idle = next(iter(front.clients))
@@ -199,10 +199,10 @@
 
 async def asks_once(built: World, number: int) -> SyncClient:
     """One that connects, asks in the same moment and stays; once it has its answer."""
-    taken, client = built.node.front.request_count, SyncClient(built.node.front.port)
+    taken, client = built.node.downstream.request_count, SyncClient(built.node.downstream.port)
     client.send(call(1, rid=rid(number)))
     await built.until(
-        lambda: built.node.front.request_count > taken and not built.node.front.has_unsent_replies
+        lambda: built.node.downstream.request_count > taken and not built.node.downstream.has_unsent_replies
     )
     return client
 
@@ -219,7 +219,7 @@
         return bool(real.fget(client))
 
     async def work(built: World) -> None:
-        front = built.node.front
+        front = built.node.downstream
         front.max_clients = 60
         flood = [await asks_once(built, n) for n in range(60)]
         await built.until(lambda: front.eviction.graceful_candidate(built.node._loop.time()) is not None)
@@ -240,7 +240,7 @@
     seconds behind the flood (twelve were taken in five seconds, on a day whose one request was lost)."""
 
     async def work(built: World) -> None:
-        front, now = built.node.front, built.node._loop.time
+        front, now = built.node.downstream, built.node._loop.time
         most = front.max_clients
         usual = [await built.client() for _ in range(most // 3)]
         for n, client in enumerate(usual * 2):
@@ -289,7 +289,7 @@
     """Its first request is half there: it was closed like one that has never sent a byte."""
 
     async def work(built: World) -> None:
-        front, now = built.node.front, built.node._loop.time
+        front, now = built.node.downstream, built.node._loop.time
         slow, silent_one = await built.client(), await built.client()
         message = call(1, rid=rid(1))
         slow.raw(message[:40])
--- a/tests/node/test_certainty.py
+++ b/tests/node/test_certainty.py
@@ -50,7 +50,7 @@
 
     await built.until(lambda: built.feed.writers)
     built.feed.event(2, [member("raw", node.port), member("node-0", built.computes[0].port, "draining")])
-    await built.until(lambda: built.node.feed.last_sequence == 2)
+    await built.until(lambda: built.node.discovery.last_sequence == 2)
     link = built.node.links._link(b"raw", b"first")
     assert link is not None
     await built.until(lambda: link.came_up)
@@ -100,7 +100,7 @@
         from platform_world import member
 
         built.feed.event(3, [member("node-0", built.computes[0].port)])
-        await built.until(lambda: built.node.feed.last_sequence == 3)
+        await built.until(lambda: built.node.discovery.last_sequence == 3)
         node.reset()
         answered = await client.answer(msgid)
         assert told == [Outcome.CONNECT_FAILED, Outcome.OK] and answered == (None, [ROWS, {}])
@@ -348,7 +348,7 @@
         await other.start()
         built.computes.append(other)
         built.feed.event(2, [member("node-0", other.port)])
-        await built.until(lambda: built.node.feed.last_sequence == 2)
+        await built.until(lambda: built.node.discovery.last_sequence == 2)
         assert (await client.answer(client.call("ask", rid(2))))[0] is None
         held[0][0].done(held[0][1])
         assert await client.answer(first) == (None, [ROWS, {}])
--- a/tests/node/test_closing.py
+++ b/tests/node/test_closing.py
@@ -34,7 +34,7 @@
     """Guards against closing over unread bytes: the reset overtakes the answer that is on its way."""
 
     async def work(built: World) -> None:
-        front = built.node.front
+        front = built.node.downstream
 
         async def script(peer: Peer, words: list[bytes]) -> None:
             if words[0] == b"fetch":
@@ -58,7 +58,7 @@
 
 def test_too_many_faults_take_no_answer_away() -> None:
     async def work(built: World) -> None:
-        client = SyncClient(built.node.front.port)
+        client = SyncClient(built.node.downstream.port)
         client.send(call(1) + b"".join(call(n, "nothing", rid=rid(n)) for n in range(2, 30)))
         data, reset = await client.rest()
         answers = {told[1]: told[2] for told in messages(data)}
@@ -73,7 +73,7 @@
     monkeypatch.setattr(connection, "IDLE_TIMEOUT", 0.05)
 
     async def work(built: World) -> None:
-        front = built.node.front
+        front = built.node.downstream
         client = SyncClient(front.port)
         client.send(call(1))
         await built.until(lambda: front.request_count == 1 and built.computes[0].words(b"fetch"))
@@ -96,7 +96,7 @@
     """Guards against a close that crosses nothing: the request came before it, and only the loop was late."""
 
     async def work(built: World) -> None:
-        front = built.node.front
+        front = built.node.downstream
         client = SyncClient(front.port)
         client.send(call(1))
         await built.until(lambda: front.request_count == 1 and not front.has_unsent_replies)
@@ -155,7 +155,7 @@
 
 def test_answers_that_all_leave_unread_are_bounded_by_the_memory() -> None:
     async def work(built: World) -> None:
-        front = built.node.front
+        front = built.node.downstream
         clients = [await built.client() for _ in range(3)]
         await built.until(lambda: len(front.clients) == 3)
         for one, size in zip(front.clients, (10, 300_000, 20), strict=True):
@@ -171,7 +171,7 @@
 
 def test_a_fault_in_handling_one_message_takes_no_other_with_it(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work(built: World) -> None:
-        front = built.node.front
+        front = built.node.downstream
         read = front.decoder.decode
 
         def fails(told: Any) -> Any:
@@ -190,7 +190,7 @@
 
 def test_a_connection_that_is_asked_whether_it_is_well_is_not_idle(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work(built: World) -> None:
-        front = built.node.front
+        front = built.node.downstream
         client = await built.client()
         await built.until(lambda: front.clients)
         (one,) = front.clients
@@ -208,7 +208,7 @@
     page = (b"x" * 2990 + b"\ty\tz\n") * 2
 
     async def work(built: World) -> None:
-        front = built.node.front
+        front = built.node.downstream
         async with slow_client(built, 10) as (client, one):
             await built.until(lambda: not front.clients, 3.0)
 
@@ -217,7 +217,7 @@
 
 def test_a_flood_to_a_closing_connection_ends_it() -> None:
     async def work(built: World) -> None:
-        front = built.node.front
+        front = built.node.downstream
         client = SyncClient(front.port)
         client.socket.setblocking(False)
         loop = asyncio.get_running_loop()
@@ -260,7 +260,7 @@
 
     async def work(built: World) -> None:
         free = hold_connections(monkeypatch)
-        client = SyncClient(built.node.front.port)
+        client = SyncClient(built.node.downstream.port)
         client.send(call(1))
         await built.until(lambda: built.tables()["open"])
         if how == "forget":
@@ -281,9 +281,9 @@
 
     async def work(built: World) -> None:
         free = hold_connections(monkeypatch)
-        client = SyncClient(built.node.front.port)
+        client = SyncClient(built.node.downstream.port)
         client.send(call(1) + call(2, "nothing", rid=rid(2)))
-        await built.until(lambda: built.node.front.fault_count == 1 and built.tables()["open"])
+        await built.until(lambda: built.node.downstream.fault_count == 1 and built.tables()["open"])
         client.send(msgspec.msgpack.encode([2, "forget", [1]])) if how == "forget" else client.close()
         await gone(built, free)
 
@@ -294,7 +294,7 @@
 def test_a_thousand_clients_leave_at_once(cancel: bool, monkeypatch: pytest.MonkeyPatch) -> None:
     async def work(built: World) -> None:
         free = hold_connections(monkeypatch)
-        front = built.node.front
+        front = built.node.downstream
         clients = []
         for number in range(1000):
             clients.append(SyncClient(front.port))
@@ -312,7 +312,7 @@
 
 def test_a_request_that_comes_with_its_connections_end_is_not_sent_on() -> None:
     async def work(built: World) -> None:
-        front = built.node.front
+        front = built.node.downstream
         for number in range(20):
             client = SyncClient(front.port)
             client.send(call(1, rid=rid(number)))
@@ -328,7 +328,7 @@
     """The first attempt fails in the turn in which its client leaves."""
 
     async def work(built: World) -> None:
-        front = built.node.front
+        front = built.node.downstream
 
         async def script(peer: Peer, words: list[bytes]) -> None:
             if words[0] == b"fetch":
@@ -357,7 +357,7 @@
 
     async def work(built: World) -> None:
         pour, crossed = NodeConnection.pour, []
-        client = SyncClient(built.node.front.port)
+        client = SyncClient(built.node.downstream.port)
         if way.startswith("forget"):
             client.send(call(9, rid=rid(9)))
             await built.until(lambda: built.computes[0].words(b"fetch"))
@@ -375,7 +375,7 @@
                     client.reset()
                 elif way != "forget, told":
                     client.send(msgspec.msgpack.encode([2, "forget", [1]]))
-                (one,) = built.node.front.clients
+                (one,) = built.node.downstream.clients
                 if "told" in way:  # to the front, and the decisions are stepped later in this turn
                     one.take(msgspec.msgpack.encode([2, "forget", [1]]))
                 if "read" in way:  # and not acted on yet
@@ -404,7 +404,7 @@
         looked, client = [], await built.client()
         waiting = client.call("ask", rid(2))
         await built.until(lambda: held)
-        (one,) = built.node.front.clients
+        (one,) = built.node.downstream.clients
         await built.until(lambda: one.loop.time() > one.opened_at + 0.3)
         write = one.write
 
@@ -444,7 +444,7 @@
     """The process ends in that instant: the half-close failed, and all others were reset."""
 
     async def work(built: World) -> None:
-        front = built.node.front
+        front = built.node.downstream
         gone, rests = SyncClient(front.port), SyncClient(front.port)
         for n, client in enumerate((gone, rests)):
             client.send(call(1, rid=rid(n)))
@@ -471,7 +471,7 @@
 
 def test_a_fault_at_one_connection_at_the_end_takes_no_other_with_it(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work(built: World) -> None:
-        front = built.node.front
+        front = built.node.downstream
         clients = [SyncClient(front.port) for _ in range(3)]
         await built.until(lambda: len(front.clients) == 3)
         first, real = next(iter(front.clients)), connection.ClientConnection.drain
@@ -497,7 +497,7 @@
 
     async def work(built: World) -> None:
         monkeypatch.setattr(connection, "RECEIVE_TIMEOUT", 0.3)
-        front, links = built.node.front, built.node.links
+        front, links = built.node.downstream, built.node.links
         client = await built.client()
         assert (await client.answer(client.call("ask", rid(1))))[0] is None
         (link,) = links.by_node[b"node-0"]
@@ -527,7 +527,7 @@
     """What it has sent is acted on first; it was half closed, or reset over its request."""
 
     async def work(built: World) -> None:
-        front, now = built.node.front, built.node._loop.time
+        front, now = built.node.downstream, built.node._loop.time
         gone, asks = SyncClient(front.port), SyncClient(front.port)
         for n, client in enumerate((gone, asks)):
             client.send(call(1, rid=rid(n)))
@@ -553,7 +553,7 @@
 
 def test_a_silent_connection_with_an_unread_request_makes_no_room() -> None:
     async def work(built: World) -> None:
-        front, now = built.node.front, built.node._loop.time
+        front, now = built.node.downstream, built.node._loop.time
         client = SyncClient(front.port)
         await built.until(lambda: front.clients)
         await built.until(lambda: all(now() > c.opened_at + 0.1 for c in front.clients))
@@ -569,7 +569,7 @@
     """What is put off until its client has been read leaves then, also where there is always more to read."""
 
     async def work(built: World) -> None:
-        client, sent = SyncClient(built.node.front.port), [1]
+        client, sent = SyncClient(built.node.downstream.port), [1]
         pour = NodeConnection.pour
 
         def cross(link: NodeConnection) -> None:
@@ -580,7 +580,9 @@
 
         monkeypatch.setattr(NodeConnection, "pour", cross)
         client.send(call(1, rid=rid(1)))
-        await built.until(lambda: built.node.front.request_count == 20 and not any(built.tables().values()))
+        await built.until(
+            lambda: built.node.downstream.request_count == 20 and not any(built.tables().values())
+        )
         client.socket.shutdown(socket.SHUT_WR)
         data, reset = await client.rest()
         assert not reset and sorted(one[1] for one in messages(data)) == sent
@@ -594,7 +596,7 @@
 
     async def work() -> None:
         async with world(silent) as built:
-            front = built.node.front
+            front = built.node.downstream
             flood = SyncClient(front.port)
             await built.until(lambda: front.clients)
             (one,) = front.clients
--- a/tests/node/test_descriptors.py
+++ b/tests/node/test_descriptors.py
@@ -61,13 +61,13 @@
 
 def test_no_descriptor_at_accept_is_met_once_and_without_a_busy_loop() -> None:
     async def work(built: World) -> None:
-        listener = built.node.front.listener
+        listener = built.node.downstream.listener
         starved = Starved(listener._sockets[0])
         listener.pause()
         listener._sockets[0] = starved  # type: ignore[call-overload]
         listener.resume()
         with structlog.testing.capture_logs() as logs:
-            client = SyncClient(built.node.front.port)
+            client = SyncClient(built.node.downstream.port)
             client.send(call(1))
             await built.until(lambda: starved.tries > 1)
             loop = asyncio.get_running_loop()
@@ -75,7 +75,7 @@
             await asyncio.sleep(0.5)
             assert starved.tries - before <= (loop.time() - since) / 0.05 + 1
             starved.left = False  # one is free again: service returns by itself
-            await built.until(lambda: built.node.front.request_count == 1, 1.0)
+            await built.until(lambda: built.node.downstream.request_count == 1, 1.0)
         said = [one for one in logs if one["event"] == "descriptors exhausted"]
         assert len(said) == 1 and said[0]["operation"] == "accept" and said[0]["remedy"]
         client.close()
@@ -147,7 +147,7 @@
                 idle.append(SyncClient(running.port))
                 await asyncio.sleep(0)
             logged: list[bytes] = []
-            while sum(b"control feed broke" in line for line in logged) < 3:
+            while sum(b"discovery watch interrupted" in line for line in logged) < 3:
                 logged.append(await running.logged())
             again = FeedServer()
             again.port = running.feed.port
--- a/tests/node/test_ends.py
+++ b/tests/node/test_ends.py
@@ -42,10 +42,10 @@
             feed.event(number, [member(name, port, "draining"), member(f"new-{turn}", port)])
             feed.event(number + 1, [member(name, port, "removed")])
             number, name = number + 1, f"new-{turn}"
-            await built.until(lambda last=number: built.node.feed.last_sequence == last)  # type: ignore[misc]
-        await built.until(lambda: not any(built.tables().values()) and not built.node.front.clients)
+            await built.until(lambda last=number: built.node.discovery.last_sequence == last)  # type: ignore[misc]
+        await built.until(lambda: not any(built.tables().values()) and not built.node.downstream.clients)
         node = built.node
-        assert len(node.fleet) == len(node.dispatcher._engines) == 1
+        assert len(node.endpoints) == len(node.dispatcher._engines) == 1
         assert len(node.links.by_node) <= 1
         assert len(gateway.fleet.engines) == len(gateway.fleet.engine_by_digest) <= GONE_MOST + 1
         assert len(gateway.engine_selector.eligibility.rendezvous_order.cached_orders) <= 2
--- a/tests/node/test_feed.py
+++ b/tests/node/test_feed.py
@@ -9,14 +9,15 @@
 import pytest
 from platform_world import SETTINGS, FeedServer, World, answer, config_text, event_line, member
 
-from saffronlane.platform.config import load
+from saffronlane.platform.config import load_config
+from saffronlane.platform.reload import pending_restart
 
 from .support import RID, play, rid
 
 
 def test_the_feed_goes_on_from_the_last_event_after_a_break() -> None:
     async def work(built: World) -> None:
-        feed, fleet = built.feed, built.node.fleet
+        feed, fleet = built.feed, built.node.endpoints
         await built.until(lambda: feed.writers)
         assert feed.asked == [1]
         feed.event(2, [member("late", 9)])
@@ -49,7 +50,7 @@
         await built.until(lambda: len(feed.asked) == 2)
         feed.say(b'{"n":2,"members":{"members":[{"id":7}]}}\n')
         feed.event(3, [member("x", 9, "asleep"), member("y", 9)])
-        await built.until(lambda: len(built.node.fleet) == 2)
+        await built.until(lambda: len(built.node.endpoints) == 2)
         feed.event(9, [member("z", 9)])  # events are missing
         await built.until(lambda: len(feed.asked) == 3)
         assert feed.asked[-1] == 3
@@ -66,11 +67,11 @@
         feed, node = built.feed, built.node
         await built.until(lambda: feed.writers)
         feed.event(9, [member("new", built.computes[0].port)], complete=True)
-        await built.until(lambda: node.feed.last_sequence == 9)
-        assert len(node.fleet) == 1 and node.fleet.address(b"new") is not None
+        await built.until(lambda: node.discovery.last_sequence == 9)
+        assert len(node.endpoints) == 1 and node.endpoints.address(b"new") is not None
         feed.event(11, [member("other", 9)])  # of what is missing between two others, nothing tells
         await built.until(lambda: len(feed.asked) == 2)
-        assert feed.asked == [1, 9] and len(node.fleet) == 1
+        assert feed.asked == [1, 9] and len(node.endpoints) == 1
 
     play(work)
 
@@ -79,14 +80,14 @@
     async def work(built: World) -> None:
         await built.until(lambda: built.feed.writers)
         built.feed.event(2, [member("x", 9)])
-        await built.until(lambda: built.node.feed.last_sequence == 2)
+        await built.until(lambda: built.node.discovery.last_sequence == 2)
         other = FeedServer()
         await other.start()
         path = tmp_path / "config.json"
         built.node._path = path
         path.write_text("{ half")
         built.node.reload()  # unreadable: nothing changes
-        assert built.node.feed.address[1] == built.feed.port
+        assert built.node.discovery.address[1] == built.feed.port
         path.write_text(json.dumps(config_text(built.computes, other.port)))
         client = await built.client()
         asked = [client.call("ask", rid(n)) for n in range(5)]
@@ -111,7 +112,7 @@
     asked = len(feed.asked)
     await built.until(lambda: len(feed.asked) > asked, CURRENT)
     feed.event(n, [member("node-0", built.computes[0].port, "draining")])
-    await built.until(lambda: built.node.feed.last_sequence == n, CURRENT)
+    await built.until(lambda: built.node.discovery.last_sequence == n, CURRENT)
     before = len(built.computes[0].words(b"fetch"))
     client = await built.client()
     assert (await client.answer(client.call("ask", RID)))[0] is None
@@ -160,7 +161,7 @@
         await built.until(lambda: built.feed.writers)
         for n in (2, 3):
             built.feed.event(n, [member("late", 9, "removed")])
-        await built.until(lambda: built.node.feed.last_sequence == 3)
+        await built.until(lambda: built.node.discovery.last_sequence == 3)
         repeating(built, line, every)
         await moved_on(built, 4)
 
@@ -185,7 +186,7 @@
 
     async def work(built: World) -> None:
         await built.until(lambda: built.feed.writers)
-        fleet, take = built.node.fleet, built.node.fleet.apply
+        fleet, take = built.node.endpoints, built.node.endpoints.apply
 
         def fails(event: object) -> None:
             fleet.apply = take  # type: ignore[method-assign]
@@ -194,7 +195,7 @@
         fleet.apply = fails  # type: ignore[method-assign, assignment]
         built.feed.event(2, [member("x", 9)])
         built.feed.event(3, [member("node-0", built.computes[0].port, "draining")])
-        await built.until(lambda: built.node.feed.last_sequence == 3, 1.0)
+        await built.until(lambda: built.node.discovery.last_sequence == 3, 1.0)
         client = await built.client()
         assert (await client.answer(client.call("ask", RID)))[0] is None
         assert not built.computes[0].words(b"fetch")
@@ -205,7 +206,7 @@
 def test_a_fault_in_the_watch_itself_begins_another() -> None:
     async def work(built: World) -> None:
         await built.until(lambda: built.feed.writers)
-        feed, take = built.node.feed, built.node.feed._on_line
+        feed, take = built.node.discovery, built.node.discovery._on_line
 
         def fails(line: bytes) -> bool:
             feed._on_line = take  # type: ignore[method-assign]
@@ -223,7 +224,7 @@
         await built.until(lambda: built.feed.writers)
         odd = member("odd", 9, up_since_ms=1e308) | {"size": 1.0}
         built.feed.event(2, [odd, member("node-0", built.computes[0].port, "draining")])
-        await built.until(lambda: built.node.feed.last_sequence == 2)
+        await built.until(lambda: built.node.discovery.last_sequence == 2)
         entry = built.node.dispatcher._engines[b"node-0"]
         assert entry.state.name == "DRAINING"
 
@@ -237,9 +238,9 @@
             await built.until(lambda n=n: len(feed.asked) == n - 1, 2.0)  # type: ignore[misc]
             assert feed.asked[-1] == n - 1
             feed.event(n, [member(f"late-{n}", 9)])
-            await built.until(lambda n=n: built.node.feed.last_sequence == n, 1.0)  # type: ignore[misc]
+            await built.until(lambda n=n: built.node.discovery.last_sequence == n, 1.0)  # type: ignore[misc]
             feed.writers[-1].close()
-        assert len(built.node.fleet) == 11
+        assert len(built.node.endpoints) == 11
 
     play(work)
 
@@ -263,7 +264,7 @@
         await built.until(lambda: built.feed.writers)
         gone = [member(f"node-{n}", compute.port, "draining") for n, compute in enumerate(built.computes)]
         built.feed.event(2, gone)
-        await built.until(lambda: built.node.feed.last_sequence == 2)
+        await built.until(lambda: built.node.discovery.last_sequence == 2)
         client = await built.client()
         ids = [client.call(cls, rid(n), budget="900") for n, cls in enumerate(("ask", "frail"))]
         for msgid in ids:
@@ -289,7 +290,7 @@
         built.node.reload()
         await built.until(lambda: other.asked, 0.5)
         other.event(2, [member("node-0", built.computes[0].port, "draining")])
-        await built.until(lambda: built.node.feed.last_sequence == 2, 0.5)
+        await built.until(lambda: built.node.discovery.last_sequence == 2, 0.5)
         assert loop.time() < began + 0.5
         client = await built.client()
         assert (await client.answer(client.call("ask", RID)))[0] is None
@@ -309,10 +310,10 @@
         built.node._path = tmp_path / "config.json"
         built.node._path.write_text(json.dumps(config_text([], other.port, name="theirs")))
         built.node.reload()
-        assert built.node.feed.address[1] == built.feed.port
+        assert built.node.discovery.address[1] == built.feed.port
         changed = config_text(built.computes, built.feed.port, settings=SETTINGS | {"fleetSize": 7})
         built.node._path.write_text(json.dumps(changed))
-        assert built.node._kept(load(built.node._path)) == ["listen", "settings"]
+        assert pending_restart(built.node.config, load_config(built.node._path)) == ["listen", "settings"]
         built.node.reload()
         assert built.node.dispatcher.settings.gateway_count == 1
         client = await built.client()
--- a/tests/node/test_interleavings.py
+++ b/tests/node/test_interleavings.py
@@ -87,7 +87,7 @@
                 ids.append(len(ids) + 1)
                 client.raw(data)
             return
-        client = SyncClient(self.built.node.front.port)
+        client = SyncClient(self.built.node.downstream.port)
         calls = [self._call(n) for n in range(1, random.randrange(2, 5))]
         for n, (name, data) in enumerate(calls, 1):
             cut = random.randrange(len(data))
@@ -159,7 +159,7 @@
             await asyncio.gather(changing, return_exceptions=True)
             await asyncio.sleep(0)
         assert not faults and not [one for one in logs if one["log_level"] in ("error", "critical")]
-        assert not any(built.tables().values()) and not built.node.front.clients
+        assert not any(built.tables().values()) and not built.node.downstream.clients
         for sending in sent:  # when it left, not when it came: what reads it here may be late
             assert sending.left_at <= clients.left.get(sending.statement.id, math.inf) + GONE_WITHIN
         for name in clients.unsafe:
--- a/tests/node/test_ordinary.py
+++ b/tests/node/test_ordinary.py
@@ -111,7 +111,7 @@
         for n in range(4):
             client = (one, two)[n % 2]
             asked.append((client, client.call("load", rid(n), **key)))
-            await built.until(lambda n=n: built.node.front.request_count == n + 1)  # type: ignore[misc]
+            await built.until(lambda n=n: built.node.downstream.request_count == n + 1)  # type: ignore[misc]
         for client, msgid in asked:
             assert (await client.answer(msgid))[0] is None
         assert order == [rid(n).encode() for n in range(4)]
--- a/tests/node/test_sigterm.py
+++ b/tests/node/test_sigterm.py
@@ -14,8 +14,7 @@
 from platform_world import ROWS, SETTINGS, Peer, World
 
 from saffronlane.platform import managed_connection as endpoint
-from saffronlane.platform import server as node_module
-from saffronlane.platform import stream
+from saffronlane.platform import shutdown, stream
 from saffronlane.platform.lifecycle import Phase
 from saffronlane.platform.lifecycle.process import STILL_COMING, Debts
 
@@ -43,14 +42,14 @@
 
     async def last(seconds: float) -> None:
         await sleep(seconds)
-        if seconds == node_module.LOOK_EVERY and not crossed:
+        if seconds == shutdown.CHECK_INTERVAL and not crossed:
             crossed.append(True)
             cross()
 
     def decide(now: float, debts: Debts) -> Phase:
         return look(max(now, after + STILL_COMING) if crossed else min(now, before + 0.5), debts)
 
-    monkeypatch.setattr(node_module.asyncio, "sleep", last)
+    monkeypatch.setattr(shutdown.asyncio, "sleep", last)
     monkeypatch.setattr(process, "look", decide)
     before = loop.time()
     built.node.stop()
@@ -65,9 +64,9 @@
     """
 
     async def work(built: World) -> None:
-        port, late = built.node.front.port, []
+        port, late = built.node.downstream.port, []
         resting = SyncClient(port)
-        await built.until(lambda: built.node.front.clients)
+        await built.until(lambda: built.node.downstream.clients)
 
         def cross() -> None:
             late.extend([resting] if where != "new" else [])
@@ -89,7 +88,7 @@
     """Connections are full at the last look, and one waits in the system with its request: it was reset."""
 
     async def work(built: World) -> None:
-        front, late = built.node.front, []
+        front, late = built.node.downstream, []
         front.max_clients = 2
         resting = await built.client()
         assert (await resting.answer(resting.call("ask", rid(1))))[0] is None  # too lately to make way
@@ -131,16 +130,18 @@
 
     async def work(built: World) -> None:
         node = built.node
-        client = SyncClient(node.front.port)
+        client = SyncClient(node.downstream.port)
         client.send(call(1, rid=rid(1)))
-        await built.until(lambda: node.front.request_count == 1 and not node.front.has_unsent_replies)
-        drain = node.front.drain
+        await built.until(
+            lambda: node.downstream.request_count == 1 and not node.downstream.has_unsent_replies
+        )
+        drain = node.downstream.drain
 
         def crossed() -> None:
             client.send(call(2, rid=rid(2)))
             drain()
 
-        monkeypatch.setattr(node.front, "drain", crossed)
+        monkeypatch.setattr(node.downstream, "drain", crossed)
         node.stop()
         data, reset = await client.rest()
         await ended(built)
@@ -153,9 +154,9 @@
 def test_clients_that_rest_and_half_a_request_end_without_a_reset() -> None:
     async def work(built: World) -> None:
         node = built.node
-        resting, half = SyncClient(node.front.port), SyncClient(node.front.port)
+        resting, half = SyncClient(node.downstream.port), SyncClient(node.downstream.port)
         half.send(call(1)[:30])
-        await built.until(lambda: len(node.front.clients) == 2)
+        await built.until(lambda: len(node.downstream.clients) == 2)
         node.stop()
         await asyncio.sleep(0.9)
         half.send(call(1)[30:40])  # it is still being written
@@ -174,7 +175,7 @@
         node, loop = built.node, asyncio.get_running_loop()
         client = await built.client()
         ids = {client.call("ask", rid(n), budget=str(900 + 200 * n)): 0.9 + 0.2 * n for n in range(4)}
-        await built.until(lambda: node.front.request_count == 4)
+        await built.until(lambda: node.downstream.request_count == 4)
         began = loop.time()
         node.stop()
         for msgid, seconds in ids.items():
@@ -265,7 +266,7 @@
             ids = [client.call("ask", rid(n)) for n in range(5)]
             await client.answer(ids[0]) if not wait else None
             process.send_signal(signal.SIGTERM)
-            await running.until_logged(b"stopping")
+            await running.until_logged(b"shutdown requested")
             ids += [client.call("ask", rid(n)) for n in range(5, 10)]
             new = await running.client()
             asked = new.call("ask", rid(10))
@@ -294,7 +295,7 @@
                 await asyncio.sleep(0.01)
             began = loop.time()
             running.process.send_signal(signal.SIGTERM)
-            await running.until_logged(b"stopping")
+            await running.until_logged(b"shutdown requested")
             ids.append(client.call("ask", rid(9), budget="16000"))
             assert [(await client.answer(msgid))[0][0] for msgid in ids] == ["Shed", "Fault", "Shed"]
             assert loop.time() - began < 3.7
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from saffronlane.platform.config import parse
-from saffronlane.platform.server import Node
+from saffronlane.platform.config import parse_config
+from saffronlane.platform.server import DispatcherServer
 from saffronlane.resp import Parser, command
 
 ROWS = b"a\tb\tc\n"
@@ -211,12 +211,12 @@
 class World:
     """One node with its stand-ins."""
 
-    def __init__(self, node: Node, computes: list[Compute], feed: FeedServer) -> None:
+    def __init__(self, node: DispatcherServer, computes: list[Compute], feed: FeedServer) -> None:
         self.node, self.computes, self.feed = node, computes, feed
         self._clients: list[Client] = []
 
     async def client(self) -> Client:
-        client = Client(*await asyncio.open_connection("127.0.0.1", self.node.front.port))
+        client = Client(*await asyncio.open_connection("127.0.0.1", self.node.downstream.port))
         self._clients.append(client)
         return client
 
@@ -235,7 +235,7 @@
             "jobs": len(gateway.pending.requests),
             "attempts": len(gateway.in_flight.attempts),
             "held": len(gateway.pending.queued),
-            "ids": len(node.front.open_request_ids),
+            "ids": len(node.downstream.open_request_ids),
             "open": sum(len(link.open) for links in node.links.by_node.values() for link in links),
         }
 
@@ -269,9 +269,9 @@
     await feed.start()
     for compute in computes:
         await compute.start()
-    config = parse(json.dumps(config_text(computes, feed.port, **changes)).encode())
+    config = parse_config(json.dumps(config_text(computes, feed.port, **changes)).encode())
     object.__setattr__(config, "listen", ("127.0.0.1", 0))
-    node = Node(config)
+    node = DispatcherServer(config)
     node.start()
     built = World(node, computes, feed)
     try:
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -285,7 +285,7 @@
 
 def test_peers_tell_each_other(tmp_path: Path) -> None:
     from saffronlane.config import parse_config
-    from saffronlane.gossip_transport import Peers
+    from saffronlane.gossip_transport import GossipTransport
     from saffronlane.lab.up import PLAIN
 
     def free() -> int:
@@ -298,7 +298,7 @@
     addresses = [f"127.0.0.1:{free()}" for _ in range(3)]
     heard: list[list[tuple[int, bytes]]] = [[], [], []]
 
-    def peers(position: int) -> Peers:
+    def peers(position: int) -> GossipTransport:
         raw = PLAIN | {
             "listen": {"port": 0},
             "engines": {"file": "e"},
@@ -308,7 +308,7 @@
         }
         config = parse_config(raw, "x", tmp_path)
         assert config.peer_listen is not None
-        return Peers(
+        return GossipTransport(
             config.peer_listen,
             config.peer_addresses,
             position,
@@ -362,7 +362,7 @@
             probe.bind(("127.0.0.1", 0))
             listen = probe.getsockname()
             probe.close()
-            one = peers.Peers(listen, (listen, told.getsockname()), 0, on_message)
+            one = peers.GossipTransport(listen, (listen, told.getsockname()), 0, on_message)
             one.start()
             for n in range(100):
                 told.sendto(b"%d" % n, listen)
@@ -396,7 +396,7 @@
             holder.bind(("127.0.0.1", 0))
             listen = holder.getsockname()
             addresses = (listen, told.getsockname())
-            one = peers.Peers(listen, addresses, 0, lambda sender, data: heard.append(data))
+            one = peers.GossipTransport(listen, addresses, 0, lambda sender, data: heard.append(data))
             one.start()
             one.send(None, b"nobody")
             holder.close()
@@ -435,7 +435,7 @@
             free.bind(("127.0.0.1", 0))
             listen = free.getsockname()
             free.close()
-            one = peers.Peers(listen, (listen, told.getsockname()), 0, on_message)
+            one = peers.GossipTransport(listen, (listen, told.getsockname()), 0, on_message)
             monkeypatch.setattr(socket, "socket", none)
             one.start()
             await _until(lambda: len(tries) > 1)
--- a/tests/test_msgpackrpc.py
+++ b/tests/test_msgpackrpc.py
@@ -95,9 +95,13 @@
 
 
 def test_calls_and_notices_are_read() -> None:
-    assert rpc.read(call(rid="a")) == rpc.Call(7, "report", {"rid": "a"}, b"SELECT 1")
-    assert rpc.read(msgspec.msgpack.encode([0, 8, "isWell", [{}]])) == rpc.Call(8, "isWell", {}, None)
-    assert rpc.read(msgspec.msgpack.encode([2, "forget", [7, 9]])) == rpc.Notice("forget", (7, 9))
+    assert rpc.decode_message(call(rid="a")) == rpc.Call(7, "report", {"rid": "a"}, b"SELECT 1")
+    assert rpc.decode_message(msgspec.msgpack.encode([0, 8, "isWell", [{}]])) == rpc.Call(
+        8, "isWell", {}, None
+    )
+    assert rpc.decode_message(msgspec.msgpack.encode([2, "forget", [7, 9]])) == rpc.Notification(
+        "forget", (7, 9)
+    )
 
 
 @pytest.mark.parametrize(
@@ -120,28 +124,28 @@
     ],
 )
 def test_what_is_no_call_is_malformed(value: object, msgid: int | None) -> None:
-    with pytest.raises(rpc.Malformed) as caught:
-        rpc.read(msgspec.msgpack.encode(value))
+    with pytest.raises(rpc.InvalidMessageError) as caught:
+        rpc.decode_message(msgspec.msgpack.encode(value))
     assert caught.value.id == msgid
 
 
 def test_a_field_that_is_there_twice_is_malformed() -> None:
     """Guards against two readings of one request: which of two ids counts is anybody's guess."""
     twice = b"\x94\x00\x07\xa1m\x92\x82\xa3rid\xa1a\xa3rid\xa1b\xc4\x00"
-    with pytest.raises(rpc.Malformed, match="twice"):
-        rpc.read(twice)
+    with pytest.raises(rpc.InvalidMessageError, match="twice"):
+        rpc.decode_message(twice)
 
 
 def test_text_that_is_none_is_malformed() -> None:
-    with pytest.raises(rpc.Malformed):
-        rpc.read(b"\x94\x00\x07\xa1\xff\x92\x80\xc4\x00")
+    with pytest.raises(rpc.InvalidMessageError):
+        rpc.decode_message(b"\x94\x00\x07\xa1\xff\x92\x80\xc4\x00")
 
 
 def test_replies_decode() -> None:
     decode = msgspec.msgpack.decode
-    assert decode(rpc.reply(rpc.Reply(7, None, {}, b"rows"))) == [1, 7, None, [b"rows", {}]]
-    assert decode(rpc.reply(rpc.Reply(7, None, {}, True))) == [1, 7, None, [True, {}]]
-    shed = rpc.reply(rpc.Reply(7, "Shed", {"backoff": "20"}))
+    assert decode(rpc.encode_reply(rpc.Reply(7, None, {}, b"rows"))) == [1, 7, None, [b"rows", {}]]
+    assert decode(rpc.encode_reply(rpc.Reply(7, None, {}, True))) == [1, 7, None, [True, {}]]
+    shed = rpc.encode_reply(rpc.Reply(7, "Shed", {"backoff": "20"}))
     assert decode(shed) == [1, 7, ["Shed", {"backoff": "20"}], None]
 
 
@@ -152,8 +156,8 @@
         found, error = one.feed(part)
         assert one.pending <= MOST_BYTES
         for message in found:
-            with contextlib.suppress(rpc.Malformed):
-                rpc.read(message)
+            with contextlib.suppress(rpc.InvalidMessageError):
+                rpc.decode_message(message)
         if error is not None:
             return
 
@@ -163,5 +167,5 @@
     data = bytearray(call(body=body, rid="9b1f03aa5c7e2d41", budget="1500"))
     data[at % len(data)] = value
     for message in scanner().feed(bytes(data))[0]:
-        with contextlib.suppress(rpc.Malformed):
-            rpc.read(message)
+        with contextlib.suppress(rpc.InvalidMessageError):
+            rpc.decode_message(message)
--- a/tests/test_platform_parts.py
+++ b/tests/test_platform_parts.py
@@ -10,7 +10,7 @@
 from test_benchlink import PARAMS
 
 from saffronlane import interface as api
-from saffronlane.platform.config import ConfigError, Members, load, parse
+from saffronlane.platform.config import ConfigError, EndpointList, load_config, parse_config
 from saffronlane.platform.discovery.endpoints import EndpointTable
 from saffronlane.platform.sql_tables import table_group
 from saffronlane.simulator import settings as params
@@ -110,11 +110,11 @@
 
 
 def test_a_configuration_is_read() -> None:
-    config = parse(raw(peers=["10.0.0.1:1", "10.0.0.2:2"], peers_all="10.0.0.255:3"))
+    config = parse_config(raw(peers=["10.0.0.1:1", "10.0.0.2:2"], peers_all="10.0.0.255:3"))
     assert (
         config.last_sequence == 1
         and config.peers[1] == ("10.0.0.2", 2)
-        and config.peers_all == ("10.0.0.255", 3)
+        and config.broadcast_address == ("10.0.0.255", 3)
     )
     assert (
         config.engine_idle_timeout == 30.0
@@ -145,20 +145,20 @@
 )
 def test_a_bad_configuration_is_one_line_with_its_place(data: bytes, pointer: str) -> None:
     with pytest.raises(ConfigError) as caught:
-        parse(data)
+        parse_config(data)
     assert str(caught.value).startswith(pointer + ":"), caught.value
     assert "\n" not in str(caught.value)
 
 
 def test_a_file_that_is_not_there_is_an_error(tmp_path: Any) -> None:
     with pytest.raises(ConfigError, match="No such file"):
-        load(tmp_path / "none.json")
+        load_config(tmp_path / "none.json")
 
 
-def told(*members: dict[str, Any], complete: bool = False) -> Members:
+def told(*members: dict[str, Any], complete: bool = False) -> EndpointList:
     import msgspec
 
-    return msgspec.convert({"members": list(members), "revision": 3, "complete": complete}, Members)
+    return msgspec.convert({"members": list(members), "revision": 3, "complete": complete}, EndpointList)
 
 
 def fleet() -> EndpointTable:
