--- a/saffronlane/gossip_transport.py
+++ b/saffronlane/gossip_transport.py
@@ -1,4 +1,4 @@
-"""Messages between gateways: one UDP datagram each, lost ones stay lost. Senders are known by address."""
+"""Datagrams between gateways over UDP. Losses are not repaired; senders are known by their address."""
 
 from __future__ import annotations
 
@@ -10,23 +10,21 @@
 
 log = structlog.get_logger()
 Address = tuple[str, int]
-READ_DELAY = 0.05  # seconds in which messages gather: they are news for later decisions, and each wake costs
-LISTEN_RETRY_INTERVAL = 1.0  # seconds until the next try to listen
-MAX_READS_PER_TURN = (
-    1024  # read in one turn of the loop; a flood of more waits in the socket or is lost there
-)
+READ_DELAY = 0.05  # seconds from the first datagram to the read, which takes all that came meanwhile
+LISTEN_RETRY_INTERVAL = 1.0  # seconds
+MAX_READS_PER_TURN = 1024  # datagrams read in one turn of the event loop
 
 
 class GossipTransport:
-    """The gateway's ear and mouth among its peers.
+    """Sends datagrams to the other gateways and receives theirs.
 
-    What hundreds of gateways tell wakes each of them once in GATHER, not once a message.
+    Receiving wakes the process once in `READ_DELAY`, not once a datagram.
 
     Args:
-        listen: where messages come in.
+        listen: where datagrams come in.
         addresses: of all gateways by position, this one among them.
         position: this gateway's own.
-        on_message: told the sender's position and the bytes.
+        on_message: called with the sender's position and the bytes.
         to_all: one address that reaches every peer; None: each is written to.
     """
 
@@ -40,28 +38,37 @@
         on_message: Callable[[int, bytes], None],
         to_all: Address | None = None,
     ) -> None:
-        self._listen, self._addresses, self._position = listen, tuple(addresses), position
-        self._on_message, self._to_all = on_message, to_all
+        self._listen = listen
+        self._addresses = tuple(addresses)
+        self._position = position
+        self._on_message = on_message
+        self._to_all = to_all
         self._socket: socket.socket | None = None
-        self._positions = {address: n for n, address in enumerate(self._addresses)}
-        self._timer: asyncio.TimerHandle | None = None  # the next read, or the next try to listen
+        self._position_by_address = {address: index for index, address in enumerate(self._addresses)}
+        self._timer: asyncio.TimerHandle | None = None  # the next read, or the next attempt to listen
 
     def start(self) -> None:
-        """Listen; where the address cannot be had, say so and try again: it serves without peers too."""
-        family = socket.AF_INET6 if ":" in self._listen[0] else socket.AF_INET
-        loop, bound = asyncio.get_running_loop(), None
+        """Listen; where the address cannot be bound, log it and try again: service goes on without peers."""
+        loop = asyncio.get_running_loop()
         try:
-            bound = socket.socket(family, socket.SOCK_DGRAM)  # no descriptor may be left for it, too
-            bound.setblocking(False)
-            bound.bind(self._listen)
+            self._socket = self._bound_socket()
         except OSError as error:
-            if bound is not None:
-                bound.close()
-            log.error("peers are not heard", listen=self._listen, why=str(error))
+            log.error("gossip listen failed", listen=self._listen, error=str(error))
             self._timer = loop.call_later(LISTEN_RETRY_INTERVAL, self.start)
             return
-        self._socket = bound
-        loop.add_reader(bound.fileno(), self._on_readable)  # a socket would be printed, at two calls
+        # The descriptor, not the socket: asyncio would format a socket, at the cost of two system calls.
+        loop.add_reader(self._socket.fileno(), self._on_readable)
+
+    def _bound_socket(self) -> socket.socket:
+        family = socket.AF_INET6 if ":" in self._listen[0] else socket.AF_INET
+        bound = socket.socket(family, socket.SOCK_DGRAM)
+        try:
+            bound.setblocking(False)
+            bound.bind(self._listen)
+        except OSError:
+            bound.close()
+            raise
+        return bound
 
     def _on_readable(self) -> None:
         loop = asyncio.get_running_loop()
@@ -74,7 +81,7 @@
             return
         try:
             self._read_all(self._socket)
-        finally:  # guards against a fault that ends the reading for good
+        finally:  # an exception must not end the reading
             asyncio.get_running_loop().add_reader(self._socket.fileno(), self._on_readable)
 
     def _read_all(self, bound: socket.socket) -> None:
@@ -83,13 +90,16 @@
                 data, address = bound.recvfrom(self.MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 break
-            except OSError:  # an earlier message found nobody; what follows is still to be read
+            except OSError:  # an earlier datagram was refused by its receiver
+                continue
+            sender = self._position_by_address.get(address)
+            if sender is None or sender == self._position:
                 continue
-            sender = self._positions.get(address)
-            if sender is not None and sender != self._position and len(data) <= self.MAX_DATAGRAM_BYTES:
+            if len(data) <= self.MAX_DATAGRAM_BYTES:
                 self._on_message(sender, data)
 
     def send(self, peer: int | None, data: bytes) -> None:
+        """Send a datagram to the peer at a position, or to all where it is None."""
         if self._socket is None or len(data) > self.MAX_DATAGRAM_BYTES:
             return
         if peer is None and self._to_all is not None:
@@ -100,13 +110,14 @@
                 self._write(self._socket, data, address)
 
     @staticmethod
-    def _write(to: socket.socket, data: bytes, address: Address) -> None:
+    def _write(bound: socket.socket, data: bytes, address: Address) -> None:
         try:
-            to.sendto(data, address)
-        except OSError:  # no room, or nobody there: a message may be lost
+            bound.sendto(data, address)
+        except OSError:  # no buffer space, or no receiver: a datagram may be lost
             return
 
     def close(self) -> None:
+        """Stop sending and receiving."""
         if self._timer is not None:
             self._timer.cancel()
         if self._socket is not None:
--- a/saffronlane/msgpackrpc/__init__.py
+++ b/saffronlane/msgpackrpc/__init__.py
@@ -1,4 +1,4 @@
-"""MessagePack-RPC as bytes: whole messages found within bounds, read strictly, written. No I/O."""
+"""MessagePack-RPC as bytes: messages are delimited within limits, decoded strictly, encoded. No I/O."""
 
 from .errors import InvalidMessageError, ScanError
 from .messages import Call, Notification, Reply, decode_message, encode_reply
--- a/saffronlane/msgpackrpc/errors.py
+++ b/saffronlane/msgpackrpc/errors.py
@@ -6,16 +6,20 @@
 
 
 class InvalidMessageError(SaffronlaneError):
-    """A whole message that is no call as agreed; `id` where an error can be answered."""
+    """A complete message is not a valid call or notification.
+
+    Attributes:
+        id: of the call, where an error can be sent in reply; None: unknown.
+    """
 
     remedy = "Have the client correct the call; the connection goes on."
 
-    def __init__(self, text: str, msgid: int | None = None) -> None:
+    def __init__(self, text: str, message_id: int | None = None) -> None:
         super().__init__(text)
-        self.id = msgid
+        self.id = message_id
 
 
 class ScanError(SaffronlaneError):
-    """What comes is no message, or one past the bounds. The bytes after it cannot be read."""
+    """The input is no message, or one over the limits. The bytes after it cannot be parsed."""
 
     remedy = "Have the client send MessagePack within the bounds; its connection was closed."
--- a/saffronlane/msgpackrpc/scanner.py
+++ b/saffronlane/msgpackrpc/scanner.py
@@ -21,8 +21,8 @@
     """Cuts a stream of bytes into whole messages.
 
     Args:
-        most_bytes: of a message.
-        most_items: of a message, those inside others counted too; also bounds how deep it may be.
+        max_bytes: of a message.
+        max_items: of a message, nested ones included, which also limits the depth.
     """
 
     def __init__(self, max_bytes: int, max_items: int) -> None:
--- a/saffronlane/platform/__init__.py
+++ b/saffronlane/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The platform node: the same dispatcher behind MessagePack-RPC clients and RESP compute nodes.
+"""The platform server: the dispatcher behind MessagePack-RPC clients and RESP engines.
 
-It translates and decides nothing. See docs/platform.md. Nothing here may load gRPC, protobuf, pyarrow or
-sqlglot: a node has little memory.
+It translates protocols and makes no scheduling decisions; see docs/platform.md. Nothing here may import gRPC,
+protobuf, pyarrow or sqlglot, since little memory is available.
 """
--- a/saffronlane/platform/__main__.py
+++ b/saffronlane/platform/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m saffronlane.platform`: one node, configured by BALANCER_CONFIG."""
+"""`python -m saffronlane.platform`: one dispatcher, configured by the file that BALANCER_CONFIG names."""
 
 from __future__ import annotations
 
@@ -10,31 +10,38 @@
 
 import structlog
 
-from .. import logging_setup as logs
+from .. import logging_setup
 from .config import load_config
 from .errors import ConfigError
 from .server import serve
 
+CONFIG_VARIABLE = "BALANCER_CONFIG"
+LOG_LEVEL_VARIABLE = "SAFFRONLANE_LOG"
+EXIT_OK = 0
+EXIT_FAILED = 1
+EXIT_BAD_CONFIG = 2
+
 
 def main() -> int:
-    logs.set_up(os.environ.get("SAFFRONLANE_LOG", "info"))
-    name = os.environ.get("BALANCER_CONFIG", "")
-    if not name:
-        print("BALANCER_CONFIG is not set", file=sys.stderr)
-        return 2
+    """Run the dispatcher and return the exit code."""
+    logging_setup.set_up(os.environ.get(LOG_LEVEL_VARIABLE, "info"))
+    path = os.environ.get(CONFIG_VARIABLE, "")
+    if not path:
+        print(f"{CONFIG_VARIABLE} is not set", file=sys.stderr)
+        return EXIT_BAD_CONFIG
     try:
-        config = load_config(Path(name))
+        config = load_config(Path(path))
     except ConfigError as error:
         print(f"configuration: {error}", file=sys.stderr)
-        return 2
+        return EXIT_BAD_CONFIG
     gc.collect()
-    gc.freeze()  # what the start has made stays: no collection need look at it again
+    gc.freeze()  # objects made so far stay: collections skip them
     try:
-        asyncio.run(serve(config, Path(name)))
+        asyncio.run(serve(config, Path(path)))
     except OSError as error:
-        structlog.get_logger().error("cannot start", why=str(error))
-        return 1
-    return 0
+        structlog.get_logger().error("start failed", error=str(error))
+        return EXIT_FAILED
+    return EXIT_OK
 
 
 if __name__ == "__main__":
--- a/saffronlane/platform/sql_tables.py
+++ b/saffronlane/platform/sql_tables.py
@@ -1,4 +1,4 @@
-"""Which group of tables a statement reads or writes, found lexically in one pass."""
+"""Finds the group of tables that a statement reads or writes, lexically in one pass."""
 
 from __future__ import annotations
 
@@ -12,41 +12,44 @@
     r"|(?P<other>[^\s])"
 )
 _PART = re.compile(_NAME)
-_LEADS = frozenset(("from", "join", "into", "update", "table", "using"))  # a table's name follows
-_BESIDE = frozenset(("only", "lateral", "overwrite"))  # may stand between
-STAGING = "staging"
+_TABLE_KEYWORDS = frozenset(("from", "join", "into", "update", "table", "using"))  # a table's name follows
+_MODIFIERS = frozenset(("only", "lateral", "overwrite"))  # may stand between keyword and name
+STAGING_SCHEMA = "staging"
+MAX_GROUP_DIGITS = 12
 
 
-def _group(path: str) -> float | None:
-    """The number after the last underscore of the schema in a dotted name."""
+def _schema_group(path: str) -> float | None:
+    """Return the number after the last underscore of the schema in a dotted name, if it has one."""
     schema = _PART.findall(path)[-2].strip('"')
-    name, mark, number = schema.rpartition("_")
-    if not mark or not name or name.lower() == STAGING or not (number.isascii() and number.isdigit()):
+    name, underscore, number = schema.rpartition("_")
+    if not underscore or not name or name.lower() == STAGING_SCHEMA:
         return None
-    return float(number[:12])
+    if not (number.isascii() and number.isdigit()):
+        return None
+    return float(number[:MAX_GROUP_DIGITS])
 
 
 def table_group(statement: bytes) -> float:
-    """The group; 0 where the statement names none.
+    """Return the number of the group of tables that a statement uses; 0 where it names none.
 
-    The first name at a table's place counts. Only where no such name has a number does one elsewhere count
-    (in a list after a comma, say), so that a column written `t_9.id` does not stand for a table.
+    The first numbered name at a table's place counts. Only where there is none does one elsewhere count (in a
+    list after a comma, say), so that a column written `t_9.id` does not stand for a table.
     """
-    elsewhere: float | None = None
-    due = False
+    group_elsewhere: float | None = None
+    expects_table = False
     for token in _TOKEN.finditer(statement.decode("latin-1")):
         kind = token.lastgroup
         if kind == "skip":
             continue
         if kind == "path":
-            group = _group(token.group())
-            if group is not None:
-                if due:
-                    return group
-                elsewhere = group if elsewhere is None else elsewhere
+            group = _schema_group(token.group())
+            if group is not None and expects_table:
+                return group
+            if group is not None and group_elsewhere is None:
+                group_elsewhere = group
         if kind == "word":
             word = token.group().lower()
-            due = word in _LEADS or (due and word in _BESIDE)
+            expects_table = word in _TABLE_KEYWORDS or (expects_table and word in _MODIFIERS)
         else:
-            due = False
-    return elsewhere or 0.0
+            expects_table = False
+    return group_elsewhere or 0.0
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -384,7 +384,7 @@
 
     from saffronlane import gossip_transport as peers
 
-    monkeypatch.setattr(peers, "RETRY", 0.02)
+    monkeypatch.setattr(peers, "LISTEN_RETRY_INTERVAL", 0.02)
 
     async def work() -> None:
         heard: list[bytes] = []
@@ -417,7 +417,7 @@
 
     from saffronlane import gossip_transport as peers
 
-    monkeypatch.setattr(peers, "RETRY", 0.02)
+    monkeypatch.setattr(peers, "LISTEN_RETRY_INTERVAL", 0.02)
     real, heard, tries = socket.socket, [], []
 
     def none(*args: object) -> socket.socket:
