--- a/saffronlane/learned_state/restore.py
+++ b/saffronlane/learned_state/restore.py
@@ -13,7 +13,7 @@
 from .. import interface as api
 from ..policy import Gateway
 from ..policy.estimation.run_time_estimator import SEED_ANSWERS, RunTimeEstimator
-from ..state import Engine, PeerAttempt
+from ..state import Engine, PeerAttempt, RecentDispatch
 from ..storage import Entry
 from . import confidence as weigh
 from . import export
@@ -229,7 +229,7 @@
         ):
             return  # another process by now: nothing of it is known but its start, which the list tells
         self.summary.engines += 1
-        engine.recent_dispatches = [(self._time(at), work) for at, work in one.sent]
+        engine.recent_dispatches = [RecentDispatch(self._time(at), work) for at, work in one.sent]
         engine.inferred_restart_at = self._time(one.reborn_at)
         engine.connection_lost_at = self._time(one.broke_at)
         engine.recent_work.value, engine.recent_work.updated_at = one.lately, self._time(one.lately_at)
--- a/saffronlane/state/__init__.py
+++ b/saffronlane/state/__init__.py
@@ -1,30 +1,33 @@
-"""What a gateway keeps of engines, requests and attempts. State only: nothing here decides or is tuned."""
+"""What a gateway knows of engines, requests and attempts. State only: nothing here decides."""
 
 from .class_statistics import ClassStatistics
-from .engine_registry import EngineRegistry, InFlightWork
-from .engines import Engine
+from .engine_registry import EngineRegistry
+from .engines import Engine, RecentDispatch
+from .in_flight import InFlightWork
 from .peer_load import PeerAttempt, PeerLoadTable
-from .requests import NEVER_RAN, Attempt, GossipExpiry, OrderingQueues, PendingRequests, Request
+from .pending import OrderingQueues, PendingRequests
+from .requests import NEVER_RAN, Attempt, GossipExpiry, Request
 from .step import StepContext
 from .windows import DecayingRate, RetryBudgetWindow, SlidingWindow, TokenBucket, clamp
 
 __all__ = [
     "NEVER_RAN",
     "Attempt",
-    "StepContext",
-    "TokenBucket",
     "ClassStatistics",
+    "DecayingRate",
     "Engine",
     "EngineRegistry",
-    "Request",
     "GossipExpiry",
-    "PendingRequests",
     "InFlightWork",
-    "RetryBudgetWindow",
-    "DecayingRate",
+    "OrderingQueues",
     "PeerAttempt",
     "PeerLoadTable",
-    "OrderingQueues",
+    "PendingRequests",
+    "RecentDispatch",
+    "Request",
+    "RetryBudgetWindow",
     "SlidingWindow",
+    "StepContext",
+    "TokenBucket",
     "clamp",
 ]
--- a/saffronlane/state/peer_load.py
+++ b/saffronlane/state/peer_load.py
@@ -1,4 +1,4 @@
-"""Others' attempts, as far as they told."""
+"""Attempts of other gateways, as far as they reported them."""
 
 from __future__ import annotations
 
@@ -11,52 +11,68 @@
 
 @dataclass(slots=True, eq=False)
 class PeerAttempt:
-    """Another gateway's attempt, as it told."""
+    """An attempt that another gateway reported.
+
+    Attributes:
+        expires_at: until when it counts unless its end is reported, in seconds.
+        engine: that it runs on.
+        threads, memory_mb: that it uses there.
+        bulk_load_table_digest: digest of the table group that it holds as a bulk load; None: it is none.
+    """
 
     expires_at: float
     engine: Engine
     threads: float
     memory_mb: float
-    bulk_load_table_digest: int | None  # mark of the table group that a load holds
+    bulk_load_table_digest: int | None
 
 
 class PeerLoadTable:
-    """Others' attempts by sender and number, and their sums at each engine."""
+    """Attempts of other gateways by sender and number, with their sums at each engine.
+
+    Attributes:
+        threads: of all of them.
+        entries: by sender's index and the number that the sender gave it.
+    """
 
     def __init__(self) -> None:
         self.threads = 0.0
         self.entries: dict[tuple[int, int], PeerAttempt] = {}
-        self.expirations: list[tuple[float, tuple[int, int]]] = []  # heap
+        self._expirations: list[tuple[float, tuple[int, int]]] = []  # heap of times and keys
 
     def add(
         self, key: tuple[int, int], expires_at: float, engine: Engine, message: messages.GossipMessage
     ) -> None:
-        loads = message.table_digest if message.is_bulk_load else None
-        memory = message.memory_ratio * engine.memory_mb
-        self.insert(key, PeerAttempt(expires_at, engine, message.threads, memory, loads))
+        """Add what a message reports."""
+        table_digest = message.table_digest if message.is_bulk_load else None
+        memory_mb = message.memory_ratio * engine.memory_mb
+        self.insert(key, PeerAttempt(expires_at, engine, message.threads, memory_mb, table_digest))
 
     def insert(self, key: tuple[int, int], attempt: PeerAttempt) -> None:
+        """Add an attempt under a key that has none."""
         self.entries[key] = attempt
         self._count(attempt, 1)
-        heapq.heappush(self.expirations, (attempt.expires_at, key))
+        heapq.heappush(self._expirations, (attempt.expires_at, key))
 
     def remove(self, key: tuple[int, int]) -> None:
-        if told := self.entries.pop(key, None):
-            self._count(told, -1)
+        """Remove an attempt, if it is known."""
+        if attempt := self.entries.pop(key, None):
+            self._count(attempt, -1)
 
     def expire(self, now: float) -> None:
-        """Forget what has no end told by now."""
-        while self.expirations and self.expirations[0][0] <= now:
-            until, name = heapq.heappop(self.expirations)
-            if name in self.entries and self.entries[name].expires_at <= until:
-                self.remove(name)
+        """Remove attempts whose end was not reported in time."""
+        while self._expirations and self._expirations[0][0] <= now:
+            expires_at, key = heapq.heappop(self._expirations)
+            if key in self.entries and self.entries[key].expires_at <= expires_at:
+                self.remove(key)
 
     def _count(self, attempt: PeerAttempt, sign: int) -> None:
         attempt.engine.peer_threads += sign * attempt.threads
         attempt.engine.peer_memory_mb += sign * attempt.memory_mb
         self.threads += sign * attempt.threads
-        if attempt.bulk_load_table_digest is not None:
-            loads = attempt.engine.peer_bulk_loads
-            loads[attempt.bulk_load_table_digest] = loads.get(attempt.bulk_load_table_digest, 0) + sign
-            if not loads[attempt.bulk_load_table_digest]:
-                del loads[attempt.bulk_load_table_digest]
+        digest = attempt.bulk_load_table_digest
+        if digest is not None:
+            bulk_loads = attempt.engine.peer_bulk_loads
+            bulk_loads[digest] = bulk_loads.get(digest, 0) + sign
+            if not bulk_loads[digest]:
+                del bulk_loads[digest]
--- a/saffronlane/state/requests.py
+++ b/saffronlane/state/requests.py
@@ -1,9 +1,8 @@
-"""Requests, their attempts, and the order of those with a key."""
+"""Requests and their attempts."""
 
 from __future__ import annotations
 
 import math
-from collections import deque
 from dataclasses import dataclass
 
 from .. import interface as api
@@ -12,11 +11,25 @@
 from .windows import clamp
 
 NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+NO_DEADLINE = 1e9  # seconds, for a class without a deadline
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One send of a request; late outcomes find it after the request has ended."""
+    """One dispatch of a request; a late outcome finds it after the request has ended.
+
+    Attributes:
+        request: that it belongs to.
+        index: among the request's attempts, from 0; -1: from before the request arrived here.
+        engine: that it was sent to.
+        sent_at: when, in seconds.
+        threads: that it uses there.
+        memory_grant_mb: 0: the engine's choice.
+        last_progress_at: when it was last heard of.
+        gossip_number: its number in messages to peers; None: not reported to them.
+        outcome: None while it is in flight.
+        is_cancelled: the engine was asked to cancel it.
+    """
 
     request: Request
     index: int
@@ -25,111 +38,87 @@
     threads: float
     memory_grant_mb: float
     last_progress_at: float
-    gossip_number: int | None = None  # its number in what the others were told
+    gossip_number: int | None = None
     outcome: Outcome | None = None
     is_cancelled: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class GossipExpiry:
-    """A timer's subject: what was told of the attempt counts no longer at the others."""
+    """Subject of a timer: peers no longer count what they were told of the attempt."""
 
     attempt: Attempt
 
 
 class Request:
-    """One request of a client."""
-
-    def __init__(self, event: api.Arrival, index: int, cls: api.ClassSettings, now: float) -> None:
-        self.id, self.class_index, self.ordering_key, self.class_settings = (
-            event.request,
-            index,
-            event.ordering_key,
-            cls,
-        )
-        self.arrived_at, self.expires_at = now, now + clamp(event.timeout, 0.0, cls.deadline or 1e9)
-        self.estimated_cost, self.estimated_memory_mb, self.table_group = (
-            clamp(event.estimated_cost) or 1.0,
-            clamp(event.estimated_memory_mb),
-            event.table_group,
-        )
+    """One request of a client.
+
+    Attributes:
+        id, class_index, class_settings, ordering_key, table_group: as it arrived.
+        arrived_at: in seconds.
+        expires_at: when its client gives up or its class's deadline passes.
+        estimated_cost: client's estimate; 1 where there is none.
+        estimated_memory_mb: client's estimate; 0: none.
+        deadline: by which it is scheduled.
+        probing_until: it stays queued until then, while engines answer load probes.
+        attempts: in the order of dispatch.
+        in_flight_count: attempts without an outcome.
+        previous_attempt_count: attempts from before it arrived here.
+        is_ended: it has had its final answer, or its client has gone.
+        is_streaming: bytes of a result have gone to the client.
+        was_restarted: a run was cancelled for being far slower than expected.
+        is_over_quota: its tenant exceeds its rate limit.
+        failed_engines: ids of engines that failed it.
+    """
+
+    def __init__(
+        self, event: api.Arrival, class_index: int, class_settings: api.ClassSettings, now: float
+    ) -> None:
+        self.id = event.request
+        self.class_index = class_index
+        self.class_settings = class_settings
+        self.ordering_key = event.ordering_key
+        self.arrived_at = now
+        self.expires_at = now + clamp(event.timeout, 0.0, class_settings.deadline or NO_DEADLINE)
+        self.estimated_cost = clamp(event.estimated_cost) or 1.0
+        self.estimated_memory_mb = clamp(event.estimated_memory_mb)
+        self.table_group = event.table_group
         self.deadline = self.expires_at
-        self.probing_until = -math.inf  # engines were asked for their load; held until then
+        self.probing_until = -math.inf
         self.attempts: list[Attempt] = []
-        self.in_flight_count = self.previous_attempt_count = (
-            0  # attempts without an outcome; those from before it arrived here
-        )
-        self.is_ended = self.is_streaming = self.was_restarted = False
-        self.is_over_quota = False  # beyond its tenant's allowance
-        self.failed_engines: list[bytes] = []  # engines that failed this request
+        self.in_flight_count = 0
+        self.previous_attempt_count = 0
+        self.is_ended = False
+        self.is_streaming = False
+        self.was_restarted = False
+        self.is_over_quota = False
+        self.failed_engines: list[bytes] = []
 
     def first_possible_execution(self) -> Attempt | None:
-        """The earliest attempt that may have run, or None while it is certain that none did."""
-        return next((a for a in self.attempts if a.outcome not in NEVER_RAN), None)
+        """Return the earliest attempt that may have run; None while it is certain that none did."""
+        return next((attempt for attempt in self.attempts if attempt.outcome not in NEVER_RAN), None)
 
     def add_previous_attempt(
         self, previous: api.PreviousAttempt, machine_types: tuple[api.MachineType, ...]
     ) -> None:
-        """An attempt from before the request arrived here, of which only that it may have run is known."""
-        kind = machine_types[min(previous.machine_type, len(machine_types) - 1)]
-        place = api.EngineEntry(
-            previous.engine, api.EngineState.REMOVED, 0.0, previous.zone, previous.machine_type, previous.cell
+        """Add an attempt from before the request arrived here, which may have run."""
+        machine_type = machine_types[min(previous.machine_type, len(machine_types) - 1)]
+        entry = api.EngineEntry(
+            previous.engine,
+            api.EngineState.REMOVED,
+            zone=previous.zone,
+            machine_type=previous.machine_type,
+            cell=previous.cell,
         )
-        self.previous_attempt_count, engine = 1, Engine(place, kind)
+        self.previous_attempt_count = 1
         attempt = Attempt(
-            self, -1, engine, previous.sent_at, 0.0, 0.0, previous.sent_at, outcome=Outcome.CANCELLED
+            request=self,
+            index=-1,
+            engine=Engine(entry, machine_type),
+            sent_at=previous.sent_at,
+            threads=0.0,
+            memory_grant_mb=0.0,
+            last_progress_at=previous.sent_at,
+            outcome=Outcome.CANCELLED,
         )
         self.attempts.append(attempt)
-
-
-class OrderingQueues:
-    """Requests of each key in the order taken; only the head of a key has its turn, after the key's rest."""
-
-    def __init__(self) -> None:
-        self.queues: dict[int, deque[Request]] = {}
-        self.cooldowns: dict[int, float] = {}
-
-    def enqueue(self, request: Request) -> None:
-        if request.class_settings.is_ordered and request.ordering_key:
-            self.queues.setdefault(request.ordering_key, deque()).append(request)
-
-    def is_next(self, request: Request, now: float) -> bool:
-        if not request.class_settings.is_ordered or not request.ordering_key:
-            return True
-        if self.cooldowns.get(request.ordering_key, -math.inf) <= now:
-            self.cooldowns.pop(request.ordering_key, None)
-        return self.queues[request.ordering_key][0] is request and request.ordering_key not in self.cooldowns
-
-    def start_cooldown(self, request: Request, until: float) -> None:
-        if request.class_settings.is_ordered and request.ordering_key:
-            self.cooldowns.pop(request.ordering_key, None)  # the last to end stands last
-            self.cooldowns[request.ordering_key] = until
-
-    def expire_cooldowns(self, now: float) -> None:
-        """Rests that are over, of keys that nobody asked for again."""
-        while self.cooldowns and next(iter(self.cooldowns.values())) <= now:
-            del self.cooldowns[next(iter(self.cooldowns))]
-
-    def release(self, request: Request) -> None:
-        """A key moves on when a request has ended and no attempt's outcome is open."""
-        if (
-            request.is_ended
-            and not request.in_flight_count
-            and request in self.queues.get(request.ordering_key, ())
-        ):
-            self.queues[request.ordering_key].remove(request)
-            if not self.queues[request.ordering_key]:
-                del self.queues[request.ordering_key]
-
-
-class PendingRequests:
-    """Requests that are owed a final answer, those of them that are held, and the order of keys."""
-
-    def __init__(self) -> None:
-        self.requests: dict[int, Request] = {}
-        self.queued: dict[int, Request] = {}
-        self.ordering = OrderingQueues()
-
-    def add(self, request: Request) -> None:
-        self.requests[request.id] = self.queued[request.id] = request
-        self.ordering.enqueue(request)
