--- a/saffronlane/__init__.py
+++ b/saffronlane/__init__.py
@@ -3,4 +3,4 @@
 from .policy import Gateway
 
 __all__ = ["Gateway", "__version__"]
-__version__ = "0.2.0"
+__version__ = "0.3.0"
