--- a/saffronlane/learned_state/restore.py
+++ b/saffronlane/learned_state/restore.py
@@ -213,10 +213,10 @@
             known.answer_count = round(min(1.0, weigh.COUNT_MOST / max(1, whole)) * count)
             if self.masses[index] >= SEED_ANSWERS:  # enough is known to judge a query by
                 known.answer_count = max(known.answer_count, int(SEED_ANSWERS))
-            known.set_pace()
+            known.update_cost_rate()
             if not weigh.may_refuse(known.exec_time(), known.class_settings.deadline):
                 known.answer_count = 0
-                known.set_pace()
+                known.update_cost_rate()
             known.recalled_count = known.answer_count
 
     def _engine(self, engine: Engine) -> None:
@@ -307,4 +307,4 @@
     known.baseline_inflation, known.memory_requirement = 1.0, 0.0
     known.answer_count -= known.recalled_count
     known.recalled_count = 0
-    known.set_pace()
+    known.update_cost_rate()
--- a/saffronlane/policy/estimation/workload_estimates.py
+++ b/saffronlane/policy/estimation/workload_estimates.py
@@ -2,9 +2,11 @@
 
 from ... import interface as api
 from ...state import Request
-from .run_time_estimator import NEED_SEED, RunTimeEstimator
+from .run_time_estimator import INITIAL_MEMORY_RATIO, RunTimeEstimator
 
-HEAVY = 2.0  # a query of more than this x the mean work is told: each message costs all gateways time
+HEAVY_WORK_RATIO = (
+    2.0  # a query of more than this x the mean work is told: each message costs all gateways time
+)
 
 
 class WorkloadEstimates:
@@ -21,7 +23,9 @@
         )
 
     def is_heavy(self, job: Request) -> bool:
-        return job.class_settings.is_bulk_load or 0.0 < HEAVY * self.mean_query()[0] < self.work(job)
+        return job.class_settings.is_bulk_load or 0.0 < HEAVY_WORK_RATIO * self.mean_query()[0] < self.work(
+            job
+        )
 
     def mean_query(self) -> tuple[float, float]:  # work and worth of the mean query
         count = max(1, sum(k.answer_count for k in self.estimators))
@@ -32,7 +36,7 @@
         """Memory from learned need; priority by worth per second of work against the usual mix."""
         known, settings = self.estimators[job.class_index], self.settings
         grant = (
-            (known.memory_requirement or NEED_SEED) * job.estimated_memory_mb
+            (known.memory_requirement or INITIAL_MEMORY_RATIO) * job.estimated_memory_mb
             if job.estimated_memory_mb
             else known.memory_requirement * 1.1
         )
--- a/saffronlane/policy/execution/attempts.py
+++ b/saffronlane/policy/execution/attempts.py
@@ -4,12 +4,17 @@
 from ...interface import Outcome
 from ...state import Attempt, Engine, Request, clamp
 from ..gossip.load_gossip import LoadGossip
-from ..routing.engine_selection import HORIZON, EngineSelector
-from ..scheduling.concurrency_limit import PRESSED
-from .completion import END_MARGIN, RequestCompletion
+from ..routing.engine_selection import RECENT_WORK_HORIZON, EngineSelector
+from ..scheduling.concurrency_limit import CONGESTED_INFLATION
+from .completion import EXPIRY_MARGIN, RequestCompletion
 
-SILENT_NOTES = 1.1  # note periods without a word, and up to one more of calm run, until an attempt is lost
-OVERDUE, SILENT_FLOOR = 5.0, 0.5  # without notes: this x its ExecTime, and at least this many seconds
+UNRESPONSIVE_REPORT_PERIODS = (
+    1.1  # note periods without a word, and up to one more of calm run, until an attempt is lost
+)
+UNRESPONSIVE_EXEC_TIMES, MIN_UNRESPONSIVE_TIMEOUT = (
+    5.0,
+    0.5,
+)  # without notes: this x its ExecTime, and at least this many seconds
 
 
 class AttemptManager:
@@ -18,7 +23,7 @@
         self.answers, self.placement, self.telling = answers, placement, telling
         self.health = placement.eligibility.health
 
-    def send(self, job: Request, engine: Engine) -> None:
+    def start(self, job: Request, engine: Engine) -> None:
         batch, now, settings = self.batch, self.batch.now, self.batch.settings
         grant, priority = self.classes.resource_grant(job)
         if settings.memory_grants_enabled or settings.priorities_enabled:
@@ -37,20 +42,24 @@
         )
         if attempt.index:
             self.answers.retry_policy.budget.retries.append(now)
-        self.health.sent(engine)
+        self.health.record_dispatch(engine)
         self.answers.dequeue(job)
-        self.own.add(attempt, self.classes.work(job), HORIZON, batch.guarantees.slow_start_duration)
-        batch.schedule(now + self.patience(job), attempt)
-        batch.emit(api.Dispatch(job.id, engine.id, max(1e-3, job.expires_at - END_MARGIN - now)))
-        self.telling.started(attempt)
+        self.own.add(
+            attempt, self.classes.work(job), RECENT_WORK_HORIZON, batch.guarantees.slow_start_duration
+        )
+        batch.schedule(now + self.progress_timeout(job), attempt)
+        batch.emit(api.Dispatch(job.id, engine.id, max(1e-3, job.expires_at - EXPIRY_MARGIN - now)))
+        self.telling.on_attempt_started(attempt)
 
-    def patience(self, job: Request) -> float:
+    def progress_timeout(self, job: Request) -> float:
         if period := self.batch.settings.progress_interval:
-            return SILENT_NOTES * period + min(
-                period, self.classes.estimators[job.class_index].calm_time(job.estimated_cost)
+            return UNRESPONSIVE_REPORT_PERIODS * period + min(
+                period, self.classes.estimators[job.class_index].uncontended_time(job.estimated_cost)
             )
         copies = self.batch.limits.hedged_requests
-        return max(SILENT_FLOOR, OVERDUE * self.classes.exec_time(job)) * (1.0 if copies else 2.0)
+        return max(MIN_UNRESPONSIVE_TIMEOUT, UNRESPONSIVE_EXEC_TIMES * self.classes.exec_time(job)) * (
+            1.0 if copies else 2.0
+        )
 
     def on_ended(self, event: api.AttemptEnded) -> None:
         outcome, answers = event.outcome, self.answers
@@ -58,20 +67,20 @@
         if attempt is None:
             return
         job, engine = attempt.request, attempt.engine
-        self.telling.ended(attempt)
+        self.telling.on_attempt_ended(attempt)
         if outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED):
             answers.pending.ordering.start_cooldown(
                 job, self.batch.now + self.batch.guarantees.ordering_cooldown
             )
         if outcome is Outcome.NOT_SENT and attempt.index:
             answers.retry_policy.budget.forget_unsent(attempt.sent_at)
-        self.health.ended(attempt, outcome)
-        self.health.blame(attempt, last=answers.retry_policy.is_exhausted(job))
-        self.learn(attempt, event)
+        self.health.record_outcome(attempt, outcome)
+        self.health.attribute_errors(attempt, last=answers.retry_policy.is_exhausted(job))
+        self.record_measurements(attempt, event)
         if outcome in (Outcome.REJECTED, Outcome.TIMEOUT):
-            self.placement.concurrency_limit.record_latency_inflation(PRESSED * 2.0)
+            self.placement.concurrency_limit.record_latency_inflation(CONGESTED_INFLATION * 2.0)
             if outcome is Outcome.REJECTED:
-                self.telling.rejected(engine)
+                self.telling.report_rejection(engine)
             engine.last_rejection_at = self.batch.now
         if job.is_ended:
             answers.pending.ordering.release(job)
@@ -82,9 +91,9 @@
                 )
             answers.finish(job, answer=False)
         elif not job.in_flight_count:
-            self.go_on(attempt)
+            self.requeue_or_finish(attempt)
 
-    def learn(self, attempt: Attempt, event: api.AttemptEnded) -> None:
+    def record_measurements(self, attempt: Attempt, event: api.AttemptEnded) -> None:
         job, placement = attempt.request, self.placement
         threads, known = (
             placement.load_reports.record(attempt.engine, event.load_report),
@@ -92,14 +101,16 @@
         )
         if event.outcome is Outcome.OK:
             elapsed, work = clamp(event.elapsed, 1e-4, 1e4), clamp(event.work)
-            crowd = known.answered(self.batch.now, job, elapsed, work, clamp(event.memory_mb), threads)
+            crowd = known.record_completion(
+                self.batch.now, job, elapsed, work, clamp(event.memory_mb), threads
+            )
             placement.concurrency_limit.record_response(
                 attempt.engine, crowd, 0.0 if event.work > 0.0 else threads
             )
         elif not self.batch.settings.reports_work and event.outcome in (Outcome.CANCELLED, Outcome.TIMEOUT):
-            known.cut_short(job, clamp(event.elapsed))
+            known.record_interruption(job, clamp(event.elapsed))
 
-    def go_on(self, attempt: Attempt) -> None:
+    def requeue_or_finish(self, attempt: Attempt) -> None:
         """A request whose attempts have all failed is held for another, or answered."""
         job, answers = attempt.request, self.answers
         if attempt.outcome is not Outcome.CANCELLED and attempt.engine.id not in job.failed_engines:
--- a/saffronlane/policy/execution/completion.py
+++ b/saffronlane/policy/execution/completion.py
@@ -8,23 +8,25 @@
 from ..estimation.workload_estimates import WorkloadEstimates
 from ..scheduling.retry_budget import RetryPolicy
 
-MULTIPLIER = 10.0  # deadline = arrival + this x ExecTime; the paper's value
-END_MARGIN = 0.03  # seconds before a client's time ends: what leaves must arrive
+DEADLINE_EXEC_TIMES = 10.0  # deadline = arrival + this x ExecTime; the paper's value
+EXPIRY_MARGIN = 0.03  # seconds before a client's time ends: what leaves must arrive
 
 
 class RequestCompletion:
     def __init__(self, batch: StepContext, fleet: EngineRegistry, classes: WorkloadEstimates) -> None:
         self.batch, self.fleet, self.classes = batch, fleet, classes
         self.retry_policy, self.pending = RetryPolicy(batch), PendingRequests()
-        self.backlog: float | None = None  # thread seconds held, summed once a batch: refusals are many
+        self.queued_thread_seconds: float | None = (
+            None  # thread seconds held, summed once a batch: refusals are many
+        )
 
     def deadline(self, job: Request) -> float:
-        return self.batch.now + MULTIPLIER * self.classes.exec_time(job)
+        return self.batch.now + DEADLINE_EXEC_TIMES * self.classes.exec_time(job)
 
     def add_pending(self, job: Request) -> None:
         job.deadline = self.deadline(job)
         self.pending.add(job)
-        self.batch.schedule(job.expires_at - END_MARGIN, job)
+        self.batch.schedule(job.expires_at - EXPIRY_MARGIN, job)
 
     def finish(self, job: Request, answer: bool = True) -> None:
         """End a request at once: refused where the rules let the client try again, failed otherwise."""
@@ -46,15 +48,21 @@
         self.pending.ordering.release(job)
 
     def dequeue(self, job: Request) -> None:
-        if self.pending.queued.pop(job.id, None) and self.backlog is not None:
-            self.backlog -= self.classes.exec_time(job) * job.class_settings.threads
+        if self.pending.queued.pop(job.id, None) and self.queued_thread_seconds is not None:
+            self.queued_thread_seconds -= self.classes.exec_time(job) * job.class_settings.threads
 
     def retry_after(self, job: Request) -> float:
         """The time in which the work held here would drain, within what clients honour; 0 where none do."""
         exec_time, limits, cores = self.classes.exec_time, self.batch.limits, self.fleet.ready_cores
-        if self.backlog is None:
-            self.backlog = sum(exec_time(j) * j.class_settings.threads for j in self.pending.queued.values())
-        wait = max(0.0, self.backlog) * self.batch.settings.gateway_count / cores if cores else math.inf
+        if self.queued_thread_seconds is None:
+            self.queued_thread_seconds = sum(
+                exec_time(j) * j.class_settings.threads for j in self.pending.queued.values()
+            )
+        wait = (
+            max(0.0, self.queued_thread_seconds) * self.batch.settings.gateway_count / cores
+            if cores
+            else math.inf
+        )
         return min(limits.max_retry_after if limits.sends_retry_after else 0.0, max(wait, exec_time(job)))
 
     def cancel(self, attempt: Attempt) -> None:
--- a/saffronlane/policy/execution/hedging.py
+++ b/saffronlane/policy/execution/hedging.py
@@ -3,11 +3,15 @@
 from ... import interface as api
 from ...interface import Idempotency, ProgressKind
 from ...state import Attempt, clamp
-from ..scheduling.concurrency_limit import PRESSED
+from ..scheduling.concurrency_limit import CONGESTED_INFLATION
 from .attempts import AttemptManager
 
-BEHIND = 4.0  # cancel when the remainder would take this x a fresh run: far outside the usual scatter
-HOPELESS = 1.5  # progress is rough: give up only if the remainder is this x the time that is left
+MAX_REMAINING_EXEC_TIMES = (
+    4.0  # cancel when the remainder would take this x a fresh run: far outside the usual scatter
+)
+MAX_REMAINING_TIME_RATIO = (
+    1.5  # progress is rough: give up only if the remainder is this x the time that is left
+)
 
 
 class HedgingAndRetry:
@@ -15,7 +19,7 @@
         self.batch, self.attempts, self.answers = attempts.batch, attempts, attempts.answers
         self.permits, self.pressure = attempts.answers.retry_policy, attempts.placement.concurrency_limit
 
-    def look_after(self, attempt: Attempt) -> None:
+    def check_timeout(self, attempt: Attempt) -> None:
         """Try elsewhere what has no word for long: lost answers, hangs, cut links, unseen deaths.
 
         Without notes a long query is silent too: a second copy leaves the first its chance. Not in a jam.
@@ -23,13 +27,13 @@
         job, engine, now, settings = attempt.request, attempt.engine, self.batch.now, self.batch.settings
         if attempt.outcome is not None or attempt.is_cancelled or job.is_ended or job.is_streaming:
             return
-        due = attempt.last_progress_at + self.attempts.patience(job)
+        due = attempt.last_progress_at + self.attempts.progress_timeout(job)
         if due > now + 1e-6:
             self.batch.schedule(due, attempt)
             return
         engine.last_rejection_at, noted = now, settings.progress_interval > 0.0
         unheard = noted and engine.last_response_at < attempt.sent_at and not engine.is_ejected
-        if unheard and self.attempts.health.unheard(engine):
+        if unheard and self.attempts.health.record_unresponsive(engine):
             for other in engine.in_flight.values():  # what has had no word there will hardly get one
                 if other.last_progress_at <= other.sent_at and self.permits.can_retry(other.request):
                     self.answers.cancel(other)
@@ -37,29 +41,29 @@
             return
         if noted or not self.batch.limits.hedged_requests:
             self.answers.cancel(attempt)
-        elif self.pressure.latency_inflation < PRESSED and job.in_flight_count < 2:
+        elif self.pressure.latency_inflation < CONGESTED_INFLATION and job.in_flight_count < 2:
             self.answers.pending.queued[job.id] = job
 
-    def on_note(self, event: api.ProgressReport) -> None:
+    def on_progress(self, event: api.ProgressReport) -> None:
         attempt = self.attempts.own.attempts.get((event.request, event.attempt))
         if attempt is None:
             return
         attempt.last_progress_at = attempt.engine.last_response_at = self.batch.now
         if event.kind is ProgressKind.PROGRESS:
-            self.check_plan(attempt, clamp(event.amount, 0.0, 1.0))
+            self.check_progress(attempt, clamp(event.amount, 0.0, 1.0))
         elif event.kind is ProgressKind.WAITING and event.amount >= 1.0:
-            self.move_on(attempt)
+            self.retry_waiting(attempt)
 
-    def move_on(self, attempt: Attempt) -> None:
+    def retry_waiting(self, attempt: Attempt) -> None:
         """It waits, for memory or a load: try elsewhere. Harmful if its place is far up: once an engine."""
         job, engine = attempt.request, attempt.engine
         engine.last_rejection_at = self.batch.now
         if not attempt.is_cancelled and self.permits.can_retry(job):
             job.failed_engines.append(engine.id)
-            if next(self.attempts.placement.eligibility.usable(job, strict=True), None) is not None:
+            if next(self.attempts.placement.eligibility.eligible_engines(job, strict=True), None) is not None:
                 self.answers.cancel(attempt)
 
-    def check_plan(self, attempt: Attempt, done: float) -> None:
+    def check_progress(self, attempt: Attempt, done: float) -> None:
         """Bad plan, or stuck on a slow engine: a fresh run is expected to end much sooner.
 
         If a second run is as slow, the query is long: given up when it cannot end in time or others wait.
@@ -67,9 +71,14 @@
         job, now = attempt.request, self.batch.now
         remainder = (now - attempt.sent_at) * (1.0 - done) / max(done, 1e-3)
         fresh = self.answers.classes.exec_time(job)
-        if attempt.is_cancelled or job.is_ended or job.is_streaming or remainder <= BEHIND * fresh:
+        if (
+            attempt.is_cancelled
+            or job.is_ended
+            or job.is_streaming
+            or remainder <= MAX_REMAINING_EXEC_TIMES * fresh
+        ):
             return
-        hopeless = remainder > HOPELESS * (job.expires_at - now)
+        hopeless = remainder > MAX_REMAINING_TIME_RATIO * (job.expires_at - now)
         if not job.was_restarted and self.permits.can_retry(job) and now + fresh < job.expires_at:
             job.was_restarted = True
             self.answers.cancel(attempt)
--- a/saffronlane/policy/gossip/load_gossip.py
+++ b/saffronlane/policy/gossip/load_gossip.py
@@ -3,12 +3,14 @@
 from ... import gossip_messages as messages
 from ... import interface as api
 from ...state import Attempt, Engine, EngineRegistry, GossipExpiry, PeerLoadTable, StepContext
-from ..estimation.workload_estimates import HEAVY, WorkloadEstimates
-from ..routing.eligibility import FULL_MEMORY
+from ..estimation.workload_estimates import HEAVY_WORK_RATIO, WorkloadEstimates
+from ..routing.eligibility import REJECTION_COOLDOWN
 
-TOLD_MANY = 512  # told queries open at once past which the bar rises: each message costs all gateways time
-TOLD_PATIENCE = 3.0  # what has no end told counts for this x its expected span: a message may be lost
-SENDERS_MOST = 2  # senders up to this x the gateway count are known: it may be a little out of date
+BUSY_PEER_ATTEMPTS = (
+    512  # told queries open at once past which the bar rises: each message costs all gateways time
+)
+REPORT_LIFETIME_RATIO = 3.0  # what has no end told counts for this x its expected span: a message may be lost
+MAX_SENDERS_RATIO = 2  # senders up to this x the gateway count are known: it may be a little out of date
 
 
 class LoadGossip:
@@ -16,27 +18,27 @@
         self.batch, self.fleet, self.classes = batch, fleet, classes
         self.peer_load, self.number = PeerLoadTable(), 0
 
-    def say(self, message: messages.GossipMessage) -> None:
+    def broadcast(self, message: messages.GossipMessage) -> None:
         self.batch.emit(api.SendGossip(None, messages.encode(message)))
 
-    def started(self, attempt: Attempt) -> None:
+    def on_attempt_started(self, attempt: Attempt) -> None:
         job, classes, work = attempt.request, self.classes, self.classes.work(attempt.request)
-        bar = len(self.peer_load.entries) / TOLD_MANY * HEAVY * classes.mean_query()[0]
+        bar = len(self.peer_load.entries) / BUSY_PEER_ATTEMPTS * HEAVY_WORK_RATIO * classes.mean_query()[0]
         if (
             self.batch.limits.gossip
             and classes.is_heavy(job)
             and (work >= bar or job.class_settings.is_bulk_load)
         ):
             self.number = attempt.gossip_number = (self.number + 1) % 256
-            self.tell(
+            self.report_attempt(
                 attempt,
-                TOLD_PATIENCE
+                REPORT_LIFETIME_RATIO
                 * work
                 / job.class_settings.threads
                 * classes.estimators[job.class_index].baseline_inflation,
             )
 
-    def tell(self, attempt: Attempt, span: float) -> None:
+    def report_attempt(self, attempt: Attempt, span: float) -> None:
         job, engine = attempt.request, attempt.engine
         share = attempt.memory_grant_mb / engine.memory_mb if engine.memory_mb else 0.0
         what = (
@@ -48,36 +50,36 @@
             share,
             engine.id,
         )
-        self.say(messages.start_message(*what))
+        self.broadcast(messages.start_message(*what))
         self.batch.schedule(self.batch.now + span, GossipExpiry(attempt))
 
-    def overdue(self, attempt: Attempt) -> None:
+    def renew_report(self, attempt: Attempt) -> None:
         """Still out: told again, for twice as long. Guards against engines that look empty while they jam."""
         if attempt.outcome is None:
-            self.tell(attempt, 2.0 * (self.batch.now - attempt.sent_at))
+            self.report_attempt(attempt, 2.0 * (self.batch.now - attempt.sent_at))
 
-    def ended(self, attempt: Attempt) -> None:
+    def on_attempt_ended(self, attempt: Attempt) -> None:
         if attempt.gossip_number is not None:
-            self.say(messages.GossipMessage(attempt.gossip_number))
+            self.broadcast(messages.GossipMessage(attempt.gossip_number))
 
-    def rejected(self, engine: Engine) -> None:
+    def report_rejection(self, engine: Engine) -> None:
         """Spare the others a rejection each. Guards against herds of all at an engine that is full."""
-        if self.batch.limits.gossip and engine.last_rejection_at <= self.batch.now - FULL_MEMORY / 2.0:
-            self.say(
+        if self.batch.limits.gossip and engine.last_rejection_at <= self.batch.now - REJECTION_COOLDOWN / 2.0:
+            self.broadcast(
                 messages.GossipMessage(
-                    0, duration=FULL_MEMORY, engine_digest=messages.engine_digest(engine.id)
+                    0, duration=REJECTION_COOLDOWN, engine_digest=messages.engine_digest(engine.id)
                 )
             )
 
-    def on_peer(self, event: api.PeerMessage) -> None:
+    def on_peer_message(self, event: api.PeerMessage) -> None:
         batch, message, sender = self.batch, messages.decode(event.data), event.sender
-        if message is None or not 0 <= sender < SENDERS_MOST * batch.settings.gateway_count:
+        if message is None or not 0 <= sender < MAX_SENDERS_RATIO * batch.settings.gateway_count:
             return
         engine = self.fleet.engine_by_digest.get(message.engine_digest)
         if message.reports_full:
             if engine is not None:  # all come back, each at a time of its own
                 engine.last_rejection_at = max(
-                    engine.last_rejection_at, batch.now + batch.random.random() * FULL_MEMORY
+                    engine.last_rejection_at, batch.now + batch.random.random() * REJECTION_COOLDOWN
                 )
             return
         self.peer_load.remove((sender, message.number))  # ended, or the sender counts anew after a restart
--- a/saffronlane/policy/routing/eligibility.py
+++ b/saffronlane/policy/routing/eligibility.py
@@ -10,8 +10,10 @@
 from .rendezvous import RendezvousOrder
 from .slow_start import has_slow_start_capacity
 
-FULL_MEMORY = 1.0  # seconds that an engine where a query had to wait is left out
-TOLD_MEMORY = 0.85  # of an engine's memory that own and told grants may fill; the rest is for untold queries
+REJECTION_COOLDOWN = 1.0  # seconds that an engine where a query had to wait is left out
+MAX_GRANTED_MEMORY_RATIO = (
+    0.85  # of an engine's memory that own and told grants may fill; the rest is for untold queries
+)
 
 
 class EngineEligibility:
@@ -21,7 +23,7 @@
         self.batch, self.classes, self.health, self.pressure = health.batch, classes, health, pressure
         self.rendezvous_order = RendezvousOrder(health.batch, health.fleet)
 
-    def allowed(self, engine: Engine, job: Request) -> bool:
+    def is_allowed(self, engine: Engine, job: Request) -> bool:
         """Rules 2 and 6: where this request may go at all."""
         cls = job.class_settings
         in_zone = cls.allowed_zones is None or engine.zone in cls.allowed_zones
@@ -36,7 +38,7 @@
         zone, cell = engine.zone == first.engine.zone, engine.cell == first.engine.cell
         return zone if cls.deduplication_scope is DeduplicationScope.ZONE else cell
 
-    def fits(self, engine: Engine, job: Request, heavy: bool, need: float) -> bool:
+    def has_capacity(self, engine: Engine, job: Request, heavy: bool, need: float) -> bool:
         """Whether the engine has room; past its memory a query spills and does its work several times."""
         told, batch = self.batch.limits.gossip, self.batch
         if told and heavy:
@@ -47,7 +49,9 @@
             ):
                 return False
         if engine.memory_mb and (told or engine.in_flight_memory_mb):  # untold, a part of the memory is ours
-            room = engine.memory_mb * (TOLD_MEMORY if told else 1.0 / batch.settings.gateway_count)
+            room = engine.memory_mb * (
+                MAX_GRANTED_MEMORY_RATIO if told else 1.0 / batch.settings.gateway_count
+            )
             # One of many gateways never sees an engine empty: half of the room is enough for the largest.
             if (
                 min(need, room / 2.0) if told else need
@@ -55,7 +59,9 @@
                 return False
         return has_slow_start_capacity(batch, self.classes, engine, job)
 
-    def usable(self, job: Request, strict: bool, among: list[Engine] | None = None) -> Iterator[Engine]:
+    def eligible_engines(
+        self, job: Request, strict: bool, among: list[Engine] | None = None
+    ) -> Iterator[Engine]:
         """Engines in hash order that may be used; strict passes over those that had better be left out."""
         # Loads have a hash order of our own: a second one of a group would stand still.
         apart, salt = (
@@ -67,13 +73,14 @@
             job.table_group, salt if job.class_settings.is_bulk_load else 0
         ):
             if strict and (
-                engine.last_rejection_at > self.batch.now - FULL_MEMORY or engine.id in job.failed_engines
+                engine.last_rejection_at > self.batch.now - REJECTION_COOLDOWN
+                or engine.id in job.failed_engines
             ):
                 continue
             if strict and apart and engine.is_bulk_loading(job.table_group):
                 continue
             if any(a.engine is engine and a.outcome is None for a in job.attempts):
                 continue
-            able = self.allowed(engine, job) and self.health.admits(engine, job)
-            if able and self.fits(engine, job, heavy, need):
+            able = self.is_allowed(engine, job) and self.health.admits(engine, job)
+            if able and self.has_capacity(engine, job, heavy, need):
                 yield engine
--- a/saffronlane/policy/routing/engine_selection.py
+++ b/saffronlane/policy/routing/engine_selection.py
@@ -6,38 +6,47 @@
 from ..scheduling.concurrency_limit import AdaptiveConcurrencyLimit
 from .eligibility import EngineEligibility
 
-SPILL = 1.25  # an engine over this x mean load plus one query is passed by; the design's start value
-HORIZON = 10.0  # seconds that own sent work counts as load: where few queries are out, those tell nothing
+OVERLOAD_FACTOR = (
+    1.25  # an engine over this x mean load plus one query is passed by; the design's start value
+)
+RECENT_WORK_HORIZON = (
+    10.0  # seconds that own sent work counts as load: where few queries are out, those tell nothing
+)
 
 
 class EngineSelector:
     def __init__(self, reports: LoadReports, health: OutlierDetector, told: PeerLoadTable) -> None:
         self.load_reports, self.batch, self.fleet, self.peer_load = (
             reports,
-            reports.batch,
-            reports.fleet,
+            reports.step_context,
+            reports.engine_registry,
             told,
         )
         self.in_flight = InFlightWork(len(self.batch.settings.classes))
         self.concurrency_limit = AdaptiveConcurrencyLimit(self.in_flight, reports)
-        self.eligibility = EngineEligibility(reports.classes, health, self.concurrency_limit)
+        self.eligibility = EngineEligibility(reports.workload_estimates, health, self.concurrency_limit)
 
     def load(self, engine: Engine) -> float:
         """Threads per core: own ones that are out or were lately kept busy, others' as told or reported."""
-        own = engine.in_flight_threads + engine.recent_work.read(self.batch.now, HORIZON)
+        own = engine.in_flight_threads + engine.recent_work.read(self.batch.now, RECENT_WORK_HORIZON)
         load = own + engine.peer_threads + self.load_reports.threads_per_core(engine) * engine.cores
         load /= engine.effective_cores(self.batch.now, self.batch.guarantees)
         away = self.eligibility.rendezvous_order.crossing_costs and engine.zone != self.batch.settings.zone
-        return load * SPILL if away else load
+        return load * OVERLOAD_FACTOR if away else load
 
     def select(self, job: Request) -> Engine | None:
         """The less loaded of the first two in hash order, moving on past SPILL; None: all are full."""
-        now, rules, fleet, usable = self.batch.now, self.batch.guarantees, self.fleet, self.eligibility.usable
+        now, rules, fleet, usable = (
+            self.batch.now,
+            self.batch.guarantees,
+            self.fleet,
+            self.eligibility.eligible_engines,
+        )
         if not fleet.ready_cores or not self.concurrency_limit.admits(job):
             return None
         threads, lately = (
             self.in_flight.threads + self.peer_load.threads,
-            self.in_flight.recent_work.read(now, HORIZON),
+            self.in_flight.recent_work.read(now, RECENT_WORK_HORIZON),
         )
         apart = (
             self.batch.settings.gateway_index + 1
@@ -47,24 +56,28 @@
         ):
             if engine.is_warming_up(now, rules.slow_start_duration):
                 room = (
-                    SPILL * engine.effective_cores(now, rules) / fleet.ready_cores * threads
+                    OVERLOAD_FACTOR * engine.effective_cores(now, rules) / fleet.ready_cores * threads
                     + job.class_settings.threads
                 )
                 spare = engine.in_flight_threads + engine.peer_threads <= room  # else it would jam
                 if spare and next(usable(job, True, [engine]), None):
                     return engine
-        query = self.eligibility.classes.work(job) / HORIZON
+        query = self.eligibility.classes.work(job) / RECENT_WORK_HORIZON
         for strict in (True, False):
             last = least = None
             for engine in usable(job, strict):
                 best = engine if last is None else min(last, engine, key=self.load)
-                part = SPILL * best.effective_cores(now, rules) / fleet.ready_cores
+                part = OVERLOAD_FACTOR * best.effective_cores(now, rules) / fleet.ready_cores
                 spare = (
                     best.in_flight_threads + best.peer_threads <= part * threads + job.class_settings.threads
                 )
-                most = SPILL * fleet.mean_reported_threads + job.class_settings.threads / best.cores
+                most = OVERLOAD_FACTOR * fleet.mean_reported_threads + job.class_settings.threads / best.cores
                 spare = spare and self.load_reports.threads_per_core(best) <= most
-                if last and spare and best.recent_work.read(now, HORIZON) <= part * lately + query:
+                if (
+                    last
+                    and spare
+                    and best.recent_work.read(now, RECENT_WORK_HORIZON) <= part * lately + query
+                ):
                     return best
                 least = best if least is None else min(least, best, key=self.load)
                 last = engine
--- a/saffronlane/policy/scheduling/admission.py
+++ b/saffronlane/policy/scheduling/admission.py
@@ -4,11 +4,15 @@
 
 from ... import interface as api
 from ...state import Request, TokenBucket
-from ..estimation.load_reports import PROBED
+from ..estimation.load_reports import MAX_PROBED_ENGINES
 from ..execution.completion import RequestCompletion
 from ..routing.engine_selection import EngineSelector
 
-TENANT_SLACK, TENANT_DEPTH, TENANT_SPAN = 1.3, 3.0, 2.0  # fronts are uneven; queries, seconds of a burst
+TENANT_RATE_MARGIN, TENANT_BURST_REQUESTS, TENANT_BURST_DURATION = (
+    1.3,
+    3.0,
+    2.0,
+)  # fronts are uneven; queries, seconds of a burst
 
 
 class AdmissionController:
@@ -20,31 +24,35 @@
     def on_arrival(self, event: api.Arrival) -> None:
         answers, index = self.answers, min(event.class_index, len(self.settings.classes) - 1)
         job = Request(event, index, self.settings.classes[index], self.batch.now)
-        answers.classes.estimators[index].estimate(job.estimated_cost, told=event.estimated_cost > 0.0)
-        job.is_over_quota = self.over_allowance(event.tenant)
+        answers.classes.estimators[index].record_estimate(
+            job.estimated_cost, is_estimate_given=event.estimated_cost > 0.0
+        )
+        job.is_over_quota = self.exceeds_quota(event.tenant)
         if event.previous_attempt is not None:
             job.add_previous_attempt(event.previous_attempt, self.settings.machine_types)
         answers.add_pending(job)
         if job.previous_attempt_count and answers.retry_policy.is_exhausted(job):
             answers.finish(job)
-        elif self.reports.probing and answers.classes.is_heavy(job):
+        elif self.reports.is_probing_enabled and answers.classes.is_heavy(job):
             for engine in self.reports.select_probe_targets(
-                job, list(islice(self.rooms.usable(job, True), PROBED))
+                job, list(islice(self.rooms.eligible_engines(job, True), MAX_PROBED_ENGINES))
             ):
                 self.batch.emit(api.ProbeLoad(engine.id))
             if job.probing_until > self.batch.now:
                 self.batch.schedule(job.probing_until, None)
 
-    def over_allowance(self, tenant: int) -> bool:
+    def exceeds_quota(self, tenant: int) -> bool:
         """Whether a tenant sends more than its allowance here: such queries yield while engines are full."""
         tenants = self.settings.tenants
         if not 0 <= tenant < len(tenants) or not tenants[tenant].rate_limit > 0.0:
             return False
-        rate = TENANT_SLACK * tenants[tenant].rate_limit / self.settings.gateway_count
-        return self.buckets[tenant].overflows(self.batch.now, rate, TENANT_DEPTH + TENANT_SPAN * rate)
+        rate = TENANT_RATE_MARGIN * tenants[tenant].rate_limit / self.settings.gateway_count
+        return self.buckets[tenant].overflows(
+            self.batch.now, rate, TENANT_BURST_REQUESTS + TENANT_BURST_DURATION * rate
+        )
 
     def on_probe(self, event: api.ProbeResult) -> None:
-        engine = self.reports.fleet.engines.get(event.engine)
+        engine = self.reports.engine_registry.engines.get(event.engine)
         if engine is not None and event.outcome is api.Outcome.OK:
             self.reports.record(engine, event.load_report)
         elif engine is not None and event.outcome is not api.Outcome.REJECTED:
--- a/saffronlane/policy/scheduling/concurrency_limit.py
+++ b/saffronlane/policy/scheduling/concurrency_limit.py
@@ -5,35 +5,53 @@
 from ...state import Engine, InFlightWork, Request, clamp
 from ..estimation.load_reports import LoadReports
 
-SHARE_THREADS_PER_CORE = 1.3  # share under full pressure, over the gateway count; below any knee
-SHARE_CHANCE = 1.5  # the share's slack in standard deviations: of few queries some are out together by chance
-PRESSED, RELAXED = 4.0, 2.5  # latency over the best: pressure, queries wait; and the limit grows again
-PRESSED_THREADS = 2.0  # threads a core that engines report, read as PRESSED; the design's value for full
-SHRINK, SHRINK_GAP, GROW = 0.85, 0.3, 0.5  # factor of a cut, seconds between cuts, threads of growth
-CROWD_STEP = 0.2  # weight of one answer in the crowd that is felt
+FAIR_SHARE_THREADS_PER_CORE = 1.3  # share under full pressure, over the gateway count; below any knee
+FAIR_SHARE_DEVIATIONS = (
+    1.5  # the share's slack in standard deviations: of few queries some are out together by chance
+)
+CONGESTED_INFLATION, RECOVERED_INFLATION = (
+    4.0,
+    2.5,
+)  # latency over the best: pressure, queries wait; and the limit grows again
+CONGESTED_THREADS_PER_CORE = (
+    2.0  # threads a core that engines report, read as PRESSED; the design's value for full
+)
+LIMIT_DECREASE_FACTOR, MIN_DECREASE_INTERVAL, LIMIT_INCREASE = (
+    0.85,
+    0.3,
+    0.5,
+)  # factor of a cut, seconds between cuts, threads of growth
+INFLATION_SMOOTHING = 0.2  # weight of one answer in the crowd that is felt
 
 
 class AdaptiveConcurrencyLimit:
     def __init__(self, own: InFlightWork, reports: LoadReports) -> None:
-        self.own, self.reports, self.batch, self.fleet = own, reports, reports.batch, reports.fleet
+        self.own, self.reports, self.batch, self.fleet = (
+            own,
+            reports,
+            reports.step_context,
+            reports.engine_registry,
+        )
         self.latency_inflation = 1.0  # smoothed latency over the best, over all engines
         self.limit, self.last_cut = math.inf, -math.inf  # own threads allowed; under pressure, the share
         self.is_blocked = False  # the last release found no room for a query
 
     def admits(self, job: Request) -> bool:  # to half a query; none counts longer ones: a lane for the short
-        learned = self.reports.classes.estimators
+        learned = self.reports.workload_estimates.estimators
         own, out = learned[job.class_index].exec_time(), zip(self.own.threads_by_class, learned, strict=True)
         threads = sum(threads for threads, known in out if threads and known.exec_time() <= own)
         return not threads or threads + job.class_settings.threads / 2.0 <= self.limit
 
     def threads_per_core(self) -> float:
         """Past which heavy queries wait: the design's value while answers are quick, the share once not."""
-        quick = clamp(RELAXED - self.latency_inflation, 0.0, 1.0)
-        return SHARE_THREADS_PER_CORE + quick * (PRESSED_THREADS - SHARE_THREADS_PER_CORE)
+        quick = clamp(RECOVERED_INFLATION - self.latency_inflation, 0.0, 1.0)
+        return FAIR_SHARE_THREADS_PER_CORE + quick * (
+            CONGESTED_THREADS_PER_CORE - FAIR_SHARE_THREADS_PER_CORE
+        )
 
     def record_response(self, engine: Engine, crowd: float, threads: float) -> None:
         """By the threads a core told with it, else by how late it was; a cold engine is slow, not crowded."""
-        crowd = threads * PRESSED / PRESSED_THREADS if threads else crowd
+        crowd = threads * CONGESTED_INFLATION / CONGESTED_THREADS_PER_CORE if threads else crowd
         self.record_latency_inflation(
             crowd * engine.effective_cores(self.batch.now, self.batch.guarantees) / engine.cores
         )
@@ -41,13 +59,17 @@
     def record_latency_inflation(self, crowd: float) -> None:
         """One limit over all engines falls towards the share while answers are late, and grows after."""
         now, threads = self.batch.now, self.own.threads
-        self.latency_inflation += CROWD_STEP * (min(crowd, PRESSED * 2.0) - self.latency_inflation)
-        if self.latency_inflation > PRESSED and now >= self.last_cut + SHRINK_GAP:
+        self.latency_inflation += INFLATION_SMOOTHING * (
+            min(crowd, CONGESTED_INFLATION * 2.0) - self.latency_inflation
+        )
+        if self.latency_inflation > CONGESTED_INFLATION and now >= self.last_cut + MIN_DECREASE_INTERVAL:
             part = (
-                self.fleet.ready_cores * SHARE_THREADS_PER_CORE / self.batch.settings.gateway_count
+                self.fleet.ready_cores * FAIR_SHARE_THREADS_PER_CORE / self.batch.settings.gateway_count
             )  # run well
-            floor = part + SHARE_CHANCE * math.sqrt(part) if self.reports.column is None else 1.0
-            self.limit = max(floor, min(self.limit, threads + 1.0) * SHRINK)
+            floor = (
+                part + FAIR_SHARE_DEVIATIONS * math.sqrt(part) if self.reports.active_column is None else 1.0
+            )
+            self.limit = max(floor, min(self.limit, threads + 1.0) * LIMIT_DECREASE_FACTOR)
             self.last_cut = now
-        elif self.latency_inflation < RELAXED and threads >= self.limit / 2.0:
-            self.limit += GROW
+        elif self.latency_inflation < RECOVERED_INFLATION and threads >= self.limit / 2.0:
+            self.limit += LIMIT_INCREASE
--- a/saffronlane/policy/scheduling/group_edf.py
+++ b/saffronlane/policy/scheduling/group_edf.py
@@ -5,11 +5,15 @@
 from ...state import Request
 from ..estimation.run_time_estimator import SEED_ANSWERS
 from ..execution.attempts import AttemptManager
-from ..execution.completion import END_MARGIN
+from ..execution.completion import EXPIRY_MARGIN
 
-GROUP_RANGE = 0.4  # Gr: how far past the earliest deadline a group reaches, in spans; the paper's value
-LATE_WORTH = 0.4  # while engines are full the aim is the limit of classes whose late answers earn less
-LAPSE_GAP = 0.05  # seconds between looks for lapsed queries; every batch would cost too much when many wait
+GROUP_RANGE_RATIO = 0.4  # Gr: how far past the earliest deadline a group reaches, in spans; the paper's value
+MIN_LATE_PRIORITY_WEIGHT = (
+    0.4  # while engines are full the aim is the limit of classes whose late answers earn less
+)
+EXPIRY_CHECK_INTERVAL = (
+    0.05  # seconds between looks for lapsed queries; every batch would cost too much when many wait
+)
 
 
 class GroupEdfScheduler:
@@ -18,15 +22,15 @@
         self.placement, self.pressure = attempts.placement, attempts.placement.concurrency_limit
         self.next_lapse = -math.inf
 
-    def lapsed(self, job: Request) -> bool:
+    def is_expired(self, job: Request) -> bool:
         """The design's refusal: now + ExecTime passes the query's, the class's or the client's limit."""
         known, blocked = self.answers.classes.estimators[job.class_index], self.pressure.is_blocked
         limit = (
-            min(job.deadline, job.expires_at - END_MARGIN)
+            min(job.deadline, job.expires_at - EXPIRY_MARGIN)
             if not (blocked and job.is_over_quota)
             else -math.inf
         )
-        if blocked and job.class_settings.late_priority_weight < LATE_WORTH:
+        if blocked and job.class_settings.late_priority_weight < MIN_LATE_PRIORITY_WEIGHT:
             stretch = (
                 job.class_settings.latency_objective_per_work
                 * known.work(job.estimated_cost)
@@ -43,8 +47,8 @@
         """Group EDF over the held queries, until none can be placed."""
         now, owed, permits = self.batch.now, self.answers.pending, self.answers.retry_policy
         if now >= self.next_lapse:
-            self.next_lapse = now + LAPSE_GAP
-            for job in [j for j in owed.queued.values() if permits.is_exhausted(j) or self.lapsed(j)]:
+            self.next_lapse = now + EXPIRY_CHECK_INTERVAL
+            for job in [j for j in owed.queued.values() if permits.is_exhausted(j) or self.is_expired(j)]:
                 if job.in_flight_count:  # a second copy that finds no room: the first may still answer
                     del owed.queued[job.id]
                 else:
@@ -57,7 +61,7 @@
         waiting.sort(key=lambda j: (j.is_over_quota, j.deadline, j.id))
         while waiting:
             first = waiting[0]
-            end = first.deadline + GROUP_RANGE * (first.deadline - first.arrived_at)
+            end = first.deadline + GROUP_RANGE_RATIO * (first.deadline - first.arrived_at)
             group = [j for j in waiting if j.is_over_quota == first.is_over_quota and j.deadline <= end]
             job = min(group, key=lambda j: (self.answers.classes.exec_time(j), j.deadline, j.id))
             waiting.remove(job)
@@ -71,4 +75,4 @@
                     if j.class_index != job.class_index or (job.attempts and not j.attempts)
                 ]
             elif permits.can_retry(job):  # its key may have closed since the look for lapsed ones
-                self.attempts.send(job, engine)
+                self.attempts.start(job, engine)
--- a/saffronlane/policy/scheduling/retry_budget.py
+++ b/saffronlane/policy/scheduling/retry_budget.py
@@ -3,7 +3,7 @@
 from ...interface import Idempotency
 from ...state import Request, RetryBudgetWindow, StepContext
 
-TTL_MARGIN = 0.25  # least seconds before a key's time ends: what leaves must arrive
+MIN_TTL_MARGIN = 0.25  # least seconds before a key's time ends: what leaves must arrive
 
 
 class RetryPolicy:
@@ -34,7 +34,7 @@
         """Rule 2: whether the request may go out again, as far as its earlier attempts are concerned."""
         first, arrives = (
             job.first_possible_execution(),
-            self.batch.now + max(TTL_MARGIN, self.slack),
+            self.batch.now + max(MIN_TTL_MARGIN, self.slack),
         )  # once connected
         if first is None or job.class_settings.idempotency is Idempotency.SAFE:
             return True
--- a/tests/node/test_ends.py
+++ b/tests/node/test_ends.py
@@ -21,7 +21,7 @@
 
 from saffronlane.platform.errors import Spoilt
 from saffronlane.platform.upstream import attempt as sending_module
-from saffronlane.policy.gateway import GONE_MOST
+from saffronlane.policy.gateway import MAX_REMOVED_ENGINES
 
 from .support import RID, own_process, play, rid
 
@@ -34,7 +34,7 @@
         await built.until(lambda: feed.writers)
         number, name = 1, "node-0"
         port = built.computes[0].port
-        for turn in range(GONE_MOST + 20):
+        for turn in range(MAX_REMOVED_ENGINES + 20):
             client = await built.client()
             assert (await client.answer(client.call("ask", rid(turn))))[0] is None
             client.close()
@@ -47,7 +47,7 @@
         node = built.node
         assert len(node.fleet) == len(node.dispatcher._engines) == 1
         assert len(node.links.by_node) <= 1
-        assert len(gateway.fleet.engines) == len(gateway.fleet.engine_by_digest) <= GONE_MOST + 1
+        assert len(gateway.fleet.engines) == len(gateway.fleet.engine_by_digest) <= MAX_REMOVED_ENGINES + 1
         assert len(gateway.engine_selector.eligibility.rendezvous_order.cached_orders) <= 2
 
     play(work)
--- a/tests/test_many_gateways.py
+++ b/tests/test_many_gateways.py
@@ -15,8 +15,8 @@
 from saffronlane import policy
 from saffronlane.interface import EndpointListMode, EngineState, Outcome, ProgressKind
 from saffronlane.policy.estimation.run_time_estimator import SEED_ANSWERS
-from saffronlane.policy.estimation.workload_estimates import HEAVY
-from saffronlane.policy.routing.eligibility import FULL_MEMORY
+from saffronlane.policy.estimation.workload_estimates import HEAVY_WORK_RATIO
+from saffronlane.policy.routing.eligibility import REJECTION_COOLDOWN
 
 GATEWAYS, ENGINES, WORK, WINDOW = 200, 40, 0.3, 1.5
 COLD = api.Guarantees(
@@ -143,7 +143,7 @@
     driver = many(1)[0]
     dead = list(driver.gateway.fleet.engines.values())[:15]
     for engine in dead:
-        driver.gateway.outlier_detector.condemn(engine, "failing")
+        driver.gateway.outlier_detector.eject(engine, "failing")
     trials = 0
     for i in range(100):
         driver.now += 0.5
@@ -213,7 +213,7 @@
     assert driver.sends(driver.ask(cls=1)) and len(driver.of_kind(api.SendGossip)) == 1
     known = driver.gateway.workload_estimates.estimators[1]
     known.work_total = known.uncontended_work_total = (
-        HEAVY * 1.01 * driver.gateway.workload_estimates.mean_query()[0] * SEED_ANSWERS
+        HEAVY_WORK_RATIO * 1.01 * driver.gateway.workload_estimates.mean_query()[0] * SEED_ANSWERS
     )
     assert driver.gateway.workload_estimates.is_heavy(driver.gateway.pending.requests[driver.next_request])
     assert (
@@ -253,7 +253,7 @@
         driver.step(api.PeerMessage(0, told[0].data))
         assert driver.sends(driver.ask(table_group=4.0))[0].engine != full
         until.add(driver.gateway.fleet.engines[full].last_rejection_at)
-        driver.now += 2.0 * FULL_MEMORY + 0.01
+        driver.now += 2.0 * REJECTION_COOLDOWN + 0.01
         assert full in {driver.sends(driver.ask(table_group=4.0))[0].engine for _ in range(4)}
     assert len(until) == 2
     second = drivers[0].ask(table_group=4.0)
--- a/tests/test_missing_signals.py
+++ b/tests/test_missing_signals.py
@@ -9,7 +9,7 @@
 from saffronlane import interface as api
 from saffronlane.interface import Outcome
 from saffronlane.policy.routing.engine_selection import EngineSelector
-from saffronlane.policy.scheduling.concurrency_limit import PRESSED
+from saffronlane.policy.scheduling.concurrency_limit import CONGESTED_INFLATION
 
 REPORTING = {"report_columns": ("cpu", "active")}
 
@@ -24,7 +24,7 @@
     for _ in range(40):
         answer(driver, elapsed=3.0, active=40.0)
         driver.now += 0.1
-    assert driver.gateway.concurrency_limit.latency_inflation > PRESSED
+    assert driver.gateway.concurrency_limit.latency_inflation > CONGESTED_INFLATION
     sent = len(driver.sends())
     driver.step(*(driver.arrival(remaining=5.0) for _ in range(100)))
     assert 0 < len(driver.sends()) - sent < 50
@@ -35,7 +35,7 @@
     for _ in range(40):
         answer(driver, elapsed=3.0, active=4.0)
         driver.now += 0.1
-    assert driver.gateway.concurrency_limit.latency_inflation < PRESSED / 2.0
+    assert driver.gateway.concurrency_limit.latency_inflation < CONGESTED_INFLATION / 2.0
 
 
 def test_exec_time_is_capped_against_calm_time_though_all_answers_are_late() -> None:
--- a/tests/test_rules_kept.py
+++ b/tests/test_rules_kept.py
@@ -281,7 +281,7 @@
 def test_unsafe_load_is_never_the_trial_of_a_doubtful_engine() -> None:
     classes = (LOOKUP, replace(LOOKUP, idempotency=Idempotency.UNSAFE))
     driver = Driver(make_settings(classes=classes), engines=3)
-    driver.gateway.outlier_detector.condemn(driver.gateway.fleet.engines[engine_id(0)], "failing")
+    driver.gateway.outlier_detector.eject(driver.gateway.fleet.engines[engine_id(0)], "failing")
     used: dict[int, set[bytes]] = {0: set(), 1: set()}
     for i in range(60):
         driver.now += 1.0
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -10,7 +10,7 @@
 
 from saffronlane import interface as api
 from saffronlane.interface import EndpointListMode, EngineState, Outcome, ProgressKind
-from saffronlane.policy.scheduling.concurrency_limit import PRESSED
+from saffronlane.policy.scheduling.concurrency_limit import CONGESTED_INFLATION
 
 LOAD = replace(REPORT, name="load", threads=2, is_bulk_load=True)
 NOTED = {"progress_interval": 1.0}
@@ -70,7 +70,7 @@
 
 def test_no_verdict_binds_when_most_engines_look_ill(driver: Driver) -> None:
     for engine in list(driver.gateway.fleet.engines.values())[:3]:
-        driver.gateway.outlier_detector.condemn(engine, "failing")
+        driver.gateway.outlier_detector.eject(engine, "failing")
     driver.gateway.outlier_detector.update_panic_mode()
     used = {driver.sends(driver.ask(table_group=float(i)))[0].engine for i in range(12)}
     assert len(used) > 1
@@ -88,7 +88,7 @@
         engine = driver.sends(other)[0].engine
         driver.step(api.ProgressReport(other, 0, engine, ProgressKind.PROGRESS, 0.9))
     assert silent.is_ejected and driver.of_kind(api.Cancel, request)
-    driver.gateway.outlier_detector.ended(late, Outcome.OK)
+    driver.gateway.outlier_detector.record_outcome(late, Outcome.OK)
     assert not silent.is_ejected
 
 
@@ -157,7 +157,7 @@
         driver.end(driver.ask(), Outcome.OK, work=0.1, elapsed=0.1)
     for _ in range(150):
         driver.end(driver.ask(), Outcome.OK, work=0.1, elapsed=0.6)
-    assert driver.gateway.concurrency_limit.latency_inflation > PRESSED
+    assert driver.gateway.concurrency_limit.latency_inflation > CONGESTED_INFLATION
 
 
 def test_engine_back_with_its_old_start_time_counts_as_cold() -> None:
@@ -203,7 +203,7 @@
     for _ in range(20):
         driver.end(driver.ask(), Outcome.OK, work=0.1, elapsed=0.1)
     bad = driver.gateway.engine_selector.eligibility.rendezvous_order(0.0)[0]
-    driver.gateway.outlier_detector.condemn(bad, "failing")
+    driver.gateway.outlier_detector.eject(bad, "failing")
     driver.now += 5.0
     assert driver.sends(driver.ask(cls=0, table_group=0.0))[0].engine != bad.id
     assert driver.sends(driver.ask(cls=1, table_group=0.0))[0].engine == bad.id
@@ -239,7 +239,7 @@
         driver.end(driver.ask(), api.Outcome.OK, elapsed=0.5, work=0.05)
     assert (
         driver.gateway.workload_estimates.estimators[0].baseline_inflation < 1.5
-        and driver.gateway.concurrency_limit.latency_inflation > PRESSED
+        and driver.gateway.concurrency_limit.latency_inflation > CONGESTED_INFLATION
     )
 
 
@@ -258,7 +258,7 @@
         request = driver.ask()
         if driver.sends(request):
             driver.end(request, api.Outcome.OK, elapsed=0.2, work=0.05)  # a quarter of its speed
-    assert driver.sends() and driver.gateway.concurrency_limit.latency_inflation < PRESSED / 2.0
+    assert driver.sends() and driver.gateway.concurrency_limit.latency_inflation < CONGESTED_INFLATION / 2.0
 
 
 def test_a_cold_engine_goes_first_only_while_it_is_not_loaded_beyond_its_part():
