--- a/saffronlane/policy/execution/completion.py
+++ b/saffronlane/policy/execution/completion.py
@@ -14,19 +14,19 @@
 
 class RequestCompletion:
     def __init__(self, batch: StepContext, fleet: EngineRegistry, classes: WorkloadEstimates) -> None:
-        self.batch, self.fleet, self.classes = batch, fleet, classes
+        self.step_context, self.engine_registry, self.workload_estimates = batch, fleet, classes
         self.retry_policy, self.pending = RetryPolicy(batch), PendingRequests()
         self.queued_thread_seconds: float | None = (
             None  # thread seconds held, summed once a batch: refusals are many
         )
 
     def deadline(self, job: Request) -> float:
-        return self.batch.now + DEADLINE_EXEC_TIMES * self.classes.exec_time(job)
+        return self.step_context.now + DEADLINE_EXEC_TIMES * self.workload_estimates.exec_time(job)
 
     def add_pending(self, job: Request) -> None:
         job.deadline = self.deadline(job)
         self.pending.add(job)
-        self.batch.schedule(job.expires_at - EXPIRY_MARGIN, job)
+        self.step_context.schedule(job.expires_at - EXPIRY_MARGIN, job)
 
     def finish(self, job: Request, answer: bool = True) -> None:
         """End a request at once: refused where the rules let the client try again, failed otherwise."""
@@ -41,7 +41,7 @@
                 and job.class_settings.deduplication_scope is not DeduplicationScope.ALL
             )
             refused = self.retry_policy.is_retry_safe(job) and not (alone and job.first_possible_execution())
-            self.batch.emit(api.Reject(job.id, self.retry_after(job)) if refused else api.Fail(job.id))
+            self.step_context.emit(api.Reject(job.id, self.retry_after(job)) if refused else api.Fail(job.id))
         for attempt in job.attempts:
             if attempt.outcome is None:
                 self.cancel(attempt)
@@ -49,23 +49,31 @@
 
     def dequeue(self, job: Request) -> None:
         if self.pending.queued.pop(job.id, None) and self.queued_thread_seconds is not None:
-            self.queued_thread_seconds -= self.classes.exec_time(job) * job.class_settings.threads
+            self.queued_thread_seconds -= self.workload_estimates.exec_time(job) * job.class_settings.threads
 
     def retry_after(self, job: Request) -> float:
         """The time in which the work held here would drain, within what clients honour; 0 where none do."""
-        exec_time, limits, cores = self.classes.exec_time, self.batch.limits, self.fleet.ready_cores
+        exec_time, limits, cores = (
+            self.workload_estimates.exec_time,
+            self.step_context.limits,
+            self.engine_registry.ready_cores,
+        )
         if self.queued_thread_seconds is None:
             self.queued_thread_seconds = sum(
                 exec_time(j) * j.class_settings.threads for j in self.pending.queued.values()
             )
         wait = (
-            max(0.0, self.queued_thread_seconds) * self.batch.settings.gateway_count / cores
+            max(0.0, self.queued_thread_seconds) * self.step_context.settings.gateway_count / cores
             if cores
             else math.inf
         )
         return min(limits.max_retry_after if limits.sends_retry_after else 0.0, max(wait, exec_time(job)))
 
     def cancel(self, attempt: Attempt) -> None:
-        if self.batch.limits.can_cancel and not attempt.is_cancelled and not attempt.request.is_streaming:
+        if (
+            self.step_context.limits.can_cancel
+            and not attempt.is_cancelled
+            and not attempt.request.is_streaming
+        ):
             attempt.is_cancelled = True
-            self.batch.emit(api.Cancel(attempt.request.id, attempt.index))
+            self.step_context.emit(api.Cancel(attempt.request.id, attempt.index))
--- a/saffronlane/policy/gateway.py
+++ b/saffronlane/policy/gateway.py
@@ -76,7 +76,7 @@
             api.StreamStarted: self._on_stream_started,
             api.ClientDisconnected: self._on_client_disconnected,
             api.TimerFired: self._on_timer,
-            api.ProbeResult: arrivals.on_probe,
+            api.ProbeResult: arrivals.on_probe_result,
             api.Shutdown: self._on_shutdown,
         }
         self.is_subscribed, self.next_subscribe_at, self.next_maintenance_at = False, -math.inf, -math.inf
--- a/saffronlane/policy/gossip/load_gossip.py
+++ b/saffronlane/policy/gossip/load_gossip.py
@@ -15,21 +15,25 @@
 
 class LoadGossip:
     def __init__(self, batch: StepContext, fleet: EngineRegistry, classes: WorkloadEstimates) -> None:
-        self.batch, self.fleet, self.classes = batch, fleet, classes
-        self.peer_load, self.number = PeerLoadTable(), 0
+        self.step_context, self.engine_registry, self.workload_estimates = batch, fleet, classes
+        self.peer_load, self.last_gossip_number = PeerLoadTable(), 0
 
     def broadcast(self, message: messages.GossipMessage) -> None:
-        self.batch.emit(api.SendGossip(None, messages.encode(message)))
+        self.step_context.emit(api.SendGossip(None, messages.encode(message)))
 
     def on_attempt_started(self, attempt: Attempt) -> None:
-        job, classes, work = attempt.request, self.classes, self.classes.work(attempt.request)
+        job, classes, work = (
+            attempt.request,
+            self.workload_estimates,
+            self.workload_estimates.work(attempt.request),
+        )
         bar = len(self.peer_load.entries) / BUSY_PEER_ATTEMPTS * HEAVY_WORK_RATIO * classes.mean_query()[0]
         if (
-            self.batch.limits.gossip
+            self.step_context.limits.gossip
             and classes.is_heavy(job)
             and (work >= bar or job.class_settings.is_bulk_load)
         ):
-            self.number = attempt.gossip_number = (self.number + 1) % 256
+            self.last_gossip_number = attempt.gossip_number = (self.last_gossip_number + 1) % 256
             self.report_attempt(
                 attempt,
                 REPORT_LIFETIME_RATIO
@@ -51,12 +55,12 @@
             engine.id,
         )
         self.broadcast(messages.start_message(*what))
-        self.batch.schedule(self.batch.now + span, GossipExpiry(attempt))
+        self.step_context.schedule(self.step_context.now + span, GossipExpiry(attempt))
 
     def renew_report(self, attempt: Attempt) -> None:
         """Still out: told again, for twice as long. Guards against engines that look empty while they jam."""
         if attempt.outcome is None:
-            self.report_attempt(attempt, 2.0 * (self.batch.now - attempt.sent_at))
+            self.report_attempt(attempt, 2.0 * (self.step_context.now - attempt.sent_at))
 
     def on_attempt_ended(self, attempt: Attempt) -> None:
         if attempt.gossip_number is not None:
@@ -64,7 +68,10 @@
 
     def report_rejection(self, engine: Engine) -> None:
         """Spare the others a rejection each. Guards against herds of all at an engine that is full."""
-        if self.batch.limits.gossip and engine.last_rejection_at <= self.batch.now - REJECTION_COOLDOWN / 2.0:
+        if (
+            self.step_context.limits.gossip
+            and engine.last_rejection_at <= self.step_context.now - REJECTION_COOLDOWN / 2.0
+        ):
             self.broadcast(
                 messages.GossipMessage(
                     0, duration=REJECTION_COOLDOWN, engine_digest=messages.engine_digest(engine.id)
@@ -72,10 +79,10 @@
             )
 
     def on_peer_message(self, event: api.PeerMessage) -> None:
-        batch, message, sender = self.batch, messages.decode(event.data), event.sender
+        batch, message, sender = self.step_context, messages.decode(event.data), event.sender
         if message is None or not 0 <= sender < MAX_SENDERS_RATIO * batch.settings.gateway_count:
             return
-        engine = self.fleet.engine_by_digest.get(message.engine_digest)
+        engine = self.engine_registry.engine_by_digest.get(message.engine_digest)
         if message.reports_full:
             if engine is not None:  # all come back, each at a time of its own
                 engine.last_rejection_at = max(
--- a/saffronlane/policy/health/outlier_detection.py
+++ b/saffronlane/policy/health/outlier_detection.py
@@ -37,7 +37,7 @@
 
 class OutlierDetector:
     def __init__(self, batch: StepContext, fleet: EngineRegistry, classes: WorkloadEstimates) -> None:
-        self.batch, self.fleet, self.classes = batch, fleet, classes
+        self.step_context, self.engine_registry, self.workload_estimates = batch, fleet, classes
         safe = [i for i, cls in enumerate(batch.settings.classes) if cls.idempotency is Idempotency.SAFE]
         self.probe_request_classes = safe or list(range(len(batch.settings.classes)))  # may try an ill engine
         self.probe_request_credit, self.is_panic_mode = MAX_PROBE_REQUEST_CREDIT, False
@@ -48,12 +48,12 @@
             return True
         if (
             engine.in_flight
-            or self.batch.now < engine.next_probe_request_at
+            or self.step_context.now < engine.next_probe_request_at
             or job.class_index not in self.probe_request_classes
         ):
             return False
-        learned = self.classes.estimators
-        short = self.classes.exec_time(job) <= 2.0 * min(
+        learned = self.workload_estimates.estimators
+        short = self.workload_estimates.exec_time(job) <= 2.0 * min(
             learned[i].exec_time() for i in self.probe_request_classes
         )
         return short and self.probe_request_credit >= 1.0 and not job.attempts
@@ -68,7 +68,7 @@
 
     def record_outcome(self, attempt: Attempt, outcome: Outcome) -> None:
         """Keep the engine's failure share; condemn and acquit with hysteresis."""
-        now, engine, sent = self.batch.now, attempt.engine, attempt.sent_at
+        now, engine, sent = self.step_context.now, attempt.engine, attempt.sent_at
         if (
             outcome is Outcome.OK
             and sent < max(engine.connection_lost_at, engine.inferred_restart_at) < now - LATE_RESPONSE_MARGIN
@@ -95,7 +95,7 @@
                 False,
                 MIN_PROBE_REQUEST_INTERVAL,
             )
-            self.batch.emit(api.Log(f"engine {engine.id.hex()} answers again, back in use"))
+            self.step_context.emit(api.Log(f"engine {engine.id.hex()} answers again, back in use"))
             self.update_panic_mode()
         elif engine.is_ejected and outcome not in (Outcome.OK, Outcome.CANCELLED, Outcome.NOT_SENT):
             engine.probe_request_interval = min(
@@ -125,27 +125,27 @@
 
     def update_failure_ratio(self, engine: Engine, least: float, failed: float) -> None:
         """An outcome weighs more the longer nothing was known: one of many gateways hears seldom."""
-        fresh = 1.0 - math.exp(max(engine.last_outcome_at - self.batch.now, -1e3) / FAIL_MEMORY)
+        fresh = 1.0 - math.exp(max(engine.last_outcome_at - self.step_context.now, -1e3) / FAIL_MEMORY)
         engine.failure_ratio += max(least, fresh) * (failed - engine.failure_ratio)
-        engine.last_outcome_at = self.batch.now
+        engine.last_outcome_at = self.step_context.now
 
     def eject(self, engine: Engine, why: str) -> None:
         engine.is_ejected, engine.failure_ratio, engine.is_unresponsive = True, 1.0, why == "silent"
         engine.probe_request_interval = MIN_PROBE_REQUEST_INTERVAL
         self.schedule_probe_request(engine)
-        self.batch.emit(api.Log(f"engine {engine.id.hex()} {why}, left alone but for trials"))
+        self.step_context.emit(api.Log(f"engine {engine.id.hex()} {why}, left alone but for trials"))
         self.update_panic_mode()
 
     def schedule_probe_request(self, engine: Engine) -> None:
         engine.next_probe_request_at = (
-            self.batch.now + engine.probe_request_interval * self.batch.random.uniform(0.8, 1.2)
+            self.step_context.now + engine.probe_request_interval * self.step_context.random.uniform(0.8, 1.2)
         )
 
     def update_panic_mode(self) -> None:
-        before, ready = self.is_panic_mode, self.fleet.ready
+        before, ready = self.is_panic_mode, self.engine_registry.ready
         self.is_panic_mode = sum(
             e.is_ejected and not e.is_unresponsive for e in ready
         ) > PANIC_THRESHOLD * len(ready)
         if self.is_panic_mode != before:
             text = "most engines look ill, verdicts ignored" if self.is_panic_mode else "verdicts hold again"
-            self.batch.emit(api.Log(text))
+            self.step_context.emit(api.Log(text))
--- a/saffronlane/policy/routing/eligibility.py
+++ b/saffronlane/policy/routing/eligibility.py
@@ -20,8 +20,13 @@
     def __init__(
         self, classes: WorkloadEstimates, health: OutlierDetector, pressure: AdaptiveConcurrencyLimit
     ) -> None:
-        self.batch, self.classes, self.health, self.pressure = health.batch, classes, health, pressure
-        self.rendezvous_order = RendezvousOrder(health.batch, health.fleet)
+        self.step_context, self.workload_estimates, self.outlier_detector, self.concurrency_limit = (
+            health.step_context,
+            classes,
+            health,
+            pressure,
+        )
+        self.rendezvous_order = RendezvousOrder(health.step_context, health.engine_registry)
 
     def is_allowed(self, engine: Engine, job: Request) -> bool:
         """Rules 2 and 6: where this request may go at all."""
@@ -40,12 +45,13 @@
 
     def has_capacity(self, engine: Engine, job: Request, heavy: bool, need: float) -> bool:
         """Whether the engine has room; past its memory a query spills and does its work several times."""
-        told, batch = self.batch.limits.gossip, self.batch
+        told, batch = self.step_context.limits.gossip, self.step_context
         if told and heavy:
             threads = engine.in_flight_threads + engine.peer_threads + job.class_settings.threads / 2.0
             if (
                 threads
-                > engine.effective_cores(batch.now, batch.guarantees) * self.pressure.threads_per_core()
+                > engine.effective_cores(batch.now, batch.guarantees)
+                * self.concurrency_limit.max_threads_per_core()
             ):
                 return False
         if engine.memory_mb and (told or engine.in_flight_memory_mb):  # untold, a part of the memory is ours
@@ -57,7 +63,7 @@
                 min(need, room / 2.0) if told else need
             ) > room - engine.in_flight_memory_mb - engine.peer_memory_mb:
                 return False
-        return has_slow_start_capacity(batch, self.classes, engine, job)
+        return has_slow_start_capacity(batch, self.workload_estimates, engine, job)
 
     def eligible_engines(
         self, job: Request, strict: bool, among: list[Engine] | None = None
@@ -66,14 +72,14 @@
         # Loads have a hash order of our own: a second one of a group would stand still.
         apart, salt = (
             job.class_settings.is_bulk_load or job.class_settings.waits_for_bulk_loads,
-            self.batch.settings.gateway_index + 1,
+            self.step_context.settings.gateway_index + 1,
         )
-        heavy, need = self.classes.is_heavy(job), self.classes.resource_grant(job)[0]
+        heavy, need = self.workload_estimates.is_heavy(job), self.workload_estimates.resource_grant(job)[0]
         for engine in among or self.rendezvous_order(
             job.table_group, salt if job.class_settings.is_bulk_load else 0
         ):
             if strict and (
-                engine.last_rejection_at > self.batch.now - REJECTION_COOLDOWN
+                engine.last_rejection_at > self.step_context.now - REJECTION_COOLDOWN
                 or engine.id in job.failed_engines
             ):
                 continue
@@ -81,6 +87,6 @@
                 continue
             if any(a.engine is engine and a.outcome is None for a in job.attempts):
                 continue
-            able = self.is_allowed(engine, job) and self.health.admits(engine, job)
+            able = self.is_allowed(engine, job) and self.outlier_detector.admits(engine, job)
             if able and self.has_capacity(engine, job, heavy, need):
                 yield engine
--- a/saffronlane/policy/routing/engine_selection.py
+++ b/saffronlane/policy/routing/engine_selection.py
@@ -16,30 +16,33 @@
 
 class EngineSelector:
     def __init__(self, reports: LoadReports, health: OutlierDetector, told: PeerLoadTable) -> None:
-        self.load_reports, self.batch, self.fleet, self.peer_load = (
+        self.load_reports, self.step_context, self.engine_registry, self.peer_load = (
             reports,
             reports.step_context,
             reports.engine_registry,
             told,
         )
-        self.in_flight = InFlightWork(len(self.batch.settings.classes))
+        self.in_flight = InFlightWork(len(self.step_context.settings.classes))
         self.concurrency_limit = AdaptiveConcurrencyLimit(self.in_flight, reports)
         self.eligibility = EngineEligibility(reports.workload_estimates, health, self.concurrency_limit)
 
     def load(self, engine: Engine) -> float:
         """Threads per core: own ones that are out or were lately kept busy, others' as told or reported."""
-        own = engine.in_flight_threads + engine.recent_work.read(self.batch.now, RECENT_WORK_HORIZON)
+        own = engine.in_flight_threads + engine.recent_work.read(self.step_context.now, RECENT_WORK_HORIZON)
         load = own + engine.peer_threads + self.load_reports.threads_per_core(engine) * engine.cores
-        load /= engine.effective_cores(self.batch.now, self.batch.guarantees)
-        away = self.eligibility.rendezvous_order.crossing_costs and engine.zone != self.batch.settings.zone
+        load /= engine.effective_cores(self.step_context.now, self.step_context.guarantees)
+        away = (
+            self.eligibility.rendezvous_order.crossing_costs
+            and engine.zone != self.step_context.settings.zone
+        )
         return load * OVERLOAD_FACTOR if away else load
 
     def select(self, job: Request) -> Engine | None:
         """The less loaded of the first two in hash order, moving on past SPILL; None: all are full."""
         now, rules, fleet, usable = (
-            self.batch.now,
-            self.batch.guarantees,
-            self.fleet,
+            self.step_context.now,
+            self.step_context.guarantees,
+            self.engine_registry,
             self.eligibility.eligible_engines,
         )
         if not fleet.ready_cores or not self.concurrency_limit.admits(job):
@@ -49,7 +52,7 @@
             self.in_flight.recent_work.read(now, RECENT_WORK_HORIZON),
         )
         apart = (
-            self.batch.settings.gateway_index + 1
+            self.step_context.settings.gateway_index + 1
         )  # turns are short; in one order, all would crowd its first
         for engine in (
             self.eligibility.rendezvous_order(job.table_group, apart) if now < fleet.warmups_end_at else ()
@@ -62,7 +65,7 @@
                 spare = engine.in_flight_threads + engine.peer_threads <= room  # else it would jam
                 if spare and next(usable(job, True, [engine]), None):
                     return engine
-        query = self.eligibility.classes.work(job) / RECENT_WORK_HORIZON
+        query = self.eligibility.workload_estimates.work(job) / RECENT_WORK_HORIZON
         for strict in (True, False):
             last = least = None
             for engine in usable(job, strict):
--- a/saffronlane/policy/routing/rendezvous.py
+++ b/saffronlane/policy/routing/rendezvous.py
@@ -13,7 +13,7 @@
 
 class RendezvousOrder:
     def __init__(self, batch: StepContext, fleet: EngineRegistry) -> None:
-        self.batch, self.fleet = batch, fleet
+        self.step_context, self.engine_registry = batch, fleet
         self.cached_orders: dict[tuple[float, int], list[Engine]] = {}  # of ready engines
         self.crossing_costs = batch.settings.cross_zone_price >= MIN_CROSS_ZONE_PRICE
 
@@ -21,10 +21,12 @@
         order = self.cached_orders.get((tables, salt))
         if order is None:
             name = repr((float(tables), salt)).encode()
-            order = sorted(self.fleet.ready, key=lambda e: blake2b(name + e.id, digest_size=8).digest())
+            order = sorted(
+                self.engine_registry.ready, key=lambda e: blake2b(name + e.id, digest_size=8).digest()
+            )
             if self.crossing_costs:  # of the first few, those of the own zone lead
                 order[:HOME_ENGINES] = sorted(
-                    order[:HOME_ENGINES], key=lambda e: e.zone != self.batch.settings.zone
+                    order[:HOME_ENGINES], key=lambda e: e.zone != self.step_context.settings.zone
                 )
             if len(self.cached_orders) >= MAX_CACHED_ORDERS:
                 self.cached_orders.clear()
--- a/saffronlane/policy/scheduling/admission.py
+++ b/saffronlane/policy/scheduling/admission.py
@@ -17,14 +17,18 @@
 
 class AdmissionController:
     def __init__(self, answers: RequestCompletion, placement: EngineSelector) -> None:
-        self.batch, self.settings, self.answers = answers.batch, answers.batch.settings, answers
-        self.reports, self.rooms = placement.load_reports, placement.eligibility
-        self.buckets = [TokenBucket() for _ in self.settings.tenants]
+        self.step_context, self.settings, self.completion = (
+            answers.step_context,
+            answers.step_context.settings,
+            answers,
+        )
+        self.load_reports, self.eligibility = placement.load_reports, placement.eligibility
+        self.token_buckets = [TokenBucket() for _ in self.settings.tenants]
 
     def on_arrival(self, event: api.Arrival) -> None:
-        answers, index = self.answers, min(event.class_index, len(self.settings.classes) - 1)
-        job = Request(event, index, self.settings.classes[index], self.batch.now)
-        answers.classes.estimators[index].record_estimate(
+        answers, index = self.completion, min(event.class_index, len(self.settings.classes) - 1)
+        job = Request(event, index, self.settings.classes[index], self.step_context.now)
+        answers.workload_estimates.estimators[index].record_estimate(
             job.estimated_cost, is_estimate_given=event.estimated_cost > 0.0
         )
         job.is_over_quota = self.exceeds_quota(event.tenant)
@@ -33,13 +37,13 @@
         answers.add_pending(job)
         if job.previous_attempt_count and answers.retry_policy.is_exhausted(job):
             answers.finish(job)
-        elif self.reports.is_probing_enabled and answers.classes.is_heavy(job):
-            for engine in self.reports.select_probe_targets(
-                job, list(islice(self.rooms.eligible_engines(job, True), MAX_PROBED_ENGINES))
+        elif self.load_reports.is_probing_enabled and answers.workload_estimates.is_heavy(job):
+            for engine in self.load_reports.select_probe_targets(
+                job, list(islice(self.eligibility.eligible_engines(job, True), MAX_PROBED_ENGINES))
             ):
-                self.batch.emit(api.ProbeLoad(engine.id))
-            if job.probing_until > self.batch.now:
-                self.batch.schedule(job.probing_until, None)
+                self.step_context.emit(api.ProbeLoad(engine.id))
+            if job.probing_until > self.step_context.now:
+                self.step_context.schedule(job.probing_until, None)
 
     def exceeds_quota(self, tenant: int) -> bool:
         """Whether a tenant sends more than its allowance here: such queries yield while engines are full."""
@@ -47,13 +51,13 @@
         if not 0 <= tenant < len(tenants) or not tenants[tenant].rate_limit > 0.0:
             return False
         rate = TENANT_RATE_MARGIN * tenants[tenant].rate_limit / self.settings.gateway_count
-        return self.buckets[tenant].overflows(
-            self.batch.now, rate, TENANT_BURST_REQUESTS + TENANT_BURST_DURATION * rate
+        return self.token_buckets[tenant].overflows(
+            self.step_context.now, rate, TENANT_BURST_REQUESTS + TENANT_BURST_DURATION * rate
         )
 
-    def on_probe(self, event: api.ProbeResult) -> None:
-        engine = self.reports.engine_registry.engines.get(event.engine)
+    def on_probe_result(self, event: api.ProbeResult) -> None:
+        engine = self.load_reports.engine_registry.engines.get(event.engine)
         if engine is not None and event.outcome is api.Outcome.OK:
-            self.reports.record(engine, event.load_report)
+            self.load_reports.record(engine, event.load_report)
         elif engine is not None and event.outcome is not api.Outcome.REJECTED:
-            engine.last_rejection_at = self.batch.now
+            engine.last_rejection_at = self.step_context.now
--- a/saffronlane/policy/scheduling/group_edf.py
+++ b/saffronlane/policy/scheduling/group_edf.py
@@ -18,13 +18,23 @@
 
 class GroupEdfScheduler:
     def __init__(self, attempts: AttemptManager) -> None:
-        self.attempts, self.batch, self.answers = attempts, attempts.batch, attempts.answers
-        self.placement, self.pressure = attempts.placement, attempts.placement.concurrency_limit
-        self.next_lapse = -math.inf
+        self.attempt_manager, self.step_context, self.completion = (
+            attempts,
+            attempts.step_context,
+            attempts.completion,
+        )
+        self.engine_selector, self.concurrency_limit = (
+            attempts.engine_selector,
+            attempts.engine_selector.concurrency_limit,
+        )
+        self.next_expiry_check_at = -math.inf
 
     def is_expired(self, job: Request) -> bool:
         """The design's refusal: now + ExecTime passes the query's, the class's or the client's limit."""
-        known, blocked = self.answers.classes.estimators[job.class_index], self.pressure.is_blocked
+        known, blocked = (
+            self.completion.workload_estimates.estimators[job.class_index],
+            self.concurrency_limit.is_blocked,
+        )
         limit = (
             min(job.deadline, job.expires_at - EXPIRY_MARGIN)
             if not (blocked and job.is_over_quota)
@@ -38,23 +48,23 @@
             )
             limit = min(limit, job.arrived_at + job.class_settings.latency_objective + stretch)
         return (
-            self.batch.now
+            self.step_context.now
             + (known.exec_time(job.estimated_cost) if known.answer_count >= SEED_ANSWERS else 0.0)
             > limit
         )
 
     def release(self) -> None:
         """Group EDF over the held queries, until none can be placed."""
-        now, owed, permits = self.batch.now, self.answers.pending, self.answers.retry_policy
-        if now >= self.next_lapse:
-            self.next_lapse = now + EXPIRY_CHECK_INTERVAL
+        now, owed, permits = self.step_context.now, self.completion.pending, self.completion.retry_policy
+        if now >= self.next_expiry_check_at:
+            self.next_expiry_check_at = now + EXPIRY_CHECK_INTERVAL
             for job in [j for j in owed.queued.values() if permits.is_exhausted(j) or self.is_expired(j)]:
                 if job.in_flight_count:  # a second copy that finds no room: the first may still answer
                     del owed.queued[job.id]
                 else:
-                    self.answers.finish(job)
-        self.pressure.is_blocked = False
-        self.placement.peer_load.expire(now)
+                    self.completion.finish(job)
+        self.concurrency_limit.is_blocked = False
+        self.engine_selector.peer_load.expire(now)
         owed.ordering.expire_cooldowns(now)
         waiting = [j for j in owed.queued.values() if j.probing_until <= now + 1e-6]
         waiting = [j for j in waiting if owed.ordering.is_next(j, now) and permits.has_retry_budget(j)]
@@ -63,11 +73,13 @@
             first = waiting[0]
             end = first.deadline + GROUP_RANGE_RATIO * (first.deadline - first.arrived_at)
             group = [j for j in waiting if j.is_over_quota == first.is_over_quota and j.deadline <= end]
-            job = min(group, key=lambda j: (self.answers.classes.exec_time(j), j.deadline, j.id))
+            job = min(
+                group, key=lambda j: (self.completion.workload_estimates.exec_time(j), j.deadline, j.id)
+            )
             waiting.remove(job)
-            engine = self.placement.select(job)
+            engine = self.engine_selector.select(job)
             if engine is None:
-                self.pressure.is_blocked = True
+                self.concurrency_limit.is_blocked = True
                 # No room for others of its class: trying each costs too much; further tries go to no more.
                 waiting = [
                     j
@@ -75,4 +87,4 @@
                     if j.class_index != job.class_index or (job.attempts and not j.attempts)
                 ]
             elif permits.can_retry(job):  # its key may have closed since the look for lapsed ones
-                self.attempts.start(job, engine)
+                self.attempt_manager.start(job, engine)
--- a/saffronlane/policy/scheduling/retry_budget.py
+++ b/saffronlane/policy/scheduling/retry_budget.py
@@ -8,7 +8,7 @@
 
 class RetryPolicy:
     def __init__(self, batch: StepContext) -> None:
-        self.batch, self.rules, self.budget = batch, batch.guarantees, RetryBudgetWindow()
+        self.step_context, self.guarantees, self.budget = batch, batch.guarantees, RetryBudgetWindow()
         self.slack = (
             batch.settings.min_step_interval + batch.limits.connect_timeout
         )  # until what is sent has left
@@ -18,14 +18,14 @@
 
         Only what was served widens it: all else may be no usual client's. What is free may be used already.
         """
-        rules, ration, now = self.rules, self.budget, self.batch.now
+        rules, ration, now = self.guarantees, self.budget, self.step_context.now
         if len(job.attempts) <= job.previous_attempt_count or rules.retry_budget_base is None:
             return True
         taken = ration.served_arrivals.count_since(now - rules.retry_budget_window + self.slack)
         extras = ration.retries.count_since(now - rules.retry_budget_window - self.slack)
         free = (
             rules.retry_budget_base
-            if now >= self.batch.started_at + rules.retry_budget_window + self.slack
+            if now >= self.step_context.started_at + rules.retry_budget_window + self.slack
             else 0.0
         )
         return extras + 1 <= free + rules.retry_budget_ratio * taken
@@ -34,7 +34,7 @@
         """Rule 2: whether the request may go out again, as far as its earlier attempts are concerned."""
         first, arrives = (
             job.first_possible_execution(),
-            self.batch.now + max(MIN_TTL_MARGIN, self.slack),
+            self.step_context.now + max(MIN_TTL_MARGIN, self.slack),
         )  # once connected
         if first is None or job.class_settings.idempotency is Idempotency.SAFE:
             return True
@@ -45,7 +45,7 @@
 
     def is_exhausted(self, job: Request) -> bool:
         return len(job.attempts) - job.previous_attempt_count >= max(
-            1, self.batch.limits.max_attempts
+            1, self.step_context.limits.max_attempts
         ) or not self.is_retry_safe(job)
 
     def can_retry(self, job: Request) -> bool:
