--- a/saffronlane/policy/estimation/load_reports.py
+++ b/saffronlane/policy/estimation/load_reports.py
@@ -1,26 +1,32 @@
-"""What engines report of their load, with answers or when asked."""
+"""Load that engines report, either with their responses or when they are probed."""
 
 import math
 
 from ...state import Engine, EngineRegistry, Request, StepContext
 from .workload_estimates import WorkloadEstimates
 
-MAX_PROBED_ENGINES, MIN_PROBE_INTERVAL, PROBE_TIMEOUT = (
-    3,
-    0.1,
-    0.025,
-)  # engines asked, if not asked so lately; seconds for their word
-MAX_PROBE_PRICE = 0.02  # points of service for a probe a query up to which asking for heavy queries pays
-MAX_REPORTED_THREADS_PER_CORE, REPORT_DECAY_TIME = (
-    100.0,
-    15.0,
-)  # threads a core, more is absurd; seconds until it says little
+MAX_PROBED_ENGINES = 3  # engines probed for one heavy request
+MIN_PROBE_INTERVAL = 0.1  # seconds between two probes of the same engine
+PROBE_TIMEOUT = 0.025  # seconds that a request waits for the results of its probes
+MAX_PROBE_PRICE = 0.02  # points of service for one probe a request, up to which probing is worth its price
+MAX_REPORTED_THREADS_PER_CORE = 100.0  # threads per core; a higher report is taken for this
+REPORT_DECAY_TIME = 15.0  # seconds in which the weight of a report falls to 1/e
 
 
 class LoadReports:
-    def __init__(self, batch: StepContext, fleet: EngineRegistry, classes: WorkloadEstimates) -> None:
-        self.step_context, self.engine_registry, self.workload_estimates = batch, fleet, classes
-        columns, limits = batch.settings.report_columns, batch.limits
+    """Records the load reports of engines and decides which engines are probed for one."""
+
+    def __init__(
+        self,
+        step_context: StepContext,
+        engine_registry: EngineRegistry,
+        workload_estimates: WorkloadEstimates,
+    ) -> None:
+        self.step_context = step_context
+        self.engine_registry = engine_registry
+        self.workload_estimates = workload_estimates
+        limits = step_context.limits
+        columns = step_context.settings.report_columns
         self.active_column = columns.index("active") if "active" in columns else None
         self.is_probing_enabled = (
             limits.load_probes
@@ -29,34 +35,59 @@
         )
 
     def record(self, engine: Engine, report: tuple[float, ...]) -> float:
-        """Threads a core that an engine says it runs, by the usual threads of a query; 0: not told."""
-        column, learned = self.active_column, self.workload_estimates.estimators
-        if column is None or column >= len(report) or not 0.0 < report[column] < math.inf:
+        """Record one load report.
+
+        Args:
+            engine: The engine that sent the report.
+            report: One number for each of the configured report columns.
+
+        Returns:
+            Threads per core that the engine runs, or 0 if the report doesn't say.
+        """
+        active_requests = self._active_requests(report)
+        if active_requests is None:
             return 0.0
-        spans = [max(1, known.answer_count) * known.exec_time() for known in learned]
-        threads = sum(s * k.class_settings.threads for s, k in zip(spans, learned, strict=True)) / sum(spans)
+        threads_per_core = active_requests * self._mean_threads() / engine.cores
         self.engine_registry.record_load_report(
-            engine,
-            min(report[column] * threads / engine.cores, MAX_REPORTED_THREADS_PER_CORE),
-            self.step_context.now,
+            engine, min(threads_per_core, MAX_REPORTED_THREADS_PER_CORE), self.step_context.now
         )
         return engine.reported_threads_per_core
 
-    def threads_per_core(self, engine: Engine) -> float:
-        """Threads a core by the engine's last report, drawn to the fleet's mean as it ages."""
-        fresh = math.exp(min(0.0, engine.reported_at - self.step_context.now) / REPORT_DECAY_TIME)
-        return self.engine_registry.mean_reported_threads + fresh * (
-            engine.reported_threads_per_core - self.engine_registry.mean_reported_threads
+    def _active_requests(self, report: tuple[float, ...]) -> float | None:
+        """Return the number of active requests in a report, or None without a valid one."""
+        column = self.active_column
+        if column is None or column >= len(report):
+            return None
+        return report[column] if 0.0 < report[column] < math.inf else None
+
+    def _mean_threads(self) -> float:
+        """Return the threads of the mean active request: classes weighted by the time they run."""
+        estimators = self.workload_estimates.estimators
+        run_times = [max(1, estimator.answer_count) * estimator.exec_time() for estimator in estimators]
+        thread_times = (
+            run_time * estimator.class_settings.threads
+            for run_time, estimator in zip(run_times, estimators, strict=True)
         )
+        return sum(thread_times) / sum(run_times)
+
+    def threads_per_core(self, engine: Engine) -> float:
+        """Return the threads per core of the engine's last report, which decays to the mean as it ages."""
+        mean = self.engine_registry.mean_reported_threads
+        weight = math.exp(min(0.0, engine.reported_at - self.step_context.now) / REPORT_DECAY_TIME)
+        return mean + weight * (engine.reported_threads_per_core - mean)
+
+    def select_probe_targets(self, request: Request, engines: list[Engine]) -> list[Engine]:
+        """Return the engines to probe and let the request wait for their results.
 
-    def select_probe_targets(self, job: Request, engines: list[Engine]) -> list[Engine]:
-        """Those of a heavy query's first engines to ask what they hold; it waits a moment for their word."""
-        asked = [
-            e
-            for e in engines
-            if max(e.last_probe_at, e.reported_at) < self.step_context.now - MIN_PROBE_INTERVAL
+        Engines that were probed or have reported within `MIN_PROBE_INTERVAL` are left out.
+        """
+        now = self.step_context.now
+        targets = [
+            engine
+            for engine in engines
+            if max(engine.last_probe_at, engine.reported_at) < now - MIN_PROBE_INTERVAL
         ]
-        for engine in asked:
-            engine.last_probe_at = self.step_context.now
-            job.probing_until = self.step_context.now + PROBE_TIMEOUT
-        return asked
+        for engine in targets:
+            engine.last_probe_at = now
+            request.probing_until = now + PROBE_TIMEOUT
+        return targets
--- a/saffronlane/policy/estimation/run_time_estimator.py
+++ b/saffronlane/policy/estimation/run_time_estimator.py
@@ -1,105 +1,128 @@
-"""What the answers of one class have taught."""
+"""Estimates of run time, work and memory for the requests of one class."""
 
 from ... import interface as api
 from ...state import ClassStatistics, Request, clamp
 
-SEED_ANSWERS = 4.0  # the seed counts as this many answers: one odd first query must not set the estimate
-DECAY = 0.97  # per answer, of what is learned: a handful of seconds of one class's traffic
-MAX_BASELINE_GROWTH = (
-    0.002  # how fast the best latency forgets: far slower than a jam, or a jam becomes the norm
-)
-BASELINE_GROWTH_RATE = (
-    0.01  # the same for a second, where so many answers come that a jam would soon be the norm
-)
-MAX_EXEC_TIME_RATIO = (
-    3.0  # ExecTime is at most this x the uncrowded time: a bad spell must not refuse what follows
-)
-INITIAL_MEMORY_RATIO, MEMORY_RATIO_INCREASE, MEMORY_RATIO_DECREASE = (
-    1.25,
-    0.15,
-    0.02,
-)  # memory needed over told: a high quantile, a spill is dear
+SEED_ANSWERS = 4.0  # responses that the configured values count as, so that one odd request sets no estimate
+DECAY = 0.97  # factor per response on the weight of earlier ones
+MAX_BASELINE_GROWTH = 0.002  # weight of one response that raises the baseline; slow, or congestion becomes it
+BASELINE_GROWTH_RATE = 0.01  # the same per second, which binds where responses are frequent
+BASELINE_DECREASE = 0.1  # weight of one response that lowers the baseline
+MIN_INFLATION = 0.05  # lowest measured ratio of thread time to work
+MAX_INFLATION = 1000.0  # highest measured ratio of thread time to work
+MAX_EXEC_TIME_RATIO = 3.0  # highest ExecTime, in uncontended times
+MIN_EXEC_TIME = 1e-3  # seconds
+INITIAL_MEMORY_RATIO = 1.25  # memory required over memory estimated, before any response
+MEMORY_RATIO_INCREASE = 0.15  # weight of a response that raises the memory ratio; spilling is expensive
+MEMORY_RATIO_DECREASE = 0.02  # weight of a response that lowers the memory ratio
 
 
 class RunTimeEstimator(ClassStatistics):
-    """What the answers of one class have taught. Where no estimates are told, each counts as 1."""
+    """Estimates for one class. Without estimates from clients, each request has a cost of 1."""
 
-    def __init__(self, cls: api.ClassSettings) -> None:
-        super().__init__(cls, SEED_ANSWERS)
+    def __init__(self, class_settings: api.ClassSettings) -> None:
+        super().__init__(class_settings, SEED_ANSWERS)
 
     def record_estimate(self, cost: float, is_estimate_given: bool) -> None:
+        """Record the cost of a request that arrives.
+
+        Args:
+            cost: The estimated cost, 1 where the client gave none.
+            is_estimate_given: Whether the cost is the client's estimate.
+        """
         if not self.estimated_costs:
             self.apply_first_estimate(cost, cost * SEED_ANSWERS, is_estimate_given)
         self.mean_estimated_cost += (cost - self.mean_estimated_cost) * (1.0 - DECAY)
         self.update_cost_rate()
 
     def record_completion(
-        self, now: float, job: Request, elapsed: float, work: float, memory: float, threads: float
+        self,
+        now: float,
+        request: Request,
+        elapsed: float,
+        work: float,
+        memory_mb: float,
+        threads_per_core: float,
     ) -> float:
-        """Learn from one answer of an engine with so many threads a core; returns how crowded it was."""
+        """Learn from a successful attempt.
+
+        Args:
+            now: Time of the response in seconds.
+            request: The completed request.
+            elapsed: Seconds that the attempt took.
+            work: Reported thread seconds of work; 0 if not reported.
+            memory_mb: Reported memory; 0 if not reported.
+            threads_per_core: Load that the engine reported; 0 if not reported.
+
+        Returns:
+            The latency inflation: latency over what it is without contention.
+        """
         self.answer_count += 1
-        drift, self.last_answer_at = (
-            min(MAX_BASELINE_GROWTH, BASELINE_GROWTH_RATE * (now - self.last_answer_at)),
-            now,
-        )
-        calm, busy = self.uncontended_time(job.estimated_cost), elapsed * self.class_settings.threads
-        self.add(DECAY, job.estimated_cost, elapsed, work or busy, work or busy / max(1.0, threads))
-        if memory > 0.0:
-            ratio = memory / (job.estimated_memory_mb or 1.0)
-            self.memory_requirement = self.memory_requirement or max(
-                ratio, INITIAL_MEMORY_RATIO if job.estimated_memory_mb else 0.0
-            )
-            self.memory_requirement += (
-                MEMORY_RATIO_INCREASE if ratio > self.memory_requirement else MEMORY_RATIO_DECREASE
-            ) * (ratio - self.memory_requirement)
-        crowd = elapsed / calm if self.answer_count > SEED_ANSWERS and not threads else 1.0
+        growth = min(MAX_BASELINE_GROWTH, BASELINE_GROWTH_RATE * (now - self.last_answer_at))
+        self.last_answer_at = now
+        uncontended_time = self.uncontended_time(request.estimated_cost)
+        thread_time = elapsed * self.class_settings.threads
+        uncontended_work = work or thread_time / max(1.0, threads_per_core)
+        self.add(DECAY, request.estimated_cost, elapsed, work or thread_time, uncontended_work)
+        if memory_mb > 0.0:
+            self._update_memory_requirement(memory_mb, request.estimated_memory_mb)
+        inflation = 1.0
         if work > 0.0:
-            stretch = clamp(busy / work, 0.05, 1000.0)
-            step = 0.1 if stretch < self.baseline_inflation else drift
-            self.baseline_inflation += step * (
-                min(stretch, self.baseline_inflation * 2.0) - self.baseline_inflation
-            )
-            crowd = stretch / self.baseline_inflation
+            inflation = self._inflation_over_baseline(thread_time / work, growth)
+        elif self.answer_count > SEED_ANSWERS and not threads_per_core:
+            inflation = elapsed / uncontended_time
         self.update_cost_rate()
-        return crowd
+        return inflation
+
+    def _update_memory_requirement(self, memory_mb: float, estimated_memory_mb: float) -> None:
+        """Move the memory requirement, a high quantile, towards what one request used."""
+        ratio = memory_mb / (estimated_memory_mb or 1.0)
+        if not self.memory_requirement:
+            self.memory_requirement = max(ratio, INITIAL_MEMORY_RATIO if estimated_memory_mb else 0.0)
+        is_increase = ratio > self.memory_requirement
+        weight = MEMORY_RATIO_INCREASE if is_increase else MEMORY_RATIO_DECREASE
+        self.memory_requirement += weight * (ratio - self.memory_requirement)
+
+    def _inflation_over_baseline(self, thread_time_per_work: float, growth: float) -> float:
+        """Move the baseline, a low quantile, towards a measurement and return their ratio."""
+        inflation = clamp(thread_time_per_work, MIN_INFLATION, MAX_INFLATION)
+        weight = BASELINE_DECREASE if inflation < self.baseline_inflation else growth
+        bounded_inflation = min(inflation, self.baseline_inflation * 2.0)
+        self.baseline_inflation += weight * (bounded_inflation - self.baseline_inflation)
+        return inflation / self.baseline_inflation
+
+    def record_interruption(self, request: Request, elapsed: float) -> None:
+        """Learn from an attempt that was ended early and would have taken longer.
 
-    def record_interruption(self, job: Request, elapsed: float) -> None:
-        """A run ended early is longer than it got: left out, the mean would lie too low for rule 4."""
-        missing = elapsed * self.class_settings.threads - self.work(job.estimated_cost)
-        self.work_total += max(0.0, missing) if self.estimated_costs else 0.0
+        Without these the mean work, on which slow start (rule 4) relies, would be too low.
+        """
+        if self.estimated_costs:
+            thread_time = elapsed * self.class_settings.threads
+            self.work_total += max(0.0, thread_time - self.work(request.estimated_cost))
 
     def work(self, cost: float = 0.0) -> float:
+        """Return the thread seconds of work of a request with this cost; 0 stands for the mean cost."""
         if not self.estimated_costs:
             return self.work_total / SEED_ANSWERS
         return (cost or self.mean_estimated_cost) * self.work_total / self.estimated_costs
 
     def uncontended_time(self, cost: float) -> float:
-        return max(
-            1e-3,
-            self.work(cost)
-            / self.class_settings.threads
-            * self.baseline_inflation
-            * self.uncontended_work_total
-            / self.work_total,
-        )
+        """Return the seconds that a request with this cost takes on an engine without contention."""
+        baseline_time = self.work(cost) / self.class_settings.threads * self.baseline_inflation
+        return max(MIN_EXEC_TIME, baseline_time * self.uncontended_work_total / self.work_total)
 
     def update_cost_rate(self) -> None:
-        pace = self.latency_total
+        """Update the seconds per unit of cost, within the bound on ExecTime."""
+        latency_total = self.latency_total
         if self.answer_count >= SEED_ANSWERS:
-            pace = min(
-                pace,
-                MAX_EXEC_TIME_RATIO
-                * self.uncontended_work_total
-                * self.baseline_inflation
-                / self.class_settings.threads,
-            )
-        self.seconds_per_cost_unit = pace / self.estimated_costs if self.estimated_costs else 0.0
+            max_work = MAX_EXEC_TIME_RATIO * self.uncontended_work_total
+            max_latency_total = max_work * self.baseline_inflation / self.class_settings.threads
+            latency_total = min(latency_total, max_latency_total)
+        self.seconds_per_cost_unit = latency_total / self.estimated_costs if self.estimated_costs else 0.0
 
     def exec_time(self, cost: float = 0.0) -> float:
-        """The design's ExecTime: estimate x learned ratio, or the mean where no estimate is told."""
-        return max(
-            1e-3,
-            (cost or self.mean_estimated_cost) * self.seconds_per_cost_unit
-            if self.seconds_per_cost_unit
-            else self.class_settings.latency_objective,
-        )
+        """Return ExecTime in seconds: the cost times its learned rate; a cost of 0 stands for the mean."""
+        exec_time = self.class_settings.latency_objective
+        if self.seconds_per_cost_unit:
+            exec_time = (cost or self.mean_estimated_cost) * self.seconds_per_cost_unit
+        return max(MIN_EXEC_TIME, exec_time)
--- a/saffronlane/policy/estimation/workload_estimates.py
+++ b/saffronlane/policy/estimation/workload_estimates.py
@@ -1,53 +1,83 @@
-"""What is known of all classes together: a query's time, work and terms beside the usual mix."""
+"""Estimates over all classes: run time, work and resource grant of any request."""
+
+from typing import NamedTuple
 
 from ... import interface as api
 from ...state import Request
 from .run_time_estimator import INITIAL_MEMORY_RATIO, RunTimeEstimator
 
-HEAVY_WORK_RATIO = (
-    2.0  # a query of more than this x the mean work is told: each message costs all gateways time
-)
+HEAVY_WORK_RATIO = 2.0  # work of a heavy request, in works of the mean request
+MEMORY_MARGIN_RATIO = 1.1  # memory granted over memory required, where clients give no estimates
+MIN_WORK = 1e-3  # thread seconds
+DEFAULT_PRIORITY = 1  # priority while nothing is known of the usual requests
+PRIORITY_THRESHOLDS = (2.0, 1.0, 0.4)  # weight per work over the mean, for priority 3, 2 and 1
+
+
+class MeanQuery(NamedTuple):
+    """Work in thread seconds, and priority weight, of the mean request."""
+
+    work: float
+    priority_weight: float
+
+
+class ResourceGrant(NamedTuple):
+    """Memory in MB that a request gets, and its priority (0 to 3)."""
+
+    memory_mb: float
+    priority: int
 
 
 class WorkloadEstimates:
+    """One estimator for each class, in the order of the settings."""
+
     def __init__(self, settings: api.Settings) -> None:
         self.settings = settings
-        self.estimators = [RunTimeEstimator(cls) for cls in settings.classes]
-
-    def exec_time(self, job: Request) -> float:
-        return self.estimators[job.class_index].exec_time(job.estimated_cost)
-
-    def work(self, job: Request) -> float:
-        return max(
-            self.estimators[job.class_index].work(), self.estimators[job.class_index].work(job.estimated_cost)
-        )
-
-    def is_heavy(self, job: Request) -> bool:
-        return job.class_settings.is_bulk_load or 0.0 < HEAVY_WORK_RATIO * self.mean_query()[0] < self.work(
-            job
-        )
-
-    def mean_query(self) -> tuple[float, float]:  # work and worth of the mean query
-        count = max(1, sum(k.answer_count for k in self.estimators))
-        work = sum(k.answer_count * k.work() for k in self.estimators) / count
-        return work, sum(k.answer_count * k.class_settings.priority_weight for k in self.estimators) / count
-
-    def resource_grant(self, job: Request) -> tuple[float, int]:
-        """Memory from learned need; priority by worth per second of work against the usual mix."""
-        known, settings = self.estimators[job.class_index], self.settings
-        grant = (
-            (known.memory_requirement or INITIAL_MEMORY_RATIO) * job.estimated_memory_mb
-            if job.estimated_memory_mb
-            else known.memory_requirement * 1.1
-        )
-        if settings.max_memory_grant:
-            grant = min(grant, settings.max_memory_grant)
-        work, worth = self.mean_query()
-        if not settings.priorities_enabled or not work or not worth:
-            return grant, 1
-        density = (
-            job.class_settings.priority_weight
-            / max(1e-3, known.work(job.estimated_cost) * known.baseline_inflation)
-            / (worth / work)
-        )
-        return grant, 3 if density >= 2.0 else 2 if density >= 1.0 else 1 if density >= 0.4 else 0
+        self.estimators = [RunTimeEstimator(class_settings) for class_settings in settings.classes]
+
+    def exec_time(self, request: Request) -> float:
+        """Return the request's ExecTime in seconds."""
+        return self.estimators[request.class_index].exec_time(request.estimated_cost)
+
+    def work(self, request: Request) -> float:
+        """Return the request's thread seconds of work, at least the mean of its class."""
+        estimator = self.estimators[request.class_index]
+        return max(estimator.work(), estimator.work(request.estimated_cost))
+
+    def is_heavy(self, request: Request) -> bool:
+        """Return whether peers are notified of the request; each message costs all gateways time."""
+        if request.class_settings.is_bulk_load:
+            return True
+        return 0.0 < HEAVY_WORK_RATIO * self.mean_query().work < self.work(request)
+
+    def mean_query(self) -> MeanQuery:
+        """Return the means over all responses."""
+        count = max(1, sum(e.answer_count for e in self.estimators))
+        total_work = sum(e.answer_count * e.work() for e in self.estimators)
+        total_weight = sum(e.answer_count * e.class_settings.priority_weight for e in self.estimators)
+        return MeanQuery(total_work / count, total_weight / count)
+
+    def resource_grant(self, request: Request) -> ResourceGrant:
+        """Return the memory for a request and its priority."""
+        return ResourceGrant(self._memory_grant(request), self._priority(request))
+
+    def _memory_grant(self, request: Request) -> float:
+        """Return the memory in MB that the request probably requires, as far as it may be granted."""
+        requirement = self.estimators[request.class_index].memory_requirement
+        if request.estimated_memory_mb:
+            grant = (requirement or INITIAL_MEMORY_RATIO) * request.estimated_memory_mb
+        else:
+            grant = requirement * MEMORY_MARGIN_RATIO
+        if self.settings.max_memory_grant:
+            return min(grant, self.settings.max_memory_grant)
+        return grant
+
+    def _priority(self, request: Request) -> int:
+        """Return the priority: by weight per second of work, compared with the mean request."""
+        mean = self.mean_query()
+        if not self.settings.priorities_enabled or not mean.work or not mean.priority_weight:
+            return DEFAULT_PRIORITY
+        estimator = self.estimators[request.class_index]
+        work = max(MIN_WORK, estimator.work(request.estimated_cost) * estimator.baseline_inflation)
+        weight_per_work = request.class_settings.priority_weight / work
+        ratio = weight_per_work / (mean.priority_weight / mean.work)
+        return sum(ratio >= threshold for threshold in PRIORITY_THRESHOLDS)
--- a/saffronlane/policy/execution/attempts.py
+++ b/saffronlane/policy/execution/attempts.py
@@ -1,4 +1,4 @@
-"""An attempt leaves for an engine, comes to its outcome, and what follows for its request."""
+"""Attempts of requests: their start, their outcome, and what follows for the request."""
 
 from ... import interface as api
 from ...interface import Outcome
@@ -8,126 +8,149 @@
 from ..scheduling.concurrency_limit import CONGESTED_INFLATION
 from .completion import EXPIRY_MARGIN, RequestCompletion
 
-UNRESPONSIVE_REPORT_PERIODS = (
-    1.1  # note periods without a word, and up to one more of calm run, until an attempt is lost
-)
-UNRESPONSIVE_EXEC_TIMES, MIN_UNRESPONSIVE_TIMEOUT = (
-    5.0,
-    0.5,
-)  # without notes: this x its ExecTime, and at least this many seconds
+UNRESPONSIVE_REPORT_PERIODS = 1.1  # progress intervals without a report, besides up to one of run time
+UNRESPONSIVE_EXEC_TIMES = 5.0  # ExecTimes until an attempt is overdue where engines report no progress
+MIN_UNRESPONSIVE_TIMEOUT = 0.5  # seconds; the least of the same
+UNHEDGED_TIMEOUT_RATIO = 2.0  # factor on the same where a retry has to cancel the first attempt
+MIN_DISPATCH_TIMEOUT = 1e-3  # seconds
+MIN_ELAPSED = 1e-4  # seconds; a shorter reported duration counts as this
+MAX_ELAPSED = 1e4  # seconds; a longer reported duration counts as this
 
 
 class AttemptManager:
-    def __init__(self, answers: RequestCompletion, placement: EngineSelector, telling: LoadGossip) -> None:
-        self.step_context, self.in_flight, self.workload_estimates = (
-            answers.step_context,
-            placement.in_flight,
-            answers.workload_estimates,
-        )
-        self.completion, self.engine_selector, self.load_gossip = answers, placement, telling
-        self.outlier_detector = placement.eligibility.outlier_detector
+    """Starts attempts and processes their outcomes."""
 
-    def start(self, job: Request, engine: Engine) -> None:
-        batch, now, settings = self.step_context, self.step_context.now, self.step_context.settings
-        grant, priority = self.workload_estimates.resource_grant(job)
-        if settings.memory_grants_enabled or settings.priorities_enabled:
-            batch.emit(
-                api.SetResourceGrant(job.id, grant if settings.memory_grants_enabled else 0.0, priority)
-            )
-        threads = min(job.class_settings.threads, engine.cores)
-        attempt = Attempt(
-            job,
-            len(job.attempts) - job.previous_attempt_count,
-            engine,
-            now,
-            threads,
-            grant,
-            last_progress_at=now,
-        )
+    def __init__(
+        self, completion: RequestCompletion, engine_selector: EngineSelector, load_gossip: LoadGossip
+    ) -> None:
+        self.completion = completion
+        self.engine_selector = engine_selector
+        self.load_gossip = load_gossip
+        self.step_context = completion.step_context
+        self.workload_estimates = completion.workload_estimates
+        self.retry_policy = completion.retry_policy
+        self.ordering = completion.pending.ordering
+        self.in_flight = engine_selector.in_flight
+        self.load_reports = engine_selector.load_reports
+        self.concurrency_limit = engine_selector.concurrency_limit
+        self.outlier_detector = engine_selector.eligibility.outlier_detector
+
+    def start(self, request: Request, engine: Engine) -> None:
+        """Dispatch a queued request to an engine."""
+        now = self.step_context.now
+        attempt = self._create_attempt(request, engine)
         if attempt.index:
-            self.completion.retry_policy.budget.retries.append(now)
+            self.retry_policy.budget.retries.append(now)
         self.outlier_detector.record_dispatch(engine)
-        self.completion.dequeue(job)
-        self.in_flight.add(
-            attempt,
-            self.workload_estimates.work(job),
-            RECENT_WORK_HORIZON,
-            batch.guarantees.slow_start_duration,
-        )
-        batch.schedule(now + self.progress_timeout(job), attempt)
-        batch.emit(api.Dispatch(job.id, engine.id, max(1e-3, job.expires_at - EXPIRY_MARGIN - now)))
+        self.completion.dequeue(request)
+        work = self.workload_estimates.work(request)
+        retention = self.step_context.guarantees.slow_start_duration
+        self.in_flight.add(attempt, work, RECENT_WORK_HORIZON, retention)
+        self.step_context.schedule(now + self.progress_timeout(request), attempt)
+        timeout = max(MIN_DISPATCH_TIMEOUT, request.expires_at - EXPIRY_MARGIN - now)
+        self.step_context.emit(api.Dispatch(request.id, engine.id, timeout))
         self.load_gossip.on_attempt_started(attempt)
 
-    def progress_timeout(self, job: Request) -> float:
-        if period := self.step_context.settings.progress_interval:
-            return UNRESPONSIVE_REPORT_PERIODS * period + min(
-                period,
-                self.workload_estimates.estimators[job.class_index].uncontended_time(job.estimated_cost),
-            )
-        copies = self.step_context.limits.hedged_requests
-        return max(
-            MIN_UNRESPONSIVE_TIMEOUT, UNRESPONSIVE_EXEC_TIMES * self.workload_estimates.exec_time(job)
-        ) * (1.0 if copies else 2.0)
+    def _create_attempt(self, request: Request, engine: Engine) -> Attempt:
+        """Create the next attempt of a request and emit its resource grant."""
+        settings = self.step_context.settings
+        grant = self.workload_estimates.resource_grant(request)
+        if settings.memory_grants_enabled or settings.priorities_enabled:
+            memory_mb = grant.memory_mb if settings.memory_grants_enabled else 0.0
+            self.step_context.emit(api.SetResourceGrant(request.id, memory_mb, grant.priority))
+        return Attempt(
+            request,
+            index=len(request.attempts) - request.previous_attempt_count,
+            engine=engine,
+            sent_at=self.step_context.now,
+            threads=min(request.class_settings.threads, engine.cores),
+            memory_grant_mb=grant.memory_mb,
+            last_progress_at=self.step_context.now,
+        )
+
+    def progress_timeout(self, request: Request) -> float:
+        """Return the seconds without progress after which an attempt of the request is overdue."""
+        progress_interval = self.step_context.settings.progress_interval
+        if progress_interval:
+            estimator = self.workload_estimates.estimators[request.class_index]
+            run_time = estimator.uncontended_time(request.estimated_cost)
+            return UNRESPONSIVE_REPORT_PERIODS * progress_interval + min(progress_interval, run_time)
+        exec_time = self.workload_estimates.exec_time(request)
+        timeout = max(MIN_UNRESPONSIVE_TIMEOUT, UNRESPONSIVE_EXEC_TIMES * exec_time)
+        return timeout if self.step_context.limits.hedged_requests else UNHEDGED_TIMEOUT_RATIO * timeout
 
     def on_ended(self, event: api.AttemptEnded) -> None:
-        outcome, answers = event.outcome, self.completion
-        attempt = self.in_flight.complete(event.request, event.attempt, outcome)
+        """Process the outcome of an attempt; a second outcome of the same attempt is ignored."""
+        attempt = self.in_flight.complete(event.request, event.attempt, event.outcome)
         if attempt is None:
             return
-        job, engine = attempt.request, attempt.engine
+        request = attempt.request
         self.load_gossip.on_attempt_ended(attempt)
-        if outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED):
-            answers.pending.ordering.start_cooldown(
-                job, self.step_context.now + self.step_context.guarantees.ordering_cooldown
-            )
-        if outcome is Outcome.NOT_SENT and attempt.index:
-            answers.retry_policy.budget.forget_unsent(attempt.sent_at)
-        self.outlier_detector.record_outcome(attempt, outcome)
-        self.outlier_detector.attribute_errors(attempt, last=answers.retry_policy.is_exhausted(job))
+        self._update_retry_state(attempt, event.outcome)
+        self.outlier_detector.record_outcome(attempt, event.outcome)
+        is_last_attempt = self.retry_policy.is_exhausted(request)
+        self.outlier_detector.attribute_errors(attempt, is_last_attempt)
         self.record_measurements(attempt, event)
-        if outcome in (Outcome.REJECTED, Outcome.TIMEOUT):
-            self.engine_selector.concurrency_limit.record_latency_inflation(CONGESTED_INFLATION * 2.0)
-            if outcome is Outcome.REJECTED:
-                self.load_gossip.report_rejection(engine)
-            engine.last_rejection_at = self.step_context.now
-        if job.is_ended:
-            answers.pending.ordering.release(job)
-        elif event.is_final or outcome is Outcome.OK:
-            if outcome is Outcome.OK:
-                answers.retry_policy.budget.record_served(
-                    job.arrived_at, self.step_context.now - self.step_context.guarantees.retry_budget_window
-                )
-            answers.finish(job, answer=False)
-        elif not job.in_flight_count:
+        self._record_rejection(attempt.engine, event.outcome)
+        if request.is_ended:
+            self.ordering.release(request)
+        elif event.outcome is Outcome.OK:
+            self._record_served(request)
+            self.completion.finish(request, answer=False)
+        elif event.is_final:
+            self.completion.finish(request, answer=False)
+        elif not request.in_flight_count:
             self.requeue_or_finish(attempt)
 
+    def _update_retry_state(self, attempt: Attempt, outcome: Outcome) -> None:
+        """Start the cool-down of an ordering key, or give back the budget of a retry that was not sent."""
+        if outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED):
+            cooldown_end = self.step_context.now + self.step_context.guarantees.ordering_cooldown
+            self.ordering.start_cooldown(attempt.request, cooldown_end)
+        if outcome is Outcome.NOT_SENT and attempt.index:
+            self.retry_policy.budget.forget_unsent(attempt.sent_at)
+
+    def _record_rejection(self, engine: Engine, outcome: Outcome) -> None:
+        """Treat a rejection or timeout as congestion of the engine."""
+        if outcome not in (Outcome.REJECTED, Outcome.TIMEOUT):
+            return
+        self.concurrency_limit.record_latency_inflation(CONGESTED_INFLATION * 2.0)
+        if outcome is Outcome.REJECTED:
+            self.load_gossip.report_rejection(engine)
+        engine.last_rejection_at = self.step_context.now
+
+    def _record_served(self, request: Request) -> None:
+        """Count a served request towards the retry budget."""
+        window_start = self.step_context.now - self.step_context.guarantees.retry_budget_window
+        self.retry_policy.budget.record_served(request.arrived_at, window_start)
+
     def record_measurements(self, attempt: Attempt, event: api.AttemptEnded) -> None:
-        job, placement = attempt.request, self.engine_selector
-        threads, known = (
-            placement.load_reports.record(attempt.engine, event.load_report),
-            self.workload_estimates.estimators[job.class_index],
-        )
+        """Learn from the duration, work, memory and load that came with an outcome."""
+        request = attempt.request
+        threads_per_core = self.load_reports.record(attempt.engine, event.load_report)
+        estimator = self.workload_estimates.estimators[request.class_index]
         if event.outcome is Outcome.OK:
-            elapsed, work = clamp(event.elapsed, 1e-4, 1e4), clamp(event.work)
-            crowd = known.record_completion(
-                self.step_context.now, job, elapsed, work, clamp(event.memory_mb), threads
+            inflation = estimator.record_completion(
+                self.step_context.now,
+                request,
+                elapsed=clamp(event.elapsed, MIN_ELAPSED, MAX_ELAPSED),
+                work=clamp(event.work),
+                memory_mb=clamp(event.memory_mb),
+                threads_per_core=threads_per_core,
             )
-            placement.concurrency_limit.record_response(
-                attempt.engine, crowd, 0.0 if event.work > 0.0 else threads
-            )
-        elif not self.step_context.settings.reports_work and event.outcome in (
-            Outcome.CANCELLED,
-            Outcome.TIMEOUT,
-        ):
-            known.record_interruption(job, clamp(event.elapsed))
+            load = 0.0 if event.work > 0.0 else threads_per_core
+            self.concurrency_limit.record_response(attempt.engine, inflation, load)
+            return
+        was_interrupted = event.outcome in (Outcome.CANCELLED, Outcome.TIMEOUT)
+        if was_interrupted and not self.step_context.settings.reports_work:
+            estimator.record_interruption(request, clamp(event.elapsed))
 
     def requeue_or_finish(self, attempt: Attempt) -> None:
-        """A request whose attempts have all failed is held for another, or answered."""
-        job, answers = attempt.request, self.completion
-        if attempt.outcome is not Outcome.CANCELLED and attempt.engine.id not in job.failed_engines:
-            job.failed_engines.append(attempt.engine.id)
-        if answers.retry_policy.is_exhausted(job) or job.is_streaming:
-            answers.finish(job)
+        """Queue a request whose attempts have all failed for a retry, or finish it."""
+        request = attempt.request
+        if attempt.outcome is not Outcome.CANCELLED and attempt.engine.id not in request.failed_engines:
+            request.failed_engines.append(attempt.engine.id)
+        if self.retry_policy.is_exhausted(request) or request.is_streaming:
+            self.completion.finish(request)
         else:
-            job.deadline = max(job.deadline, answers.deadline(job))
-            answers.pending.queued[job.id] = job
+            self.completion.requeue(request)
--- a/saffronlane/policy/execution/completion.py
+++ b/saffronlane/policy/execution/completion.py
@@ -1,4 +1,4 @@
-"""One final answer for each request, and when its client may come back."""
+"""Completion of requests: one final answer for each, with the time after which its client may retry."""
 
 import math
 
@@ -6,74 +6,109 @@
 from ...interface import DeduplicationScope, Idempotency
 from ...state import Attempt, EngineRegistry, PendingRequests, Request, StepContext
 from ..estimation.workload_estimates import WorkloadEstimates
-from ..scheduling.retry_budget import RetryPolicy
+from ..scheduling.retry_policy import RetryPolicy
 
-DEADLINE_EXEC_TIMES = 10.0  # deadline = arrival + this x ExecTime; the paper's value
-EXPIRY_MARGIN = 0.03  # seconds before a client's time ends: what leaves must arrive
+DEADLINE_EXEC_TIMES = 10.0  # ExecTimes from arrival to deadline; the value of the paper
+EXPIRY_MARGIN = 0.03  # seconds before a client's timeout by which its answer leaves
 
 
 class RequestCompletion:
-    def __init__(self, batch: StepContext, fleet: EngineRegistry, classes: WorkloadEstimates) -> None:
-        self.step_context, self.engine_registry, self.workload_estimates = batch, fleet, classes
-        self.retry_policy, self.pending = RetryPolicy(batch), PendingRequests()
+    """Owns the pending requests and gives each its final answer."""
+
+    def __init__(
+        self,
+        step_context: StepContext,
+        engine_registry: EngineRegistry,
+        workload_estimates: WorkloadEstimates,
+    ) -> None:
+        self.step_context = step_context
+        self.engine_registry = engine_registry
+        self.workload_estimates = workload_estimates
+        self.retry_policy = RetryPolicy(step_context)
+        self.pending = PendingRequests()
         self.queued_thread_seconds: float | None = (
-            None  # thread seconds held, summed once a batch: refusals are many
+            None  # summed at most once a step, since many may be rejected
         )
 
-    def deadline(self, job: Request) -> float:
-        return self.step_context.now + DEADLINE_EXEC_TIMES * self.workload_estimates.exec_time(job)
+    def begin_step(self) -> None:
+        """Drop what holds for one step only."""
+        self.queued_thread_seconds = None
+
+    def deadline(self, request: Request) -> float:
+        """Return the deadline of a request that is queued now."""
+        exec_time = self.workload_estimates.exec_time(request)
+        return self.step_context.now + DEADLINE_EXEC_TIMES * exec_time
+
+    def add_pending(self, request: Request) -> None:
+        """Queue a request that has arrived, with a timer for its expiry."""
+        request.deadline = self.deadline(request)
+        self.pending.add(request)
+        self.step_context.schedule(request.expires_at - EXPIRY_MARGIN, request)
 
-    def add_pending(self, job: Request) -> None:
-        job.deadline = self.deadline(job)
-        self.pending.add(job)
-        self.step_context.schedule(job.expires_at - EXPIRY_MARGIN, job)
+    def requeue(self, request: Request) -> None:
+        """Queue a request again, for a retry."""
+        request.deadline = max(request.deadline, self.deadline(request))
+        self.pending.queued[request.id] = request
 
-    def finish(self, job: Request, answer: bool = True) -> None:
-        """End a request at once: refused where the rules let the client try again, failed otherwise."""
-        if job.is_ended:
+    def finish(self, request: Request, answer: bool = True) -> None:
+        """End a request at once and cancel its attempts.
+
+        Args:
+            request: The request; nothing happens if it has ended before.
+            answer: Whether its client still needs the final answer.
+        """
+        if request.is_ended:
             return
-        job.is_ended = True
-        self.pending.requests.pop(job.id, None)
-        self.dequeue(job)
+        request.is_ended = True
+        self.pending.requests.pop(request.id, None)
+        self.dequeue(request)
         if answer:
-            alone = (
-                job.class_settings.idempotency is not Idempotency.SAFE
-                and job.class_settings.deduplication_scope is not DeduplicationScope.ALL
-            )
-            refused = self.retry_policy.is_retry_safe(job) and not (alone and job.first_possible_execution())
-            self.step_context.emit(api.Reject(job.id, self.retry_after(job)) if refused else api.Fail(job.id))
-        for attempt in job.attempts:
+            self.step_context.emit(self._final_answer(request))
+        for attempt in request.attempts:
             if attempt.outcome is None:
                 self.cancel(attempt)
-        self.pending.ordering.release(job)
-
-    def dequeue(self, job: Request) -> None:
-        if self.pending.queued.pop(job.id, None) and self.queued_thread_seconds is not None:
-            self.queued_thread_seconds -= self.workload_estimates.exec_time(job) * job.class_settings.threads
-
-    def retry_after(self, job: Request) -> float:
-        """The time in which the work held here would drain, within what clients honour; 0 where none do."""
-        exec_time, limits, cores = (
-            self.workload_estimates.exec_time,
-            self.step_context.limits,
-            self.engine_registry.ready_cores,
+        self.pending.ordering.release(request)
+
+    def _final_answer(self, request: Request) -> api.Reject | api.Fail:
+        """Return a rejection where the client may retry safely, else a failure."""
+        if not self.retry_policy.is_retry_safe(request):
+            return api.Fail(request.id)
+        settings = request.class_settings
+        # A client's retry may reach an engine outside the scope that discards duplicates.
+        is_scope_limited = (
+            settings.idempotency is not Idempotency.SAFE
+            and settings.deduplication_scope is not DeduplicationScope.ALL
         )
+        if is_scope_limited and request.first_possible_execution():
+            return api.Fail(request.id)
+        return api.Reject(request.id, self.retry_after(request))
+
+    def dequeue(self, request: Request) -> None:
+        """Take a request out of the queue."""
+        if self.pending.queued.pop(request.id, None) and self.queued_thread_seconds is not None:
+            self.queued_thread_seconds -= self._thread_seconds(request)
+
+    def retry_after(self, request: Request) -> float:
+        """Return the seconds in which the queue would drain, within what clients honour; 0 if they don't."""
         if self.queued_thread_seconds is None:
-            self.queued_thread_seconds = sum(
-                exec_time(j) * j.class_settings.threads for j in self.pending.queued.values()
-            )
-        wait = (
-            max(0.0, self.queued_thread_seconds) * self.step_context.settings.gateway_count / cores
-            if cores
-            else math.inf
-        )
-        return min(limits.max_retry_after if limits.sends_retry_after else 0.0, max(wait, exec_time(job)))
+            self.queued_thread_seconds = sum(map(self._thread_seconds, self.pending.queued.values()))
+        cores = self.engine_registry.ready_cores
+        drain_time = math.inf
+        if cores:
+            gateway_count = self.step_context.settings.gateway_count
+            drain_time = max(0.0, self.queued_thread_seconds) * gateway_count / cores
+        limits = self.step_context.limits
+        max_retry_after = limits.max_retry_after if limits.sends_retry_after else 0.0
+        return min(max_retry_after, max(drain_time, self.workload_estimates.exec_time(request)))
+
+    def _thread_seconds(self, request: Request) -> float:
+        """Return the thread seconds for which the request would occupy engines."""
+        return self.workload_estimates.exec_time(request) * request.class_settings.threads
 
     def cancel(self, attempt: Attempt) -> None:
-        if (
-            self.step_context.limits.can_cancel
-            and not attempt.is_cancelled
-            and not attempt.request.is_streaming
-        ):
+        """Cancel an attempt unless its response is streaming already."""
+        if not self.step_context.limits.can_cancel:
+            return
+        if not attempt.is_cancelled and not attempt.request.is_streaming:
             attempt.is_cancelled = True
             self.step_context.emit(api.Cancel(attempt.request.id, attempt.index))
--- a/saffronlane/policy/execution/hedging.py
+++ b/saffronlane/policy/execution/hedging.py
@@ -1,65 +1,87 @@
-"""Attempts that are looked after while they run: silent, waiting, or far behind."""
+"""Supervision of running attempts: unresponsive, waiting at the engine, or far behind."""
 
 from ... import interface as api
 from ...interface import Idempotency, ProgressKind
-from ...state import Attempt, clamp
+from ...state import Attempt, Engine, clamp
 from ..scheduling.concurrency_limit import CONGESTED_INFLATION
 from .attempts import AttemptManager
 
-MAX_REMAINING_EXEC_TIMES = (
-    4.0  # cancel when the remainder would take this x a fresh run: far outside the usual scatter
-)
-MAX_REMAINING_TIME_RATIO = (
-    1.5  # progress is rough: give up only if the remainder is this x the time that is left
-)
+MAX_REMAINING_EXEC_TIMES = 4.0  # ExecTimes that the rest may take before a fresh run is better
+MAX_REMAINING_TIME_RATIO = 1.5  # rest over the time left, above which the request is given up
+MAX_CONCURRENT_ATTEMPTS = 2  # attempts of one request in flight
+MIN_PROGRESS = 1e-3  # lowest reported progress, of 1
+TIME_TOLERANCE = 1e-6  # seconds by which a timer may fire early
 
 
 class HedgingAndRetry:
-    def __init__(self, attempts: AttemptManager) -> None:
-        self.step_context, self.attempt_manager, self.completion = (
-            attempts.step_context,
-            attempts,
-            attempts.completion,
-        )
-        self.retry_policy, self.concurrency_limit = (
-            attempts.completion.retry_policy,
-            attempts.engine_selector.concurrency_limit,
-        )
+    """Cancels or hedges attempts that another engine would probably complete earlier."""
+
+    def __init__(self, attempt_manager: AttemptManager) -> None:
+        self.attempt_manager = attempt_manager
+        self.step_context = attempt_manager.step_context
+        self.completion = attempt_manager.completion
+        self.retry_policy = attempt_manager.retry_policy
+        self.workload_estimates = attempt_manager.workload_estimates
+        self.outlier_detector = attempt_manager.outlier_detector
+        self.concurrency_limit = attempt_manager.concurrency_limit
+        self.eligibility = attempt_manager.engine_selector.eligibility
 
     def check_timeout(self, attempt: Attempt) -> None:
-        """Try elsewhere what has no word for long: lost answers, hangs, cut links, unseen deaths.
+        """Retry or hedge an attempt without progress for its timeout; else set the timer again.
 
-        Without notes a long query is silent too: a second copy leaves the first its chance. Not in a jam.
+        The cause may be a lost response, a hanging engine, a broken network link or an unseen restart.
         """
-        job, engine, now, settings = (
-            attempt.request,
-            attempt.engine,
-            self.step_context.now,
-            self.step_context.settings,
-        )
-        if attempt.outcome is not None or attempt.is_cancelled or job.is_ended or job.is_streaming:
+        request = attempt.request
+        now = self.step_context.now
+        if attempt.outcome is not None or not self._is_supervised(attempt):
             return
-        due = attempt.last_progress_at + self.attempt_manager.progress_timeout(job)
-        if due > now + 1e-6:
-            self.step_context.schedule(due, attempt)
+        due_at = attempt.last_progress_at + self.attempt_manager.progress_timeout(request)
+        if due_at > now + TIME_TOLERANCE:
+            self.step_context.schedule(due_at, attempt)
             return
-        engine.last_rejection_at, noted = now, settings.progress_interval > 0.0
-        unheard = noted and engine.last_response_at < attempt.sent_at and not engine.is_ejected
-        if unheard and self.attempt_manager.outlier_detector.record_unresponsive(engine):
-            for other in engine.in_flight.values():  # what has had no word there will hardly get one
-                if other.last_progress_at <= other.sent_at and self.retry_policy.can_retry(other.request):
-                    self.completion.cancel(other)
-        if (
-            not self.retry_policy.can_retry(job)
-            or now + self.completion.workload_estimates.exec_time(job) > job.expires_at
-        ):
+        attempt.engine.last_rejection_at = now
+        self._record_unresponsive(attempt)
+        exec_time = self.workload_estimates.exec_time(request)
+        if self.retry_policy.can_retry(request) and now + exec_time <= request.expires_at:
+            self._retry_or_hedge(attempt)
+
+    def _is_supervised(self, attempt: Attempt) -> bool:
+        """Return whether the attempt may still be cancelled for the good of its request."""
+        request = attempt.request
+        return not (attempt.is_cancelled or request.is_ended or request.is_streaming)
+
+    def _record_unresponsive(self, attempt: Attempt) -> None:
+        """Count a missing progress report against an engine that hasn't responded since the dispatch."""
+        engine = attempt.engine
+        if self.step_context.settings.progress_interval <= 0.0 or engine.is_ejected:
             return
-        if noted or not self.step_context.limits.hedged_requests:
+        has_responded = engine.last_response_at >= attempt.sent_at
+        if not has_responded and self.outlier_detector.record_unresponsive(engine):
+            self._cancel_without_progress(engine)
+
+    def _cancel_without_progress(self, engine: Engine) -> None:
+        """Cancel the attempts at an ejected engine that never reported progress, where a retry may follow."""
+        for attempt in engine.in_flight.values():
+            has_progress = attempt.last_progress_at > attempt.sent_at
+            if not has_progress and self.retry_policy.can_retry(attempt.request):
+                self.completion.cancel(attempt)
+
+    def _retry_or_hedge(self, attempt: Attempt) -> None:
+        """Cancel an overdue attempt for a retry, or queue its request for a hedged attempt.
+
+        Without progress reports a long run is no sign of a fault, so that the first attempt goes on.
+        """
+        request = attempt.request
+        settings = self.step_context.settings
+        if settings.progress_interval > 0.0 or not settings.limits.hedged_requests:
             self.completion.cancel(attempt)
-        elif self.concurrency_limit.latency_inflation < CONGESTED_INFLATION and job.in_flight_count < 2:
-            self.completion.pending.queued[job.id] = job
+            return
+        is_congested = self.concurrency_limit.latency_inflation >= CONGESTED_INFLATION
+        if not is_congested and request.in_flight_count < MAX_CONCURRENT_ATTEMPTS:
+            self.completion.pending.queued[request.id] = request
 
     def on_progress(self, event: api.ProgressReport) -> None:
+        """Process a progress report of a running attempt."""
         attempt = self.attempt_manager.in_flight.attempts.get((event.request, event.attempt))
         if attempt is None:
             return
@@ -70,39 +92,41 @@
             self.retry_waiting(attempt)
 
     def retry_waiting(self, attempt: Attempt) -> None:
-        """It waits, for memory or a load: try elsewhere. Harmful if its place is far up: once an engine."""
-        job, engine = attempt.request, attempt.engine
+        """Cancel an attempt that waits for memory or a bulk load, if another engine may take it.
+
+        Each engine is left once only, since the attempt may lose a good place in the queue.
+        """
+        request = attempt.request
+        engine = attempt.engine
         engine.last_rejection_at = self.step_context.now
-        if not attempt.is_cancelled and self.retry_policy.can_retry(job):
-            job.failed_engines.append(engine.id)
-            if (
-                next(
-                    self.attempt_manager.engine_selector.eligibility.eligible_engines(job, strict=True), None
-                )
-                is not None
-            ):
-                self.completion.cancel(attempt)
+        if attempt.is_cancelled or not self.retry_policy.can_retry(request):
+            return
+        request.failed_engines.append(engine.id)
+        if next(self.eligibility.eligible_engines(request, strict=True), None) is not None:
+            self.completion.cancel(attempt)
 
-    def check_progress(self, attempt: Attempt, done: float) -> None:
-        """Bad plan, or stuck on a slow engine: a fresh run is expected to end much sooner.
+    def check_progress(self, attempt: Attempt, progress: float) -> None:
+        """Cancel an attempt whose rest would take far longer than a fresh run.
 
-        If a second run is as slow, the query is long: given up when it cannot end in time or others wait.
+        If a second run is as slow, the request itself is long: it is given up if it can't finish in time
+        or if others wait.
+
+        Args:
+            attempt: The running attempt.
+            progress: The part done, from 0 to 1.
         """
-        job, now = attempt.request, self.step_context.now
-        remainder = (now - attempt.sent_at) * (1.0 - done) / max(done, 1e-3)
-        fresh = self.completion.workload_estimates.exec_time(job)
-        if (
-            attempt.is_cancelled
-            or job.is_ended
-            or job.is_streaming
-            or remainder <= MAX_REMAINING_EXEC_TIMES * fresh
-        ):
+        request = attempt.request
+        now = self.step_context.now
+        remaining_time = (now - attempt.sent_at) * (1.0 - progress) / max(progress, MIN_PROGRESS)
+        exec_time = self.workload_estimates.exec_time(request)
+        if not self._is_supervised(attempt) or remaining_time <= MAX_REMAINING_EXEC_TIMES * exec_time:
             return
-        hopeless = remainder > MAX_REMAINING_TIME_RATIO * (job.expires_at - now)
-        if not job.was_restarted and self.retry_policy.can_retry(job) and now + fresh < job.expires_at:
-            job.was_restarted = True
+        can_restart = not request.was_restarted and self.retry_policy.can_retry(request)
+        if can_restart and now + exec_time < request.expires_at:
+            request.was_restarted = True
             self.completion.cancel(attempt)
-        elif job.class_settings.idempotency is Idempotency.SAFE and (
-            self.concurrency_limit.is_blocked or hopeless
-        ):
-            self.completion.finish(job)
+            return
+        is_too_late = remaining_time > MAX_REMAINING_TIME_RATIO * (request.expires_at - now)
+        is_safe = request.class_settings.idempotency is Idempotency.SAFE
+        if is_safe and (self.concurrency_limit.is_blocked or is_too_late):
+            self.completion.finish(request)
--- a/saffronlane/policy/health/outlier_detection.py
+++ b/saffronlane/policy/health/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Which engines fail: a decayed share of failures, condemned and acquitted with hysteresis, tried again."""
+"""Outlier detection: engines that fail are ejected, tried with probe requests, and taken back."""
 
 import math
 
@@ -7,145 +7,171 @@
 from ...state import Attempt, Engine, EngineRegistry, Request, StepContext
 from ..estimation.workload_estimates import WorkloadEstimates
 
-MIN_OUTCOME_WEIGHT, MIN_CONNECTION_LOSS_WEIGHT = (
-    0.2,
-    0.4,
-)  # least weight of an outcome; of a break or silence: two condemn
-FAIL_MEMORY = 10.0  # seconds after which what was known of an engine weighs little against a new outcome
-EJECTION_THRESHOLD, RECOVERY_THRESHOLD = (
-    0.5,
-    0.2,
-)  # failure share at which an engine is left alone, and under which it is back
-PANIC_THRESHOLD = (
-    0.5  # with more than this share of engines ill the verdict is distrusted: the cause is elsewhere
-)
-MIN_PROBE_REQUEST_INTERVAL, MAX_PROBE_REQUEST_INTERVAL = (
-    0.4,
-    3.0,
-)  # seconds between trials of an ill engine; doubled while trials fail
-PROBE_REQUEST_RATIO, MAX_PROBE_REQUEST_CREDIT = (
-    0.2,
-    3.0,
-)  # trials per send, and at once: many ill engines must not take all
-MIN_RESTART_DURATION = (
-    0.25  # seconds after a break in which no process comes back, unless a connection was refused
-)
-LATE_RESPONSE_MARGIN = (
-    0.1  # seconds after a break at which an answer to earlier work is no longer one still on its way
-)
+MIN_OUTCOME_WEIGHT = 0.2  # lowest weight of one outcome in the failure ratio
+MIN_CONNECTION_LOSS_WEIGHT = 0.4  # the same for a lost connection or no response: two of them eject
+FAIL_MEMORY = 10.0  # seconds in which the weight of earlier outcomes falls to 1/e
+EJECTION_THRESHOLD = 0.5  # failure ratio above which an engine is ejected
+RECOVERY_THRESHOLD = 0.2  # failure ratio below which it is taken back
+PANIC_THRESHOLD = 0.5  # ratio of ejected engines above which ejections are ignored: the cause is elsewhere
+MIN_PROBE_REQUEST_INTERVAL = 0.4  # seconds between probe requests to an ejected engine
+MAX_PROBE_REQUEST_INTERVAL = 3.0  # seconds; the interval doubles while probe requests fail
+PROBE_REQUEST_JITTER = 0.2  # part of the interval by which it varies either way
+PROBE_REQUEST_RATIO = 0.2  # probe requests per dispatch: ejected engines must not take all requests
+MAX_PROBE_REQUEST_CREDIT = 3.0  # probe requests that may be made at once
+MAX_PROBE_EXEC_TIME_RATIO = 2.0  # ExecTime of a probe request over that of the shortest class
+MIN_RESTART_DURATION = 0.25  # seconds that a process needs to restart; a refused connection shortens this
+LATE_RESPONSE_MARGIN = 0.1  # seconds after a connection loss in which earlier responses may still arrive
+SUCCESS = 0.0  # value of a successful outcome in the failure ratio
+FAILURE = 1.0  # value of a failed outcome in the failure ratio
 
 
 class OutlierDetector:
-    def __init__(self, batch: StepContext, fleet: EngineRegistry, classes: WorkloadEstimates) -> None:
-        self.step_context, self.engine_registry, self.workload_estimates = batch, fleet, classes
-        safe = [i for i, cls in enumerate(batch.settings.classes) if cls.idempotency is Idempotency.SAFE]
-        self.probe_request_classes = safe or list(range(len(batch.settings.classes)))  # may try an ill engine
-        self.probe_request_credit, self.is_panic_mode = MAX_PROBE_REQUEST_CREDIT, False
-
-    def admits(self, engine: Engine, job: Request) -> bool:
-        """An ill engine gets one short query at a time as a trial; distrusted verdicts bind nobody."""
+    """Keeps a decayed failure ratio of each engine; ejects and takes back with hysteresis."""
+
+    def __init__(
+        self,
+        step_context: StepContext,
+        engine_registry: EngineRegistry,
+        workload_estimates: WorkloadEstimates,
+    ) -> None:
+        self.step_context = step_context
+        self.engine_registry = engine_registry
+        self.workload_estimates = workload_estimates
+        classes = step_context.settings.classes
+        safe_classes = [i for i, c in enumerate(classes) if c.idempotency is Idempotency.SAFE]
+        self.probe_request_classes = safe_classes or list(range(len(classes)))
+        self.probe_request_credit = MAX_PROBE_REQUEST_CREDIT
+        self.is_panic_mode = False
+
+    def admits(self, engine: Engine, request: Request) -> bool:
+        """Return whether the engine may get the request; an ejected one gets single probe requests."""
         if not engine.is_ejected or (self.is_panic_mode and not engine.is_unresponsive):
             return True
-        if (
-            engine.in_flight
-            or self.step_context.now < engine.next_probe_request_at
-            or job.class_index not in self.probe_request_classes
-        ):
+        if engine.in_flight or self.step_context.now < engine.next_probe_request_at:
+            return False
+        return self._is_probe_request(request)
+
+    def _is_probe_request(self, request: Request) -> bool:
+        """Return whether the request is short and safe enough to try an ejected engine with it now."""
+        if request.class_index not in self.probe_request_classes:
             return False
-        learned = self.workload_estimates.estimators
-        short = self.workload_estimates.exec_time(job) <= 2.0 * min(
-            learned[i].exec_time() for i in self.probe_request_classes
-        )
-        return short and self.probe_request_credit >= 1.0 and not job.attempts
+        if request.attempts or self.probe_request_credit < 1.0:
+            return False
+        estimators = self.workload_estimates.estimators
+        min_exec_time = min(estimators[i].exec_time() for i in self.probe_request_classes)
+        return self.workload_estimates.exec_time(request) <= MAX_PROBE_EXEC_TIME_RATIO * min_exec_time
 
     def record_dispatch(self, engine: Engine) -> None:
-        self.probe_request_credit = min(
-            MAX_PROBE_REQUEST_CREDIT, self.probe_request_credit + PROBE_REQUEST_RATIO
-        )
+        """Count a dispatch towards the credit for probe requests, and a probe request against it."""
+        credit = self.probe_request_credit + PROBE_REQUEST_RATIO
+        self.probe_request_credit = min(MAX_PROBE_REQUEST_CREDIT, credit)
         if engine.is_ejected:
             self.schedule_probe_request(engine)
             self.probe_request_credit -= 1.0
 
     def record_outcome(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Keep the engine's failure share; condemn and acquit with hysteresis."""
-        now, engine, sent = self.step_context.now, attempt.engine, attempt.sent_at
-        if (
-            outcome is Outcome.OK
-            and sent < max(engine.connection_lost_at, engine.inferred_restart_at) < now - LATE_RESPONSE_MARGIN
-        ):
-            engine.connection_lost_at = (
-                engine.inferred_restart_at
-            ) = -math.inf  # it kept what it had: a link broke, no process
-        if outcome in (Outcome.OK, Outcome.ERROR, Outcome.REJECTED):
-            engine.record_response(
-                now,
-                is_same_process=sent <= engine.connection_lost_at + MIN_RESTART_DURATION
-                and not engine.connection_refused,
-            )
-        if outcome in (Outcome.RESET, Outcome.CONNECT_FAILED):
-            if engine.record_connection_loss(now, was_refused=outcome is Outcome.CONNECT_FAILED):
-                self.update_failure_ratio(engine, MIN_CONNECTION_LOSS_WEIGHT, 1.0)
-        elif outcome is Outcome.OK:  # one answer disproves silence; a share of failures has to wear off
-            self.update_failure_ratio(engine, 1.0 if engine.is_unresponsive else MIN_OUTCOME_WEIGHT, 0.0)
-        if not engine.is_ejected and engine.failure_ratio > EJECTION_THRESHOLD:
-            self.eject(engine, "failing")
-        elif engine.is_ejected and outcome is Outcome.OK and engine.failure_ratio < RECOVERY_THRESHOLD:
-            engine.is_ejected, engine.is_unresponsive, engine.probe_request_interval = (
-                False,
-                False,
-                MIN_PROBE_REQUEST_INTERVAL,
-            )
-            self.step_context.emit(api.Log(f"engine {engine.id.hex()} answers again, back in use"))
-            self.update_panic_mode()
-        elif engine.is_ejected and outcome not in (Outcome.OK, Outcome.CANCELLED, Outcome.NOT_SENT):
-            engine.probe_request_interval = min(
-                engine.probe_request_interval * 2.0, MAX_PROBE_REQUEST_INTERVAL
-            )
+        """Update the engine's connection state and failure ratio; eject it or take it back."""
+        engine = attempt.engine
+        self._record_connection_state(attempt, outcome)
+        if outcome is Outcome.OK:  # one response disproves unresponsiveness; a failure ratio has to decay
+            weight = 1.0 if engine.is_unresponsive else MIN_OUTCOME_WEIGHT
+            self.update_failure_ratio(engine, weight, SUCCESS)
+        if not engine.is_ejected:
+            self._eject_if_failing(engine)
+        elif outcome is Outcome.OK and engine.failure_ratio < RECOVERY_THRESHOLD:
+            self._take_back(engine)
+        elif outcome not in (Outcome.OK, Outcome.CANCELLED, Outcome.NOT_SENT):
+            interval = engine.probe_request_interval * 2.0
+            engine.probe_request_interval = min(interval, MAX_PROBE_REQUEST_INTERVAL)
             self.schedule_probe_request(engine)
 
-    def attribute_errors(self, attempt: Attempt, last: bool) -> None:
-        """An error is its engine's once another serves the request, or if none may; else maybe the request's.
+    def _record_connection_state(self, attempt: Attempt, outcome: Outcome) -> None:
+        """Record what an outcome shows of the engine's connections and process."""
+        now = self.step_context.now
+        engine = attempt.engine
+        lost_at = max(engine.connection_lost_at, engine.inferred_restart_at)
+        if outcome is Outcome.OK and attempt.sent_at < lost_at < now - LATE_RESPONSE_MARGIN:
+            # The process kept work from before the loss: only a connection broke.
+            engine.connection_lost_at = -math.inf
+            engine.inferred_restart_at = -math.inf
+        match outcome:
+            case Outcome.OK | Outcome.ERROR | Outcome.REJECTED:
+                was_sent_before_restart = attempt.sent_at <= engine.connection_lost_at + MIN_RESTART_DURATION
+                is_same_process = was_sent_before_restart and not engine.connection_refused
+                engine.record_response(now, is_same_process=is_same_process)
+            case Outcome.RESET | Outcome.CONNECT_FAILED:
+                was_refused = outcome is Outcome.CONNECT_FAILED
+                if engine.record_connection_loss(now, was_refused=was_refused):
+                    self.update_failure_ratio(engine, MIN_CONNECTION_LOSS_WEIGHT, FAILURE)
 
-        Guards against floods of requests that no engine can run. Harmful where an engine errs on all it gets.
+    def attribute_errors(self, attempt: Attempt, is_last_attempt: bool) -> None:
+        """Count errors against their engines once another engine has served the request.
+
+        The only attempt of a request counts as well; else the request may be the cause, and a flood of
+        requests that fail everywhere must not eject the engines.
         """
         attempts = attempt.request.attempts
-        guilty = [a.engine for a in attempts if a.outcome is Outcome.ERROR]
-        alone = attempt.outcome is Outcome.ERROR and len(attempts) == 1 and last
-        for engine in guilty if attempt.outcome is Outcome.OK or alone else ():
-            self.update_failure_ratio(engine, MIN_OUTCOME_WEIGHT, 1.0)
-            if not engine.is_ejected and engine.failure_ratio > EJECTION_THRESHOLD:
-                self.eject(engine, "failing")
+        is_only_attempt = len(attempts) == 1 and is_last_attempt
+        if attempt.outcome is Outcome.OK or (attempt.outcome is Outcome.ERROR and is_only_attempt):
+            for engine in [a.engine for a in attempts if a.outcome is Outcome.ERROR]:
+                self.update_failure_ratio(engine, MIN_OUTCOME_WEIGHT, FAILURE)
+                if not engine.is_ejected:
+                    self._eject_if_failing(engine)
 
     def record_unresponsive(self, engine: Engine) -> bool:
-        """An attempt had no word for too long; whether that was the one too many, and all there is lost."""
-        self.update_failure_ratio(engine, MIN_CONNECTION_LOSS_WEIGHT, 1.0)
+        """Record an attempt without a response; return whether the engine is ejected now."""
+        self.update_failure_ratio(engine, MIN_CONNECTION_LOSS_WEIGHT, FAILURE)
         if engine.failure_ratio > EJECTION_THRESHOLD:
-            self.eject(engine, "silent")
+            self.eject(engine, "unresponsive")
         return engine.is_ejected
 
-    def update_failure_ratio(self, engine: Engine, least: float, failed: float) -> None:
-        """An outcome weighs more the longer nothing was known: one of many gateways hears seldom."""
-        fresh = 1.0 - math.exp(max(engine.last_outcome_at - self.step_context.now, -1e3) / FAIL_MEMORY)
-        engine.failure_ratio += max(least, fresh) * (failed - engine.failure_ratio)
+    def update_failure_ratio(self, engine: Engine, min_weight: float, value: float) -> None:
+        """Add an outcome to the failure ratio; it weighs more the longer ago the last one was.
+
+        Args:
+            engine: The engine of the attempt.
+            min_weight: The lowest weight, between 0 and 1.
+            value: `FAILURE` or `SUCCESS`.
+        """
+        elapsed = max(engine.last_outcome_at - self.step_context.now, -1e3)
+        weight = max(min_weight, 1.0 - math.exp(elapsed / FAIL_MEMORY))
+        engine.failure_ratio += weight * (value - engine.failure_ratio)
         engine.last_outcome_at = self.step_context.now
 
-    def eject(self, engine: Engine, why: str) -> None:
-        engine.is_ejected, engine.failure_ratio, engine.is_unresponsive = True, 1.0, why == "silent"
+    def _eject_if_failing(self, engine: Engine) -> None:
+        """Eject an engine whose failure ratio passes the threshold."""
+        if engine.failure_ratio > EJECTION_THRESHOLD:
+            self.eject(engine, "failing")
+
+    def eject(self, engine: Engine, reason: str) -> None:
+        """Eject an engine, as "failing" or "unresponsive"."""
+        engine.is_ejected = True
+        engine.failure_ratio = 1.0
+        engine.is_unresponsive = reason == "unresponsive"
         engine.probe_request_interval = MIN_PROBE_REQUEST_INTERVAL
         self.schedule_probe_request(engine)
-        self.step_context.emit(api.Log(f"engine {engine.id.hex()} {why}, left alone but for trials"))
+        self.step_context.emit(api.Log(f"engine ejected: {engine.id.hex()} {reason}"))
+        self.update_panic_mode()
+
+    def _take_back(self, engine: Engine) -> None:
+        """End the ejection of an engine."""
+        engine.is_ejected = False
+        engine.is_unresponsive = False
+        engine.probe_request_interval = MIN_PROBE_REQUEST_INTERVAL
+        self.step_context.emit(api.Log(f"engine recovered: {engine.id.hex()}"))
         self.update_panic_mode()
 
     def schedule_probe_request(self, engine: Engine) -> None:
-        engine.next_probe_request_at = (
-            self.step_context.now + engine.probe_request_interval * self.step_context.random.uniform(0.8, 1.2)
-        )
+        """Set the time of the next probe request, with jitter."""
+        jitter = self.step_context.random.uniform(1.0 - PROBE_REQUEST_JITTER, 1.0 + PROBE_REQUEST_JITTER)
+        engine.next_probe_request_at = self.step_context.now + engine.probe_request_interval * jitter
 
     def update_panic_mode(self) -> None:
-        before, ready = self.is_panic_mode, self.engine_registry.ready
-        self.is_panic_mode = sum(
-            e.is_ejected and not e.is_unresponsive for e in ready
-        ) > PANIC_THRESHOLD * len(ready)
-        if self.is_panic_mode != before:
-            text = "most engines look ill, verdicts ignored" if self.is_panic_mode else "verdicts hold again"
+        """Ignore ejections while too many of the ready engines are ejected as failing."""
+        was_panic_mode = self.is_panic_mode
+        ready = self.engine_registry.ready
+        ejected_count = sum(engine.is_ejected and not engine.is_unresponsive for engine in ready)
+        self.is_panic_mode = ejected_count > PANIC_THRESHOLD * len(ready)
+        if self.is_panic_mode != was_panic_mode:
+            text = "panic mode entered" if self.is_panic_mode else "panic mode left"
             self.step_context.emit(api.Log(text))
--- a/saffronlane/policy/routing/engine_selection.py
+++ b/saffronlane/policy/routing/engine_selection.py
@@ -26,6 +26,10 @@
         self.concurrency_limit = AdaptiveConcurrencyLimit(self.in_flight, reports)
         self.eligibility = EngineEligibility(reports.workload_estimates, health, self.concurrency_limit)
 
+    def on_engines_changed(self) -> None:
+        """Drop what depends on the set of ready engines."""
+        self.eligibility.rendezvous_order.clear()
+
     def load(self, engine: Engine) -> float:
         """Threads per core: own ones that are out or were lately kept busy, others' as told or reported."""
         own = engine.in_flight_threads + engine.recent_work.read(self.step_context.now, RECENT_WORK_HORIZON)
--- a/saffronlane/policy/routing/rendezvous.py
+++ b/saffronlane/policy/routing/rendezvous.py
@@ -1,34 +1,47 @@
-"""Rendezvous hash order of ready engines for a table group; without salt the same at every gateway."""
+"""Rendezvous hashing: the order in which ready engines are preferred for a table group."""
 
 from hashlib import blake2b
 
 from ...state import Engine, EngineRegistry, StepContext
 
-HOME_ENGINES, MIN_CROSS_ZONE_PRICE = (
-    4,
-    0.03,
-)  # of a group's first, the own zone's lead where crossing costs so many points
-MAX_CACHED_ORDERS = 4096  # hash orders remembered: table groups come from clients, and are without number
+HOME_ENGINES = 4  # first engines of an order, among which those of the own zone lead
+MIN_CROSS_ZONE_PRICE = 0.03  # points of service from which on crossing zones counts as costly
+MAX_CACHED_ORDERS = 4096  # orders; table groups come from clients and are unbounded
+DIGEST_SIZE = 8  # bytes
 
 
 class RendezvousOrder:
-    def __init__(self, batch: StepContext, fleet: EngineRegistry) -> None:
-        self.step_context, self.engine_registry = batch, fleet
-        self.cached_orders: dict[tuple[float, int], list[Engine]] = {}  # of ready engines
-        self.crossing_costs = batch.settings.cross_zone_price >= MIN_CROSS_ZONE_PRICE
+    """Computes and caches the orders. With seed 0 they are the same at all gateways of a zone."""
 
-    def __call__(self, tables: float, salt: int = 0) -> list[Engine]:
-        order = self.cached_orders.get((tables, salt))
+    def __init__(self, step_context: StepContext, engine_registry: EngineRegistry) -> None:
+        self.step_context = step_context
+        self.engine_registry = engine_registry
+        self.cached_orders: dict[tuple[float, int], list[Engine]] = {}
+        self.crossing_costs = step_context.settings.cross_zone_price >= MIN_CROSS_ZONE_PRICE
+
+    def __call__(self, table_group: float, hash_seed: int = 0) -> list[Engine]:
+        """Return the ready engines in the order for a table group; callers must not change the list."""
+        order = self.cached_orders.get((table_group, hash_seed))
         if order is None:
-            name = repr((float(tables), salt)).encode()
-            order = sorted(
-                self.engine_registry.ready, key=lambda e: blake2b(name + e.id, digest_size=8).digest()
-            )
-            if self.crossing_costs:  # of the first few, those of the own zone lead
-                order[:HOME_ENGINES] = sorted(
-                    order[:HOME_ENGINES], key=lambda e: e.zone != self.step_context.settings.zone
-                )
+            order = self._compute(table_group, hash_seed)
             if len(self.cached_orders) >= MAX_CACHED_ORDERS:
                 self.cached_orders.clear()
-            self.cached_orders[tables, salt] = order
+            self.cached_orders[table_group, hash_seed] = order
+        return order
+
+    def _compute(self, table_group: float, hash_seed: int) -> list[Engine]:
+        """Sort the ready engines by their hashes with the table group."""
+        prefix = repr((float(table_group), hash_seed)).encode()
+
+        def digest(engine: Engine) -> bytes:
+            return blake2b(prefix + engine.id, digest_size=DIGEST_SIZE).digest()
+
+        order = sorted(self.engine_registry.ready, key=digest)
+        if self.crossing_costs:
+            own_zone = self.step_context.settings.zone
+            order[:HOME_ENGINES] = sorted(order[:HOME_ENGINES], key=lambda engine: engine.zone != own_zone)
         return order
+
+    def clear(self) -> None:
+        """Drop the cached orders, after the ready engines have changed."""
+        self.cached_orders.clear()
--- a/saffronlane/policy/scheduling/admission.py
+++ b/saffronlane/policy/scheduling/admission.py
@@ -1,4 +1,4 @@
-"""A request that arrives: its deadline, its tenant's allowance, what its engines are asked first."""
+"""Admission of arriving requests: deadline, tenant rate limit and load probes."""
 
 from itertools import islice
 
@@ -8,56 +8,67 @@
 from ..execution.completion import RequestCompletion
 from ..routing.engine_selection import EngineSelector
 
-TENANT_RATE_MARGIN, TENANT_BURST_REQUESTS, TENANT_BURST_DURATION = (
-    1.3,
-    3.0,
-    2.0,
-)  # fronts are uneven; queries, seconds of a burst
+TENANT_RATE_MARGIN = 1.3  # rate allowed over a gateway's even share, since traffic is uneven
+TENANT_BURST_REQUESTS = 3.0  # requests of a burst at any rate
+TENANT_BURST_DURATION = 2.0  # seconds of the allowed rate that a burst may add
 
 
 class AdmissionController:
-    def __init__(self, answers: RequestCompletion, placement: EngineSelector) -> None:
-        self.step_context, self.settings, self.completion = (
-            answers.step_context,
-            answers.step_context.settings,
-            answers,
-        )
-        self.load_reports, self.eligibility = placement.load_reports, placement.eligibility
+    """Takes in requests and the results of the probes made for them."""
+
+    def __init__(self, completion: RequestCompletion, engine_selector: EngineSelector) -> None:
+        self.step_context = completion.step_context
+        self.settings = completion.step_context.settings
+        self.completion = completion
+        self.load_reports = engine_selector.load_reports
+        self.eligibility = engine_selector.eligibility
         self.token_buckets = [TokenBucket() for _ in self.settings.tenants]
 
     def on_arrival(self, event: api.Arrival) -> None:
-        answers, index = self.completion, min(event.class_index, len(self.settings.classes) - 1)
-        job = Request(event, index, self.settings.classes[index], self.step_context.now)
-        answers.workload_estimates.estimators[index].record_estimate(
-            job.estimated_cost, is_estimate_given=event.estimated_cost > 0.0
-        )
-        job.is_over_quota = self.exceeds_quota(event.tenant)
+        """Queue a request; finish it at once where an earlier attempt allows no other."""
+        request = self._create_request(event)
+        self.completion.add_pending(request)
+        if request.previous_attempt_count and self.completion.retry_policy.is_exhausted(request):
+            self.completion.finish(request)
+        elif self.load_reports.is_probing_enabled and self.completion.workload_estimates.is_heavy(request):
+            self._probe_load(request)
+
+    def _create_request(self, event: api.Arrival) -> Request:
+        """Create the request of an arrival and record its estimated cost."""
+        class_index = min(event.class_index, len(self.settings.classes) - 1)
+        request = Request(event, class_index, self.settings.classes[class_index], self.step_context.now)
+        estimator = self.completion.workload_estimates.estimators[class_index]
+        estimator.record_estimate(request.estimated_cost, is_estimate_given=event.estimated_cost > 0.0)
+        request.is_over_quota = self.exceeds_quota(event.tenant)
         if event.previous_attempt is not None:
-            job.add_previous_attempt(event.previous_attempt, self.settings.machine_types)
-        answers.add_pending(job)
-        if job.previous_attempt_count and answers.retry_policy.is_exhausted(job):
-            answers.finish(job)
-        elif self.load_reports.is_probing_enabled and answers.workload_estimates.is_heavy(job):
-            for engine in self.load_reports.select_probe_targets(
-                job, list(islice(self.eligibility.eligible_engines(job, True), MAX_PROBED_ENGINES))
-            ):
-                self.step_context.emit(api.ProbeLoad(engine.id))
-            if job.probing_until > self.step_context.now:
-                self.step_context.schedule(job.probing_until, None)
+            request.add_previous_attempt(event.previous_attempt, self.settings.machine_types)
+        return request
+
+    def _probe_load(self, request: Request) -> None:
+        """Probe the first engines that the request may go to."""
+        engines = list(islice(self.eligibility.eligible_engines(request, strict=True), MAX_PROBED_ENGINES))
+        for engine in self.load_reports.select_probe_targets(request, engines):
+            self.step_context.emit(api.ProbeLoad(engine.id))
+        if request.probing_until > self.step_context.now:
+            self.step_context.schedule(request.probing_until, None)
 
     def exceeds_quota(self, tenant: int) -> bool:
-        """Whether a tenant sends more than its allowance here: such queries yield while engines are full."""
-        tenants = self.settings.tenants
-        if not 0 <= tenant < len(tenants) or not tenants[tenant].rate_limit > 0.0:
+        """Count a request; return whether it is beyond its tenant's rate limit and yields to others."""
+        if not 0 <= tenant < len(self.settings.tenants):
+            return False
+        rate_limit = self.settings.tenants[tenant].rate_limit
+        if not rate_limit > 0.0:
             return False
-        rate = TENANT_RATE_MARGIN * tenants[tenant].rate_limit / self.settings.gateway_count
-        return self.token_buckets[tenant].overflows(
-            self.step_context.now, rate, TENANT_BURST_REQUESTS + TENANT_BURST_DURATION * rate
-        )
+        rate = TENANT_RATE_MARGIN * rate_limit / self.settings.gateway_count
+        depth = TENANT_BURST_REQUESTS + TENANT_BURST_DURATION * rate
+        return self.token_buckets[tenant].overflows(self.step_context.now, rate, depth)
 
     def on_probe_result(self, event: api.ProbeResult) -> None:
+        """Record the load report of a probe; an engine that fails it is avoided for a while."""
         engine = self.load_reports.engine_registry.engines.get(event.engine)
-        if engine is not None and event.outcome is api.Outcome.OK:
+        if engine is None:
+            return
+        if event.outcome is api.Outcome.OK:
             self.load_reports.record(engine, event.load_report)
-        elif engine is not None and event.outcome is not api.Outcome.REJECTED:
+        elif event.outcome is not api.Outcome.REJECTED:
             engine.last_rejection_at = self.step_context.now
--- a/saffronlane/policy/scheduling/concurrency_limit.py
+++ b/saffronlane/policy/scheduling/concurrency_limit.py
@@ -1,88 +1,90 @@
-"""One limit on own threads over all engines, moved by how late answers are."""
+"""Adaptive limit on the gateway's own threads over all engines, moved by latency inflation."""
 
 import math
 
 from ...state import Engine, InFlightWork, Request, clamp
 from ..estimation.load_reports import LoadReports
 
-FAIR_SHARE_THREADS_PER_CORE = 1.3  # share under full pressure, over the gateway count; below any knee
-FAIR_SHARE_DEVIATIONS = (
-    1.5  # the share's slack in standard deviations: of few queries some are out together by chance
-)
-CONGESTED_INFLATION, RECOVERED_INFLATION = (
-    4.0,
-    2.5,
-)  # latency over the best: pressure, queries wait; and the limit grows again
-CONGESTED_THREADS_PER_CORE = (
-    2.0  # threads a core that engines report, read as PRESSED; the design's value for full
-)
-LIMIT_DECREASE_FACTOR, MIN_DECREASE_INTERVAL, LIMIT_INCREASE = (
-    0.85,
-    0.3,
-    0.5,
-)  # factor of a cut, seconds between cuts, threads of growth
-INFLATION_SMOOTHING = 0.2  # weight of one answer in the crowd that is felt
+FAIR_SHARE_THREADS_PER_CORE = 1.3  # threads per core under congestion, shared by all gateways
+FAIR_SHARE_DEVIATIONS = 1.5  # standard deviations above the fair share, for requests that coincide by chance
+CONGESTED_INFLATION = 4.0  # latency inflation above which the limit falls
+RECOVERED_INFLATION = 2.5  # latency inflation below which the limit grows
+CONGESTED_THREADS_PER_CORE = 2.0  # reported threads per core that count as `CONGESTED_INFLATION`
+LIMIT_DECREASE_FACTOR = 0.85  # factor on the limit at each decrease
+MIN_DECREASE_INTERVAL = 0.3  # seconds between decreases
+LIMIT_INCREASE = 0.5  # threads at each increase
+INFLATION_SMOOTHING = 0.2  # weight of one response in the smoothed latency inflation
 
 
 class AdaptiveConcurrencyLimit:
-    def __init__(self, own: InFlightWork, reports: LoadReports) -> None:
-        self.in_flight, self.load_reports, self.step_context, self.engine_registry = (
-            own,
-            reports,
-            reports.step_context,
-            reports.engine_registry,
-        )
-        self.latency_inflation = 1.0  # smoothed latency over the best, over all engines
-        self.limit, self.last_decrease_at = (
-            math.inf,
-            -math.inf,
-        )  # own threads allowed; under pressure, the share
-        self.is_blocked = False  # the last release found no room for a query
+    """Multiplicative decrease while responses are late, additive increase once they are not."""
+
+    def __init__(self, in_flight: InFlightWork, load_reports: LoadReports) -> None:
+        self.in_flight = in_flight
+        self.load_reports = load_reports
+        self.step_context = load_reports.step_context
+        self.engine_registry = load_reports.engine_registry
+        self.latency_inflation = 1.0  # smoothed, over all engines
+        self.limit = math.inf  # own threads
+        self.last_decrease_at = -math.inf
+        self.is_blocked = False  # the last release left a request without an engine
+
+    def admits(self, request: Request) -> bool:
+        """Return whether the limit has room for at least half of the request.
 
-    def admits(self, job: Request) -> bool:  # to half a query; none counts longer ones: a lane for the short
-        learned = self.load_reports.workload_estimates.estimators
-        own, out = (
-            learned[job.class_index].exec_time(),
-            zip(self.in_flight.threads_by_class, learned, strict=True),
+        Longer requests in flight don't count, so that short ones pass them.
+        """
+        estimators = self.load_reports.workload_estimates.estimators
+        exec_time = estimators[request.class_index].exec_time()
+        threads = sum(
+            class_threads
+            for class_threads, estimator in zip(self.in_flight.threads_by_class, estimators, strict=True)
+            if class_threads and estimator.exec_time() <= exec_time
         )
-        threads = sum(threads for threads, known in out if threads and known.exec_time() <= own)
-        return not threads or threads + job.class_settings.threads / 2.0 <= self.limit
+        return not threads or threads + request.class_settings.threads / 2.0 <= self.limit
 
     def max_threads_per_core(self) -> float:
-        """Past which heavy queries wait: the design's value while answers are quick, the share once not."""
-        quick = clamp(RECOVERED_INFLATION - self.latency_inflation, 0.0, 1.0)
-        return FAIR_SHARE_THREADS_PER_CORE + quick * (
-            CONGESTED_THREADS_PER_CORE - FAIR_SHARE_THREADS_PER_CORE
-        )
+        """Return the threads per core of an engine up to which it gets heavy requests.
 
-    def record_response(self, engine: Engine, crowd: float, threads: float) -> None:
-        """By the threads a core told with it, else by how late it was; a cold engine is slow, not crowded."""
-        crowd = threads * CONGESTED_INFLATION / CONGESTED_THREADS_PER_CORE if threads else crowd
-        self.record_latency_inflation(
-            crowd * engine.effective_cores(self.step_context.now, self.step_context.guarantees) / engine.cores
-        )
+        The limit falls from the congested threshold to the fair share as latency inflation rises.
+        """
+        quick_ratio = clamp(RECOVERED_INFLATION - self.latency_inflation, 0.0, 1.0)
+        span = CONGESTED_THREADS_PER_CORE - FAIR_SHARE_THREADS_PER_CORE
+        return FAIR_SHARE_THREADS_PER_CORE + quick_ratio * span
 
-    def record_latency_inflation(self, crowd: float) -> None:
-        """One limit over all engines falls towards the share while answers are late, and grows after."""
-        now, threads = self.step_context.now, self.in_flight.threads
-        self.latency_inflation += INFLATION_SMOOTHING * (
-            min(crowd, CONGESTED_INFLATION * 2.0) - self.latency_inflation
-        )
+    def record_response(self, engine: Engine, inflation: float, threads_per_core: float) -> None:
+        """Record a response by the load reported with it, else by its latency inflation.
+
+        Args:
+            engine: The engine that responded; while it warms up it is slow, not congested.
+            inflation: Latency over the uncontended latency.
+            threads_per_core: Load that the engine reported; 0 if not reported.
+        """
+        if threads_per_core:
+            inflation = threads_per_core * CONGESTED_INFLATION / CONGESTED_THREADS_PER_CORE
+        guarantees = self.step_context.guarantees
+        effective_cores = engine.effective_cores(self.step_context.now, guarantees)
+        self.record_latency_inflation(inflation * effective_cores / engine.cores)
+
+    def record_latency_inflation(self, inflation: float) -> None:
+        """Update the smoothed latency inflation and move the limit accordingly."""
+        bounded_inflation = min(inflation, CONGESTED_INFLATION * 2.0)
+        self.latency_inflation += INFLATION_SMOOTHING * (bounded_inflation - self.latency_inflation)
+        now = self.step_context.now
+        threads = self.in_flight.threads
         if (
             self.latency_inflation > CONGESTED_INFLATION
             and now >= self.last_decrease_at + MIN_DECREASE_INTERVAL
         ):
-            part = (
-                self.engine_registry.ready_cores
-                * FAIR_SHARE_THREADS_PER_CORE
-                / self.step_context.settings.gateway_count
-            )  # run well
-            floor = (
-                part + FAIR_SHARE_DEVIATIONS * math.sqrt(part)
-                if self.load_reports.active_column is None
-                else 1.0
-            )
-            self.limit = max(floor, min(self.limit, threads + 1.0) * LIMIT_DECREASE_FACTOR)
+            self.limit = max(self._min_limit(), min(self.limit, threads + 1.0) * LIMIT_DECREASE_FACTOR)
             self.last_decrease_at = now
         elif self.latency_inflation < RECOVERED_INFLATION and threads >= self.limit / 2.0:
             self.limit += LIMIT_INCREASE
+
+    def _min_limit(self) -> float:
+        """Return the lowest limit in threads: the fair share, or 1 where engines report their load."""
+        if self.load_reports.active_column is not None:
+            return 1.0
+        gateway_count = self.step_context.settings.gateway_count
+        fair_share = self.engine_registry.ready_cores * FAIR_SHARE_THREADS_PER_CORE / gateway_count
+        return fair_share + FAIR_SHARE_DEVIATIONS * math.sqrt(fair_share)
--- a/saffronlane/policy/scheduling/group_edf.py
+++ b/saffronlane/policy/scheduling/group_edf.py
@@ -1,4 +1,4 @@
-"""Group EDF over the held queries, and the refusal of those whose time has lapsed."""
+"""Group EDF over the queued requests, and the end of those that can't finish in time."""
 
 import math
 
@@ -7,84 +7,114 @@
 from ..execution.attempts import AttemptManager
 from ..execution.completion import EXPIRY_MARGIN
 
-GROUP_RANGE_RATIO = 0.4  # Gr: how far past the earliest deadline a group reaches, in spans; the paper's value
-MIN_LATE_PRIORITY_WEIGHT = (
-    0.4  # while engines are full the aim is the limit of classes whose late answers earn less
-)
-EXPIRY_CHECK_INTERVAL = (
-    0.05  # seconds between looks for lapsed queries; every batch would cost too much when many wait
+GROUP_RANGE_RATIO = (
+    0.4  # Gr of the paper: a group's range past the earliest deadline, in its time to deadline
 )
+MIN_LATE_PRIORITY_WEIGHT = 0.4  # while engines are full, classes below this expire at their objective
+EXPIRY_CHECK_INTERVAL = 0.05  # seconds; checking at each step would cost too much with long queues
+TIME_TOLERANCE = 1e-6  # seconds by which a timer may fire early
 
 
 class GroupEdfScheduler:
-    def __init__(self, attempts: AttemptManager) -> None:
-        self.attempt_manager, self.step_context, self.completion = (
-            attempts,
-            attempts.step_context,
-            attempts.completion,
-        )
-        self.engine_selector, self.concurrency_limit = (
-            attempts.engine_selector,
-            attempts.engine_selector.concurrency_limit,
-        )
+    """Releases queued requests: the earliest deadline names a group, its shortest request goes first."""
+
+    def __init__(self, attempt_manager: AttemptManager) -> None:
+        self.attempt_manager = attempt_manager
+        self.step_context = attempt_manager.step_context
+        self.completion = attempt_manager.completion
+        self.pending = attempt_manager.completion.pending
+        self.retry_policy = attempt_manager.completion.retry_policy
+        self.workload_estimates = attempt_manager.workload_estimates
+        self.engine_selector = attempt_manager.engine_selector
+        self.concurrency_limit = attempt_manager.engine_selector.concurrency_limit
         self.next_expiry_check_at = -math.inf
 
-    def is_expired(self, job: Request) -> bool:
-        """The design's refusal: now + ExecTime passes the query's, the class's or the client's limit."""
-        known, blocked = (
-            self.completion.workload_estimates.estimators[job.class_index],
-            self.concurrency_limit.is_blocked,
-        )
-        limit = (
-            min(job.deadline, job.expires_at - EXPIRY_MARGIN)
-            if not (blocked and job.is_over_quota)
-            else -math.inf
-        )
-        if blocked and job.class_settings.late_priority_weight < MIN_LATE_PRIORITY_WEIGHT:
-            stretch = (
-                job.class_settings.latency_objective_per_work
-                * known.work(job.estimated_cost)
-                / job.class_settings.threads
-            )
-            limit = min(limit, job.arrived_at + job.class_settings.latency_objective + stretch)
-        return (
-            self.step_context.now
-            + (known.exec_time(job.estimated_cost) if known.answer_count >= SEED_ANSWERS else 0.0)
-            > limit
-        )
+    def is_expired(self, request: Request) -> bool:
+        """Return whether now + ExecTime passes the limit of the request, its class or its client."""
+        estimator = self.workload_estimates.estimators[request.class_index]
+        exec_time = 0.0
+        if estimator.answer_count >= SEED_ANSWERS:
+            exec_time = estimator.exec_time(request.estimated_cost)
+        return self.step_context.now + exec_time > self._completion_limit(request)
+
+    def _completion_limit(self, request: Request) -> float:
+        """Return the time by which the request has to be completed to be worth an attempt."""
+        is_blocked = self.concurrency_limit.is_blocked
+        if is_blocked and request.is_over_quota:
+            return -math.inf
+        limit = min(request.deadline, request.expires_at - EXPIRY_MARGIN)
+        settings = request.class_settings
+        if is_blocked and settings.late_priority_weight < MIN_LATE_PRIORITY_WEIGHT:
+            work = self.workload_estimates.estimators[request.class_index].work(request.estimated_cost)
+            work_allowance = settings.latency_objective_per_work * work / settings.threads
+            limit = min(limit, request.arrived_at + settings.latency_objective + work_allowance)
+        return limit
 
     def release(self) -> None:
-        """Group EDF over the held queries, until none can be placed."""
-        now, owed, permits = self.step_context.now, self.completion.pending, self.completion.retry_policy
+        """Start attempts of queued requests until none of those left has an engine."""
+        now = self.step_context.now
         if now >= self.next_expiry_check_at:
             self.next_expiry_check_at = now + EXPIRY_CHECK_INTERVAL
-            for job in [j for j in owed.queued.values() if permits.is_exhausted(j) or self.is_expired(j)]:
-                if job.in_flight_count:  # a second copy that finds no room: the first may still answer
-                    del owed.queued[job.id]
-                else:
-                    self.completion.finish(job)
+            self._finish_expired()
         self.concurrency_limit.is_blocked = False
         self.engine_selector.peer_load.expire(now)
-        owed.ordering.expire_cooldowns(now)
-        waiting = [j for j in owed.queued.values() if j.probing_until <= now + 1e-6]
-        waiting = [j for j in waiting if owed.ordering.is_next(j, now) and permits.has_retry_budget(j)]
-        waiting.sort(key=lambda j: (j.is_over_quota, j.deadline, j.id))
+        self.pending.ordering.expire_cooldowns(now)
+        waiting = self._releasable_requests()
         while waiting:
-            first = waiting[0]
-            end = first.deadline + GROUP_RANGE_RATIO * (first.deadline - first.arrived_at)
-            group = [j for j in waiting if j.is_over_quota == first.is_over_quota and j.deadline <= end]
-            job = min(
-                group, key=lambda j: (self.completion.workload_estimates.exec_time(j), j.deadline, j.id)
-            )
-            waiting.remove(job)
-            engine = self.engine_selector.select(job)
+            request = self._next_request(waiting)
+            waiting.remove(request)
+            engine = self.engine_selector.select(request)
             if engine is None:
                 self.concurrency_limit.is_blocked = True
-                # No room for others of its class: trying each costs too much; further tries go to no more.
-                waiting = [
-                    j
-                    for j in waiting
-                    if j.class_index != job.class_index or (job.attempts and not j.attempts)
-                ]
-            elif permits.can_retry(job):  # its key may have closed since the look for lapsed ones
-                self.attempt_manager.start(job, engine)
+                waiting = self._without_similar(waiting, request)
+            elif self.retry_policy.can_retry(request):  # its key may have expired since the last check
+                self.attempt_manager.start(request, engine)
+
+    def _finish_expired(self) -> None:
+        """End the queued requests that can have no further attempt or can't finish in time."""
+        expired = [
+            request
+            for request in self.pending.queued.values()
+            if self.retry_policy.is_exhausted(request) or self.is_expired(request)
+        ]
+        for request in expired:
+            if request.in_flight_count:  # queued for a hedged attempt; the first may still complete
+                del self.pending.queued[request.id]
+            else:
+                self.completion.finish(request)
+
+    def _releasable_requests(self) -> list[Request]:
+        """Return the queued requests that may start now, by quota and deadline."""
+        now = self.step_context.now
+        requests = [
+            request
+            for request in self.pending.queued.values()
+            if request.probing_until <= now + TIME_TOLERANCE
+            and self.pending.ordering.is_next(request, now)
+            and self.retry_policy.has_retry_budget(request)
+        ]
+        requests.sort(key=lambda request: (request.is_over_quota, request.deadline, request.id))
+        return requests
+
+    def _next_request(self, waiting: list[Request]) -> Request:
+        """Return the shortest request of the group that the first of the sorted requests names."""
+        first = waiting[0]
+        group_end = first.deadline + GROUP_RANGE_RATIO * (first.deadline - first.arrived_at)
+        group = [
+            request
+            for request in waiting
+            if request.is_over_quota == first.is_over_quota and request.deadline <= group_end
+        ]
+        exec_time = self.workload_estimates.exec_time
+        return min(group, key=lambda request: (exec_time(request), request.deadline, request.id))
+
+    def _without_similar(self, waiting: list[Request], blocked: Request) -> list[Request]:
+        """Return the requests that may find an engine where the blocked one found none.
+
+        Trying each request of its class costs too much; a retry may use fewer engines than a first attempt.
+        """
+        return [
+            request
+            for request in waiting
+            if request.class_index != blocked.class_index or (blocked.attempts and not request.attempts)
+        ]
--- a/saffronlane/policy/scheduling/retry_budget.py
+++ b/saffronlane/policy/scheduling/retry_budget.py
@@ -1,52 +1,37 @@
-"""Whether a request may go out again: rules 2 and 7."""
+"""Rule 7: the budget of retries over a sliding window."""
 
-from ...interface import Idempotency
 from ...state import Request, RetryBudgetWindow, StepContext
 
-MIN_TTL_MARGIN = 0.25  # least seconds before a key's time ends: what leaves must arrive
 
+def dispatch_delay(step_context: StepContext) -> float:
+    """Return the seconds within which a dispatched request has left the gateway."""
+    return step_context.settings.min_step_interval + step_context.limits.connect_timeout
 
-class RetryPolicy:
-    def __init__(self, batch: StepContext) -> None:
-        self.step_context, self.guarantees, self.budget = batch, batch.guarantees, RetryBudgetWindow()
-        self.slack = (
-            batch.settings.min_step_interval + batch.limits.connect_timeout
-        )  # until what is sent has left
 
-    def has_retry_budget(self, job: Request) -> bool:
-        """Rule 7: a sliding window over served requests and further attempts, checked at each of the latter.
+class RetryBudget:
+    """Limits retries to a base and a ratio of the requests served within the window."""
 
-        Only what was served widens it: all else may be no usual client's. What is free may be used already.
-        """
-        rules, ration, now = self.guarantees, self.budget, self.step_context.now
-        if len(job.attempts) <= job.previous_attempt_count or rules.retry_budget_base is None:
+    def __init__(self, step_context: StepContext) -> None:
+        self.step_context = step_context
+        self.guarantees = step_context.guarantees
+        self.dispatch_delay = dispatch_delay(step_context)
+        self.window = RetryBudgetWindow()
+
+    def allows(self, request: Request) -> bool:
+        """Return whether the budget allows the request's next attempt; the first one is free."""
+        if len(request.attempts) <= request.previous_attempt_count:
             return True
-        taken = ration.served_arrivals.count_since(now - rules.retry_budget_window + self.slack)
-        extras = ration.retries.count_since(now - rules.retry_budget_window - self.slack)
-        free = (
-            rules.retry_budget_base
-            if now >= self.step_context.started_at + rules.retry_budget_window + self.slack
-            else 0.0
-        )
-        return extras + 1 <= free + rules.retry_budget_ratio * taken
-
-    def is_retry_safe(self, job: Request) -> bool:
-        """Rule 2: whether the request may go out again, as far as its earlier attempts are concerned."""
-        first, arrives = (
-            job.first_possible_execution(),
-            self.step_context.now + max(MIN_TTL_MARGIN, self.slack),
-        )  # once connected
-        if first is None or job.class_settings.idempotency is Idempotency.SAFE:
+        base = self.guarantees.retry_budget_base
+        if base is None:
             return True
-        return (
-            job.class_settings.idempotency is Idempotency.KEYED
-            and arrives <= first.sent_at + job.class_settings.idempotency_ttl
-        )
-
-    def is_exhausted(self, job: Request) -> bool:
-        return len(job.attempts) - job.previous_attempt_count >= max(
-            1, self.step_context.limits.max_attempts
-        ) or not self.is_retry_safe(job)
-
-    def can_retry(self, job: Request) -> bool:
-        return not (job.is_ended or job.is_streaming or self.is_exhausted(job)) and self.has_retry_budget(job)
+        window_start = self.step_context.now - self.guarantees.retry_budget_window
+        # Only served requests widen the budget: others may not come from the usual clients.
+        served_count = self.window.served_arrivals.count_since(window_start + self.dispatch_delay)
+        retry_count = self.window.retries.count_since(window_start - self.dispatch_delay)
+        available_base = base if self._is_window_complete() else 0.0
+        return retry_count + 1 <= available_base + self.guarantees.retry_budget_ratio * served_count
+
+    def _is_window_complete(self) -> bool:
+        """Return whether the gateway has run for a window; before, the base may be in use already."""
+        first_window_end = self.step_context.started_at + self.guarantees.retry_budget_window
+        return self.step_context.now >= first_window_end + self.dispatch_delay
--- /dev/null
+++ b/saffronlane/policy/scheduling/retry_safety.py
@@ -0,0 +1,29 @@
+"""Rule 2: whether a request may be executed again after its earlier attempts."""
+
+from ...interface import Idempotency
+from ...state import Request, StepContext
+from .retry_budget import dispatch_delay
+
+MIN_TTL_MARGIN = 0.25  # seconds before the expiry of an idempotency key within which nothing is dispatched
+
+
+class RetrySafety:
+    """Decides whether another attempt can have no second effect."""
+
+    def __init__(self, step_context: StepContext) -> None:
+        self.step_context = step_context
+        self.ttl_margin = max(MIN_TTL_MARGIN, dispatch_delay(step_context))
+
+    def is_retry_safe(self, request: Request) -> bool:
+        """Return whether the request may be dispatched, as far as its earlier attempts are concerned."""
+        first = request.first_possible_execution()
+        if first is None:
+            return True
+        match request.class_settings.idempotency:
+            case Idempotency.SAFE:
+                return True
+            case Idempotency.KEYED:
+                arrives_at = self.step_context.now + self.ttl_margin
+                return arrives_at <= first.sent_at + request.class_settings.idempotency_ttl
+            case Idempotency.UNSAFE:
+                return False
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -763,7 +763,7 @@
         life.done(life.submit(), elapsed=0.05)
     open_one = life.submit(ordering_key=5)
     unsafe = life.submit(cls=1, idempotency_key=b"u")
-    life.core.gateway.handlers[api.ProgressReport] = lambda event: 1 / 0
+    life.core.gateway.hedging.on_progress = lambda event: 1 / 0
     life.step(d.AttemptProgress(open_one, 0, api.ProgressKind.PROGRESS, 0.5))
     assert life.core.fault_count == 1 and life.answers(open_one) and life.answers(unsafe)
     assert life.core.gateway.workload_estimates.estimators[0].exec_time() == pytest.approx(0.05, rel=0.05)
--- a/tests/test_ordinary_path.py
+++ b/tests/test_ordinary_path.py
@@ -10,13 +10,13 @@
 
 from saffronlane import interface as api
 from saffronlane.interface import Outcome
-from saffronlane.policy.scheduling import concurrency_limit as pressure
+from saffronlane.policy.scheduling import concurrency_limit
 
 
 @pytest.fixture(autouse=True)
 def steady_limits(monkeypatch: pytest.MonkeyPatch) -> None:
     """Keep the limit where a test puts it."""
-    monkeypatch.setattr(pressure, "GROW", 0.0)
+    monkeypatch.setattr(concurrency_limit, "LIMIT_INCREASE", 0.0)
 
 
 def crowded_driver(**changes: object) -> Driver:
