--- a/saffronlane/policy/routing/eligibility.py
+++ b/saffronlane/policy/routing/eligibility.py
@@ -1,92 +1,94 @@
-"""Which engines a query may go to, and which have room for it."""
+"""Eligibility of engines: where a request may go by the rules, and where it had better go."""
 
 from collections.abc import Iterator
 
 from ...interface import DeduplicationScope, Idempotency
 from ...state import Engine, Request
-from ..estimation.workload_estimates import WorkloadEstimates
+from ..estimation.load_reports import LoadReports
 from ..health.outlier_detection import OutlierDetector
 from ..scheduling.concurrency_limit import AdaptiveConcurrencyLimit
+from .capacity import EngineCapacity
 from .rendezvous import RendezvousOrder
-from .slow_start import has_slow_start_capacity
 
-REJECTION_COOLDOWN = 1.0  # seconds that an engine where a query had to wait is left out
-MAX_GRANTED_MEMORY_RATIO = (
-    0.85  # of an engine's memory that own and told grants may fill; the rest is for untold queries
-)
+REJECTION_COOLDOWN = 1.0  # seconds for which an engine is avoided after it had a request wait
 
 
 class EngineEligibility:
+    """Lists the engines that a request may use, in the order of preference."""
+
     def __init__(
-        self, classes: WorkloadEstimates, health: OutlierDetector, pressure: AdaptiveConcurrencyLimit
+        self,
+        load_reports: LoadReports,
+        outlier_detector: OutlierDetector,
+        concurrency_limit: AdaptiveConcurrencyLimit,
     ) -> None:
-        self.step_context, self.workload_estimates, self.outlier_detector, self.concurrency_limit = (
-            health.step_context,
-            classes,
-            health,
-            pressure,
-        )
-        self.rendezvous_order = RendezvousOrder(health.step_context, health.engine_registry)
+        self.step_context = load_reports.step_context
+        self.workload_estimates = load_reports.workload_estimates
+        self.outlier_detector = outlier_detector
+        self.capacity = EngineCapacity(load_reports, concurrency_limit)
+        self.rendezvous_order = RendezvousOrder(load_reports.step_context, load_reports.engine_registry)
 
-    def is_allowed(self, engine: Engine, job: Request) -> bool:
-        """Rules 2 and 6: where this request may go at all."""
-        cls = job.class_settings
-        in_zone = cls.allowed_zones is None or engine.zone in cls.allowed_zones
-        in_kind = cls.allowed_machine_types is None or engine.machine_type in cls.allowed_machine_types
-        first = (
-            job.first_possible_execution()
-            if cls.idempotency is Idempotency.KEYED and cls.deduplication_scope is not DeduplicationScope.ALL
-            else None
-        )
-        if first is None or not (in_zone and in_kind):
-            return in_zone and in_kind
-        zone, cell = engine.zone == first.engine.zone, engine.cell == first.engine.cell
-        return zone if cls.deduplication_scope is DeduplicationScope.ZONE else cell
+    def is_allowed(self, engine: Engine, request: Request) -> bool:
+        """Return whether rules 2 and 6 allow the request on the engine."""
+        settings = request.class_settings
+        if settings.allowed_zones is not None and engine.zone not in settings.allowed_zones:
+            return False
+        machine_types = settings.allowed_machine_types
+        if machine_types is not None and engine.machine_type not in machine_types:
+            return False
+        return self._is_in_deduplication_scope(engine, request)
 
-    def has_capacity(self, engine: Engine, job: Request, heavy: bool, need: float) -> bool:
-        """Whether the engine has room; past its memory a query spills and does its work several times."""
-        told, batch = self.step_context.limits.gossip, self.step_context
-        if told and heavy:
-            threads = engine.in_flight_threads + engine.peer_threads + job.class_settings.threads / 2.0
-            if (
-                threads
-                > engine.effective_cores(batch.now, batch.guarantees)
-                * self.concurrency_limit.max_threads_per_core()
-            ):
-                return False
-        if engine.memory_mb and (told or engine.in_flight_memory_mb):  # untold, a part of the memory is ours
-            room = engine.memory_mb * (
-                MAX_GRANTED_MEMORY_RATIO if told else 1.0 / batch.settings.gateway_count
-            )
-            # One of many gateways never sees an engine empty: half of the room is enough for the largest.
-            if (
-                min(need, room / 2.0) if told else need
-            ) > room - engine.in_flight_memory_mb - engine.peer_memory_mb:
-                return False
-        return has_slow_start_capacity(batch, self.workload_estimates, engine, job)
+    def _is_in_deduplication_scope(self, engine: Engine, request: Request) -> bool:
+        """Return whether the engine would discard the request if an earlier attempt was executed."""
+        settings = request.class_settings
+        if settings.idempotency is not Idempotency.KEYED:
+            return True
+        if settings.deduplication_scope is DeduplicationScope.ALL:
+            return True
+        first = request.first_possible_execution()
+        if first is None:
+            return True
+        if settings.deduplication_scope is DeduplicationScope.ZONE:
+            return engine.zone == first.engine.zone
+        return engine.cell == first.engine.cell
 
     def eligible_engines(
-        self, job: Request, strict: bool, among: list[Engine] | None = None
+        self, request: Request, strict: bool, candidates: list[Engine] | None = None
     ) -> Iterator[Engine]:
-        """Engines in hash order that may be used; strict passes over those that had better be left out."""
-        # Loads have a hash order of our own: a second one of a group would stand still.
-        apart, salt = (
-            job.class_settings.is_bulk_load or job.class_settings.waits_for_bulk_loads,
-            self.step_context.settings.gateway_index + 1,
-        )
-        heavy, need = self.workload_estimates.is_heavy(job), self.workload_estimates.resource_grant(job)[0]
-        for engine in among or self.rendezvous_order(
-            job.table_group, salt if job.class_settings.is_bulk_load else 0
-        ):
-            if strict and (
-                engine.last_rejection_at > self.step_context.now - REJECTION_COOLDOWN
-                or engine.id in job.failed_engines
-            ):
+        """Yield the engines that the request may use now, in the order of preference.
+
+        Args:
+            request: The request.
+            strict: Whether to leave out engines that had better be avoided, too.
+            candidates: The engines to choose from; by default all in hash order.
+        """
+        is_heavy = self.workload_estimates.is_heavy(request)
+        memory_mb = self.workload_estimates.resource_grant(request).memory_mb
+        for engine in candidates or self._ordered_engines(request):
+            if strict and self._should_avoid(engine, request):
                 continue
-            if strict and apart and engine.is_bulk_loading(job.table_group):
+            if any(attempt.engine is engine and attempt.outcome is None for attempt in request.attempts):
                 continue
-            if any(a.engine is engine and a.outcome is None for a in job.attempts):
+            if not self.is_allowed(engine, request) or not self.outlier_detector.admits(engine, request):
                 continue
-            able = self.is_allowed(engine, job) and self.outlier_detector.admits(engine, job)
-            if able and self.has_capacity(engine, job, heavy, need):
+            if self.capacity.has_capacity(engine, request, is_heavy, memory_mb):
                 yield engine
+
+    def _ordered_engines(self, request: Request) -> list[Engine]:
+        """Return the ready engines in hash order.
+
+        Bulk loads have an order of each gateway's own: two of one table group would wait for each other.
+        """
+        is_bulk_load = request.class_settings.is_bulk_load
+        hash_seed = self.step_context.settings.gateway_index + 1 if is_bulk_load else 0
+        return self.rendezvous_order(request.table_group, hash_seed)
+
+    def _should_avoid(self, engine: Engine, request: Request) -> bool:
+        """Return whether the engine failed the request, was full lately or holds the tables that it needs."""
+        if engine.last_rejection_at > self.step_context.now - REJECTION_COOLDOWN:
+            return True
+        if engine.id in request.failed_engines:
+            return True
+        settings = request.class_settings
+        waits_for_bulk_loads = settings.is_bulk_load or settings.waits_for_bulk_loads
+        return waits_for_bulk_loads and engine.is_bulk_loading(request.table_group)
--- a/saffronlane/policy/routing/engine_selection.py
+++ b/saffronlane/policy/routing/engine_selection.py
@@ -1,4 +1,4 @@
-"""The choice among engines that have room."""
+"""Selection of an engine for a request among those that are eligible."""
 
 from ...state import Engine, InFlightWork, PeerLoadTable, Request
 from ..estimation.load_reports import LoadReports
@@ -6,88 +6,104 @@
 from ..scheduling.concurrency_limit import AdaptiveConcurrencyLimit
 from .eligibility import EngineEligibility
 
-OVERLOAD_FACTOR = (
-    1.25  # an engine over this x mean load plus one query is passed by; the design's start value
-)
-RECENT_WORK_HORIZON = (
-    10.0  # seconds that own sent work counts as load: where few queries are out, those tell nothing
-)
+OVERLOAD_FACTOR = 1.25  # load of an engine over the mean, besides one request, above which it is passed over
+RECENT_WORK_HORIZON = 10.0  # seconds for which dispatched work counts as load, since little may be in flight
 
 
 class EngineSelector:
-    def __init__(self, reports: LoadReports, health: OutlierDetector, told: PeerLoadTable) -> None:
-        self.load_reports, self.step_context, self.engine_registry, self.peer_load = (
-            reports,
-            reports.step_context,
-            reports.engine_registry,
-            told,
-        )
+    """Bounded-load hashing: the less loaded of two neighbours in hash order, without overloaded ones."""
+
+    def __init__(
+        self, load_reports: LoadReports, outlier_detector: OutlierDetector, peer_load: PeerLoadTable
+    ) -> None:
+        self.load_reports = load_reports
+        self.peer_load = peer_load
+        self.step_context = load_reports.step_context
+        self.engine_registry = load_reports.engine_registry
+        self.workload_estimates = load_reports.workload_estimates
         self.in_flight = InFlightWork(len(self.step_context.settings.classes))
-        self.concurrency_limit = AdaptiveConcurrencyLimit(self.in_flight, reports)
-        self.eligibility = EngineEligibility(reports.workload_estimates, health, self.concurrency_limit)
+        self.concurrency_limit = AdaptiveConcurrencyLimit(self.in_flight, load_reports)
+        self.eligibility = EngineEligibility(load_reports, outlier_detector, self.concurrency_limit)
 
     def on_engines_changed(self) -> None:
         """Drop what depends on the set of ready engines."""
         self.eligibility.rendezvous_order.clear()
 
     def load(self, engine: Engine) -> float:
-        """Threads per core: own ones that are out or were lately kept busy, others' as told or reported."""
-        own = engine.in_flight_threads + engine.recent_work.read(self.step_context.now, RECENT_WORK_HORIZON)
-        load = own + engine.peer_threads + self.load_reports.threads_per_core(engine) * engine.cores
-        load /= engine.effective_cores(self.step_context.now, self.step_context.guarantees)
-        away = (
-            self.eligibility.rendezvous_order.crossing_costs
-            and engine.zone != self.step_context.settings.zone
-        )
-        return load * OVERLOAD_FACTOR if away else load
+        """Return the threads per core of own, peers' and reported work, higher in zones costly to reach."""
+        now = self.step_context.now
+        own_threads = engine.in_flight_threads + engine.recent_work.read(now, RECENT_WORK_HORIZON)
+        reported_threads = self.load_reports.threads_per_core(engine) * engine.cores
+        threads = own_threads + engine.peer_threads + reported_threads
+        load = threads / engine.effective_cores(now, self.step_context.guarantees)
+        is_crossing_costly = self.eligibility.rendezvous_order.crossing_costs
+        if is_crossing_costly and engine.zone != self.step_context.settings.zone:
+            return load * OVERLOAD_FACTOR
+        return load
 
-    def select(self, job: Request) -> Engine | None:
-        """The less loaded of the first two in hash order, moving on past SPILL; None: all are full."""
-        now, rules, fleet, usable = (
-            self.step_context.now,
-            self.step_context.guarantees,
-            self.engine_registry,
-            self.eligibility.eligible_engines,
-        )
-        if not fleet.ready_cores or not self.concurrency_limit.admits(job):
+    def select(self, request: Request) -> Engine | None:
+        """Return the engine for the request, or None if it has to wait."""
+        if not self.engine_registry.ready_cores or not self.concurrency_limit.admits(request):
             return None
-        threads, lately = (
-            self.in_flight.threads + self.peer_load.threads,
-            self.in_flight.recent_work.read(now, RECENT_WORK_HORIZON),
+        return (
+            self._select_warming_up(request)
+            or self._select_in_order(request, strict=True)
+            or self._select_in_order(request, strict=False)
         )
-        apart = (
-            self.step_context.settings.gateway_index + 1
-        )  # turns are short; in one order, all would crowd its first
-        for engine in (
-            self.eligibility.rendezvous_order(job.table_group, apart) if now < fleet.warmups_end_at else ()
-        ):
-            if engine.is_warming_up(now, rules.slow_start_duration):
-                room = (
-                    OVERLOAD_FACTOR * engine.effective_cores(now, rules) / fleet.ready_cores * threads
-                    + job.class_settings.threads
-                )
-                spare = engine.in_flight_threads + engine.peer_threads <= room  # else it would jam
-                if spare and next(usable(job, True, [engine]), None):
-                    return engine
-        query = self.eligibility.workload_estimates.work(job) / RECENT_WORK_HORIZON
-        for strict in (True, False):
-            last = least = None
-            for engine in usable(job, strict):
-                best = engine if last is None else min(last, engine, key=self.load)
-                part = OVERLOAD_FACTOR * best.effective_cores(now, rules) / fleet.ready_cores
-                spare = (
-                    best.in_flight_threads + best.peer_threads <= part * threads + job.class_settings.threads
-                )
-                most = OVERLOAD_FACTOR * fleet.mean_reported_threads + job.class_settings.threads / best.cores
-                spare = spare and self.load_reports.threads_per_core(best) <= most
-                if (
-                    last
-                    and spare
-                    and best.recent_work.read(now, RECENT_WORK_HORIZON) <= part * lately + query
-                ):
-                    return best
-                least = best if least is None else min(least, best, key=self.load)
-                last = engine
-            if least is not None:
-                return least
+
+    def _select_warming_up(self, request: Request) -> Engine | None:
+        """Return an engine in slow start that has room for the request: its turns are short.
+
+        The hash order is of each gateway's own: in a common one, all gateways would use the first engine.
+        """
+        now = self.step_context.now
+        if now >= self.engine_registry.warmups_end_at:
+            return None
+        slow_start_duration = self.step_context.guarantees.slow_start_duration
+        hash_seed = self.step_context.settings.gateway_index + 1
+        for engine in self.eligibility.rendezvous_order(request.table_group, hash_seed):
+            if not engine.is_warming_up(now, slow_start_duration):
+                continue
+            if not self._is_within_share(engine, request):
+                continue
+            if next(self.eligibility.eligible_engines(request, True, [engine]), None):
+                return engine
         return None
+
+    def _select_in_order(self, request: Request, strict: bool) -> Engine | None:
+        """Return the less loaded of two neighbours in order that is not overloaded, else the least loaded."""
+        previous: Engine | None = None
+        least_loaded: Engine | None = None
+        for engine in self.eligibility.eligible_engines(request, strict):
+            best = engine if previous is None else min(previous, engine, key=self.load)
+            if previous is not None and not self._is_overloaded(best, request):
+                return best
+            least_loaded = best if least_loaded is None else min(least_loaded, best, key=self.load)
+            previous = engine
+        return least_loaded
+
+    def _is_overloaded(self, engine: Engine, request: Request) -> bool:
+        """Return whether threads, reported load or recent work pass the engine's share by too much."""
+        if not self._is_within_share(engine, request):
+            return True
+        mean_threads = self.engine_registry.mean_reported_threads
+        request_threads_per_core = request.class_settings.threads / engine.cores
+        max_threads_per_core = OVERLOAD_FACTOR * mean_threads + request_threads_per_core
+        if self.load_reports.threads_per_core(engine) > max_threads_per_core:
+            return True
+        now = self.step_context.now
+        total_work = self.in_flight.recent_work.read(now, RECENT_WORK_HORIZON)
+        request_work = self.workload_estimates.work(request) / RECENT_WORK_HORIZON
+        max_work = self._share(engine) * total_work + request_work
+        return engine.recent_work.read(now, RECENT_WORK_HORIZON) > max_work
+
+    def _is_within_share(self, engine: Engine, request: Request) -> bool:
+        """Return whether the engine's threads are within its share of all, besides one request."""
+        total_threads = self.in_flight.threads + self.peer_load.threads
+        max_threads = self._share(engine) * total_threads + request.class_settings.threads
+        return engine.in_flight_threads + engine.peer_threads <= max_threads
+
+    def _share(self, engine: Engine) -> float:
+        """Return the highest part of all load that the engine should have."""
+        effective_cores = engine.effective_cores(self.step_context.now, self.step_context.guarantees)
+        return OVERLOAD_FACTOR * effective_cores / self.engine_registry.ready_cores
