--- a/saffronlane/policy/__init__.py
+++ b/saffronlane/policy/__init__.py
@@ -1,4 +1,4 @@
-"""Every decision of a gateway, a folder for each concern; `Gateway` is all that others need."""
+"""The decisions of a gateway, a package for each concern; users need only `Gateway`."""
 
 from .gateway import Gateway
 
--- a/saffronlane/policy/estimation/__init__.py
+++ b/saffronlane/policy/estimation/__init__.py
@@ -0,0 +1,1 @@
+"""Estimates of run time, work and engine load."""
--- a/saffronlane/policy/execution/__init__.py
+++ b/saffronlane/policy/execution/__init__.py
@@ -0,0 +1,1 @@
+"""Attempts of requests, from their start to the final answer."""
--- a/saffronlane/policy/gossip/__init__.py
+++ b/saffronlane/policy/gossip/__init__.py
@@ -0,0 +1,1 @@
+"""Load information exchanged among gateways."""
--- a/saffronlane/policy/gossip/load_gossip.py
+++ b/saffronlane/policy/gossip/load_gossip.py
@@ -1,4 +1,4 @@
-"""What one gateway tells the others of its work and of full engines, and what it makes of theirs."""
+"""Gossip among gateways: heavy attempts and full engines."""
 
 from ... import gossip_messages as messages
 from ... import interface as api
@@ -7,88 +7,119 @@
 from ..routing.eligibility import REJECTION_COOLDOWN
 
 BUSY_PEER_ATTEMPTS = (
-    512  # told queries open at once past which the bar rises: each message costs all gateways time
+    512  # attempts of peers above which only heavier ones are reported; messages cost all time
 )
-REPORT_LIFETIME_RATIO = 3.0  # what has no end told counts for this x its expected span: a message may be lost
-MAX_SENDERS_RATIO = 2  # senders up to this x the gateway count are known: it may be a little out of date
+REPORT_LIFETIME_RATIO = 3.0  # expected run times after which a report without an end expires
+RENEWAL_RATIO = 2.0  # time since the dispatch over which a renewed report expires
+MAX_SENDERS_RATIO = 2  # highest accepted sender over the gateway count, which may be out of date
+GOSSIP_NUMBERS = 256  # numbers of reported attempts, then they start again
 
 
 class LoadGossip:
-    def __init__(self, batch: StepContext, fleet: EngineRegistry, classes: WorkloadEstimates) -> None:
-        self.step_context, self.engine_registry, self.workload_estimates = batch, fleet, classes
-        self.peer_load, self.last_gossip_number = PeerLoadTable(), 0
+    """Reports own work to the peers and keeps what they report."""
+
+    def __init__(
+        self,
+        step_context: StepContext,
+        engine_registry: EngineRegistry,
+        workload_estimates: WorkloadEstimates,
+    ) -> None:
+        self.step_context = step_context
+        self.engine_registry = engine_registry
+        self.workload_estimates = workload_estimates
+        self.peer_load = PeerLoadTable()
+        self.last_gossip_number = 0
 
     def broadcast(self, message: messages.GossipMessage) -> None:
+        """Send a message to all peers."""
         self.step_context.emit(api.SendGossip(None, messages.encode(message)))
 
     def on_attempt_started(self, attempt: Attempt) -> None:
-        job, classes, work = (
-            attempt.request,
-            self.workload_estimates,
-            self.workload_estimates.work(attempt.request),
-        )
-        bar = len(self.peer_load.entries) / BUSY_PEER_ATTEMPTS * HEAVY_WORK_RATIO * classes.mean_query()[0]
-        if (
-            self.step_context.limits.gossip
-            and classes.is_heavy(job)
-            and (work >= bar or job.class_settings.is_bulk_load)
-        ):
-            self.last_gossip_number = attempt.gossip_number = (self.last_gossip_number + 1) % 256
-            self.report_attempt(
-                attempt,
-                REPORT_LIFETIME_RATIO
-                * work
-                / job.class_settings.threads
-                * classes.estimators[job.class_index].baseline_inflation,
-            )
-
-    def report_attempt(self, attempt: Attempt, span: float) -> None:
-        job, engine = attempt.request, attempt.engine
-        share = attempt.memory_grant_mb / engine.memory_mb if engine.memory_mb else 0.0
-        what = (
+        """Report an attempt of a heavy request."""
+        if not self.step_context.limits.gossip or not self._should_report(attempt):
+            return
+        self.last_gossip_number = (self.last_gossip_number + 1) % GOSSIP_NUMBERS
+        attempt.gossip_number = self.last_gossip_number
+        request = attempt.request
+        estimator = self.workload_estimates.estimators[request.class_index]
+        lifetime_work = REPORT_LIFETIME_RATIO * self.workload_estimates.work(request)
+        lifetime = lifetime_work / request.class_settings.threads * estimator.baseline_inflation
+        self.report_attempt(attempt, lifetime)
+
+    def _should_report(self, attempt: Attempt) -> bool:
+        """Return whether the request is heavy enough for a report, given the number in force."""
+        request = attempt.request
+        if request.class_settings.is_bulk_load:
+            return True
+        if not self.workload_estimates.is_heavy(request):
+            return False
+        busy_ratio = len(self.peer_load.entries) / BUSY_PEER_ATTEMPTS
+        min_work = busy_ratio * HEAVY_WORK_RATIO * self.workload_estimates.mean_query().work
+        return self.workload_estimates.work(request) >= min_work
+
+    def report_attempt(self, attempt: Attempt, lifetime: float) -> None:
+        """Report an attempt to the peers.
+
+        Args:
+            attempt: An attempt that has a gossip number.
+            lifetime: Seconds after which the report expires unless renewed.
+        """
+        request = attempt.request
+        engine = attempt.engine
+        memory_ratio = attempt.memory_grant_mb / engine.memory_mb if engine.memory_mb else 0.0
+        message = messages.start_message(
             attempt.gossip_number or 0,
             attempt.threads,
-            job.class_settings.is_bulk_load,
-            job.table_group,
-            span,
-            share,
+            request.class_settings.is_bulk_load,
+            request.table_group,
+            lifetime,
+            memory_ratio,
             engine.id,
         )
-        self.broadcast(messages.start_message(*what))
-        self.step_context.schedule(self.step_context.now + span, GossipExpiry(attempt))
+        self.broadcast(message)
+        self.step_context.schedule(self.step_context.now + lifetime, GossipExpiry(attempt))
 
     def renew_report(self, attempt: Attempt) -> None:
-        """Still out: told again, for twice as long. Guards against engines that look empty while they jam."""
+        """Report an attempt again that still runs when its report expires.
+
+        Without this, congested engines would look empty to the peers.
+        """
         if attempt.outcome is None:
-            self.report_attempt(attempt, 2.0 * (self.step_context.now - attempt.sent_at))
+            self.report_attempt(attempt, RENEWAL_RATIO * (self.step_context.now - attempt.sent_at))
 
     def on_attempt_ended(self, attempt: Attempt) -> None:
+        """Report the end of an attempt whose start was reported."""
         if attempt.gossip_number is not None:
             self.broadcast(messages.GossipMessage(attempt.gossip_number))
 
     def report_rejection(self, engine: Engine) -> None:
-        """Spare the others a rejection each. Guards against herds of all at an engine that is full."""
-        if (
-            self.step_context.limits.gossip
-            and engine.last_rejection_at <= self.step_context.now - REJECTION_COOLDOWN / 2.0
-        ):
-            self.broadcast(
-                messages.GossipMessage(
-                    0, duration=REJECTION_COOLDOWN, engine_digest=messages.engine_digest(engine.id)
-                )
-            )
+        """Report an engine that is full, so that the peers avoid it without a rejection each."""
+        if not self.step_context.limits.gossip:
+            return
+        if engine.last_rejection_at <= self.step_context.now - REJECTION_COOLDOWN / 2.0:
+            digest = messages.engine_digest(engine.id)
+            self.broadcast(messages.GossipMessage(0, duration=REJECTION_COOLDOWN, engine_digest=digest))
 
     def on_peer_message(self, event: api.PeerMessage) -> None:
-        batch, message, sender = self.step_context, messages.decode(event.data), event.sender
-        if message is None or not 0 <= sender < MAX_SENDERS_RATIO * batch.settings.gateway_count:
+        """Process a message of a peer; invalid ones are ignored."""
+        message = messages.decode(event.data)
+        max_senders = MAX_SENDERS_RATIO * self.step_context.settings.gateway_count
+        if message is None or not 0 <= event.sender < max_senders:
             return
         engine = self.engine_registry.engine_by_digest.get(message.engine_digest)
         if message.reports_full:
-            if engine is not None:  # all come back, each at a time of its own
-                engine.last_rejection_at = max(
-                    engine.last_rejection_at, batch.now + batch.random.random() * REJECTION_COOLDOWN
-                )
+            if engine is not None:
+                self._avoid_full_engine(engine)
             return
-        self.peer_load.remove((sender, message.number))  # ended, or the sender counts anew after a restart
-        if message.duration and engine is not None and sender != batch.settings.gateway_index:
-            self.peer_load.add((sender, message.number), batch.now + message.duration, engine, message)
+        key = (event.sender, message.number)
+        self.peer_load.remove(key)  # ended, or its number is used again
+        is_from_itself = event.sender == self.step_context.settings.gateway_index
+        if message.duration and engine is not None and not is_from_itself:
+            expires_at = self.step_context.now + message.duration
+            self.peer_load.add(key, expires_at, engine, message)
+
+    def _avoid_full_engine(self, engine: Engine) -> None:
+        """Avoid an engine for a random time, so that the gateways don't come back all at once."""
+        cooldown_offset = self.step_context.random.random() * REJECTION_COOLDOWN
+        rejected_at = self.step_context.now + cooldown_offset
+        engine.last_rejection_at = max(engine.last_rejection_at, rejected_at)
--- a/saffronlane/policy/health/__init__.py
+++ b/saffronlane/policy/health/__init__.py
@@ -0,0 +1,1 @@
+"""Health of engines as seen through the outcomes of attempts."""
--- a/saffronlane/policy/health/outlier_detection.py
+++ b/saffronlane/policy/health/outlier_detection.py
@@ -79,7 +79,7 @@
         if not engine.is_ejected:
             self._eject_if_failing(engine)
         elif outcome is Outcome.OK and engine.failure_ratio < RECOVERY_THRESHOLD:
-            self._take_back(engine)
+            self._recover(engine)
         elif outcome not in (Outcome.OK, Outcome.CANCELLED, Outcome.NOT_SENT):
             interval = engine.probe_request_interval * 2.0
             engine.probe_request_interval = min(interval, MAX_PROBE_REQUEST_INTERVAL)
@@ -153,7 +153,7 @@
         self.step_context.emit(api.Log(f"engine ejected: {engine.id.hex()} {reason}"))
         self.update_panic_mode()
 
-    def _take_back(self, engine: Engine) -> None:
+    def _recover(self, engine: Engine) -> None:
         """End the ejection of an engine."""
         engine.is_ejected = False
         engine.is_unresponsive = False
--- a/saffronlane/policy/routing/__init__.py
+++ b/saffronlane/policy/routing/__init__.py
@@ -0,0 +1,1 @@
+"""Which engine a request goes to."""
--- a/saffronlane/policy/routing/slow_start.py
+++ b/saffronlane/policy/routing/slow_start.py
@@ -1,48 +1,93 @@
-"""Rule 4: what an engine that has just started can take."""
+"""Rule 4, slow start: the work that an engine may get while it warms up."""
 
 from ...state import Engine, Request, StepContext
 from ..estimation.workload_estimates import WorkloadEstimates
 
-UTILIZATION_LIMIT = 0.85  # share of busy cores at which an engine does what it can
-BUDGET_MARGIN = 0.85  # use only this share of a cold engine's budget: a query's work is but estimated
-TURN_MARGIN = 0.42  # the same where a part is less than a query: two turns' worth may fall into a window
-MAX_REQUEST_RATIO = 0.33  # largest query for a cold engine, of its budget: all turns and one more fit
+UTILIZATION_LIMIT = 0.85  # part of busy cores at which an engine does all it can
+BUDGET_MARGIN = 0.85  # part of the budget that is used, since work is estimated
+TURN_MARGIN = 0.42  # the same for single requests in turns, of which two may fall into one window
+MAX_REQUEST_RATIO = 0.33  # largest request over the budget of a window, so that all turns and one more fit
 
 
-def has_slow_start_capacity(
-    batch: StepContext, classes: WorkloadEstimates, engine: Engine, job: Request
-) -> bool:
-    """Rule 4: our part of a cold engine's budget, which grows as it warms, whatever becomes of the work sent.
+class SlowStartBudget:
+    """A gateway's part of the work that one engine may get in a window while it warms up.
 
-    Small ones count as the mean, whose number needs no margin: the budget is one of calls. Where a part is
-    less, they leave in turns of one window, spread by position: all whose turns meet it fit.
+    The budget grows as the engine warms up, and counts dispatched work whatever becomes of it. Times are in
+    seconds, work is in thread seconds.
     """
-    rules, now, settings = batch.guarantees, batch.now, batch.settings
-    if not rules.slow_start_overload_factor or not engine.is_warming_up(now, rules.slow_start_duration):
+
+    def __init__(
+        self, step_context: StepContext, workload_estimates: WorkloadEstimates, engine: Engine
+    ) -> None:
+        self.step_context = step_context
+        self.workload_estimates = workload_estimates
+        self.engine = engine
+        self.guarantees = step_context.guarantees
+        self.gateway_count = step_context.settings.gateway_count
+        self.window = step_context.guarantees.slow_start_overload_window
+        self.warmup_started_at = engine.warmup_started_at(step_context.now)
+        self.load_limit = UTILIZATION_LIMIT * step_context.guarantees.slow_start_overload_factor
+        # A budget of many small requests counts each as the mean, whose number needs no margin.
+        self.min_work = BUDGET_MARGIN * UTILIZATION_LIMIT * workload_estimates.mean_query().work
+        cores = engine.effective_cores(step_context.now - self.window, step_context.guarantees)
+        self.window_core_seconds = cores * self.window
+
+    def has_capacity(self, request: Request) -> bool:
+        """Return whether the engine may get the request now."""
+        if self._has_unknown_dispatches():
+            return False
+        work = max(self.workload_estimates.work(request), self.min_work)
+        budget = BUDGET_MARGIN * self.load_limit * self.window_core_seconds / self.gateway_count
+        if work <= budget:
+            return work + self._recent_work() <= budget
+        return self._has_turn(work)
+
+    def _has_unknown_dispatches(self) -> bool:
+        """Return whether the gateway may have dispatched work to the engine before its own restart."""
+        gateway_started_at = self.step_context.started_at
+        is_engine_older = self.warmup_started_at < gateway_started_at
+        return is_engine_older and self.step_context.now < gateway_started_at + self.window
+
+    def _recent_work(self) -> float:
+        """Return the work dispatched to the engine within the window."""
+        since = self.step_context.now - self.window - self.step_context.settings.min_step_interval
+        recent_works = (work for sent_at, work in self.engine.recent_dispatches if sent_at >= since)
+        return sum(max(work, self.min_work) for work in recent_works)
+
+    def _has_turn(self, work: float) -> bool:
+        """Return whether it is the gateway's turn to dispatch one request that is larger than its budget.
+
+        The turns of the gateways are spread evenly; a request fits if its turn is within the window.
+        """
+        if work > MAX_REQUEST_RATIO * self.load_limit * self.window_core_seconds:
+            return False
+        core_seconds_per_work = self.gateway_count / (TURN_MARGIN * self.load_limit)
+        core_seconds = self.engine.warmup_core_seconds(self.step_context.now, self.guarantees)
+        if core_seconds < self._next_turn_core_seconds(core_seconds_per_work):
+            return False
+        gateway_offset = self.step_context.settings.gateway_index / self.gateway_count
+        turn = core_seconds / (core_seconds_per_work * work) - self.engine.hash_fraction - gateway_offset
+        return turn % 1.0 * core_seconds_per_work * work < self.window_core_seconds
+
+    def _next_turn_core_seconds(self, core_seconds_per_work: float) -> float:
+        """Return the core seconds since the engine's start after which the last dispatch allows another."""
+        sent_at = self.warmup_started_at
+        cooldown = 0.0
+        if self.engine.recent_dispatches:
+            sent_at, work = self.engine.recent_dispatches[-1]
+            if work:
+                cooldown = core_seconds_per_work * max(work, self.min_work)
+        core_seconds_at_dispatch = self.engine.warmup_core_seconds(sent_at, self.guarantees)
+        return core_seconds_at_dispatch + cooldown - self.window_core_seconds
+
+
+def has_slow_start_capacity(
+    step_context: StepContext, workload_estimates: WorkloadEstimates, engine: Engine, request: Request
+) -> bool:
+    """Return whether rule 4 allows the request on the engine; always once it has warmed up."""
+    guarantees = step_context.guarantees
+    if not guarantees.slow_start_overload_factor:
+        return True
+    if not engine.is_warming_up(step_context.now, guarantees.slow_start_duration):
         return True
-    least, window, start = (
-        BUDGET_MARGIN * UTILIZATION_LIMIT * classes.mean_query()[0],
-        rules.slow_start_overload_window,
-        engine.warmup_started_at(now),
-    )
-    work = max(classes.work(job), least)
-    if (
-        start < batch.started_at and now < batch.started_at + window
-    ):  # sends before a restart are not remembered
-        return False
-    bears, span = (
-        UTILIZATION_LIMIT * rules.slow_start_overload_factor,
-        engine.effective_cores(now - window, rules) * window,
-    )
-    part = BUDGET_MARGIN * bears * span / settings.gateway_count
-    if work <= part:
-        since = now - window - settings.min_step_interval
-        return work + sum(max(other, least) for at, other in engine.recent_dispatches if at >= since) <= part
-    pace = settings.gateway_count / (TURN_MARGIN * bears)  # core seconds between turns, for a second of work
-    done, (last, before) = (
-        engine.warmup_core_seconds(now, rules),
-        engine.recent_dispatches[-1] if engine.recent_dispatches else (start, 0.0),
-    )
-    rested = done >= engine.warmup_core_seconds(last, rules) + pace * (before and max(before, least)) - span
-    turn = done / (pace * work) - engine.hash_fraction - settings.gateway_index / settings.gateway_count
-    return rested and work <= MAX_REQUEST_RATIO * bears * span and turn % 1.0 * pace * work < span
+    return SlowStartBudget(step_context, workload_estimates, engine).has_capacity(request)
--- a/saffronlane/policy/scheduling/__init__.py
+++ b/saffronlane/policy/scheduling/__init__.py
@@ -0,0 +1,1 @@
+"""When requests are admitted, released and retried."""
