--- a/saffronlane/dispatch/__init__.py
+++ b/saffronlane/dispatch/__init__.py
@@ -1,4 +1,4 @@
-"""The core of the dispatcher: a library without I/O. Events go in with their time, effects come out."""
+"""The core of the dispatcher, without I/O: inputs go in with their time, effects come out."""
 
 from .core import Dispatcher
 from .effects import (
@@ -30,22 +30,22 @@
     "AttachLearnedState",
     "AttemptDone",
     "AttemptProgress",
+    "BeginDrain",
     "CancelAttempt",
     "ClientDisconnected",
     "Commit",
+    "CompleteRequest",
     "DiscardAttempt",
     "Dispatcher",
     "Effect",
     "FailRequest",
-    "PurgeLearnedState",
+    "FinishDrain",
     "Input",
     "Persist",
-    "WithdrawAttempt",
+    "PurgeLearnedState",
     "RejectRequest",
     "ResultReady",
-    "CompleteRequest",
     "StartAttempt",
-    "FinishDrain",
-    "BeginDrain",
     "Submit",
+    "WithdrawAttempt",
 ]
--- /dev/null
+++ b/saffronlane/dispatch/action_handler.py
@@ -0,0 +1,90 @@
+"""Turns the policy's actions into effects that respect the table of requests."""
+
+from __future__ import annotations
+
+from .. import interface as api
+from . import effects as fx
+from .policy_host import PolicyHost
+from .requests import RequestTable, ResourceGrant
+from .timers import TimerQueue
+
+NO_CAPACITY = "no engine can serve it in time"
+MAY_HAVE_RUN = "no answer in time, and it may have run"
+REPEAT_NOT_ALLOWED = "a request with this key may have run before, and may not be repeated now"
+
+
+class ActionHandler:
+    """Carries out actions, dropping those for requests that are over.
+
+    Args:
+        requests: the table of requests and attempts.
+        timers: receives the timers that the policy sets.
+        policy: names what must be durable before an attempt.
+        effects: receives the effects.
+    """
+
+    def __init__(
+        self, requests: RequestTable, timers: TimerQueue, policy: PolicyHost, effects: list[fx.Effect]
+    ) -> None:
+        self._requests = requests
+        self._timers = timers
+        self._policy = policy
+        self._effects = effects
+
+    def handle(self, action: api.Action) -> None:
+        """Apply one action."""
+        match action:
+            case api.SetTimer():
+                self._timers.schedule(action.deadline, action.token)
+            case api.Dispatch():
+                self._dispatch(action)
+            case api.SetResourceGrant():
+                self._set_grant(action)
+            case api.Cancel():
+                self._cancel(action)
+            case api.Reject():
+                rejection = fx.RejectRequest(action.request, action.retry_after, NO_CAPACITY)
+                self._answer(action.request, rejection)
+            case api.Fail():
+                self._answer(action.request, fx.FailRequest(action.request, self._failure_reason(action)))
+            case _:
+                self._effects.append(action)
+
+    def _dispatch(self, action: api.Dispatch) -> None:
+        request = self._requests.get(action.request)
+        if request is None or request.is_answered:
+            self._effects.append(api.Log(f"dispatch dropped: request {action.request} has ended"))
+            return
+        grant = request.take_grant()
+        attempt = request.add_attempt(action.engine)
+        effect = fx.StartAttempt(
+            request=request.id,
+            attempt=attempt.number,
+            engine=action.engine,
+            timeout=action.timeout,
+            grant_mb=grant.memory_mb,
+            priority=grant.priority,
+            durability_timeout=self._policy.write_ahead(request, attempt),
+        )
+        self._effects.append(effect)
+
+    def _set_grant(self, action: api.SetResourceGrant) -> None:
+        request = self._requests.get(action.request)
+        if request is not None:
+            request.next_grant = ResourceGrant(action.memory_mb, action.priority)
+
+    def _cancel(self, action: api.Cancel) -> None:
+        found = self._requests.find_in_flight(action.request, action.attempt)
+        if found is not None:
+            self._requests.cancel(found.request, found.attempt)
+
+    def _answer(self, request_id: int, answer: fx.RejectRequest | fx.FailRequest) -> None:
+        request = self._requests.get(request_id)
+        if request is not None:
+            self._requests.answer(request, answer)
+
+    def _failure_reason(self, action: api.Fail) -> str:
+        request = self._requests.get(action.request)
+        if request is not None and request.is_repeated and not request.attempts:
+            return REPEAT_NOT_ALLOWED
+        return MAY_HAVE_RUN
--- a/saffronlane/dispatch/effects.py
+++ b/saffronlane/dispatch/effects.py
@@ -1,4 +1,7 @@
-"""What the dispatcher wants done. Each effect is carried out once, in order."""
+"""What the dispatcher wants done. Each effect is carried out once, in order.
+
+Times are seconds, memory is in MB.
+"""
 
 from __future__ import annotations
 
@@ -18,14 +21,12 @@
     timeout: float
     grant_mb: float = 0.0
     priority: int | None = None
-    durability_timeout: float = (
-        0.0  # seconds to wait for this step's `Keep` with `ahead` to be durable; 0: none
-    )
+    durability_timeout: float = 0.0  # how long to wait for this step's write-ahead `Persist`; 0: not at all
 
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Write these changes of what is known. With `ahead`, attempts of this step wait for them."""
+    """Store changes of the learned state. With `is_write_ahead`, attempts of this step wait for them."""
 
     changes: tuple[Change, ...]
     is_write_ahead: bool = False
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop it at its engine. Its end is told by AttemptDone once the engine has taken that in."""
+    """Stop an attempt at its engine. `AttemptDone` follows once the engine has acknowledged that."""
 
     request: int
     attempt: int
@@ -41,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscardAttempt:
-    """Throw away what it brings: nobody wants it, and it may not be cancelled."""
+    """Discard the result of an attempt that is given up but may not be cancelled."""
 
     request: int
     attempt: int
@@ -49,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WithdrawAttempt:
-    """Do not send it if it has not left: its engine drains or is gone."""
+    """Do not send an attempt that has not been sent yet: its engine drains or is gone."""
 
     request: int
     attempt: int
@@ -57,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Commit:
-    """Pass the result of this attempt on, and of no other."""
+    """Pass on the result of this attempt, and of no other."""
 
     request: int
     attempt: int
@@ -65,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompleteRequest:
-    """Final answer: the whole result of this attempt, status OK (or, with `fault`, the engine's status)."""
+    """Final answer: the result of this attempt; with `is_query_fault`, the engine's error status."""
 
     request: int
     attempt: int
@@ -74,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Final answer: not done, safe to try again after so many seconds."""
+    """Final answer: not run, safe to retry after `retry_after` seconds."""
 
     request: int
     retry_after: float
@@ -83,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Final answer: failed, no promise."""
+    """Final answer: failed; it may have run."""
 
     request: int
     reason: str
--- a/saffronlane/dispatch/errors.py
+++ b/saffronlane/dispatch/errors.py
@@ -1,10 +1,14 @@
-"""Errors of records."""
+"""Errors of the dispatcher and of its recordings."""
 
 from __future__ import annotations
 
 from ..errors import SaffronlaneError
 
 
+class DuplicateRequestError(ValueError):
+    """A request was submitted under a number that is in use; each number must come from `new_request`."""
+
+
 class RecordingError(SaffronlaneError):
     """The file is no recording, or a step of it cannot be read; the text names the step."""
 
--- /dev/null
+++ b/saffronlane/dispatch/input_handler.py
@@ -0,0 +1,186 @@
+"""Checks what happened against the table of requests, and turns it into events for the policy."""
+
+from __future__ import annotations
+
+from typing import assert_never
+
+from .. import interface as api
+from ..state import NEVER_RAN
+from . import effects as fx
+from . import inputs as inp
+from .engine_table import EngineTable
+from .intake import RequestIntake
+from .policy_host import PolicyHost
+from .requests import Attempt, Request, RequestTable
+
+
+class InputHandler:
+    """Turns inputs into policy events; stale and duplicate ones end here.
+
+    Args:
+        intake: whether new requests are accepted.
+        requests: the table of requests and attempts.
+        engines: the listed engines.
+        policy: the policy with its learned state.
+        effects: receives effects that need no decision.
+    """
+
+    def __init__(
+        self,
+        intake: RequestIntake,
+        requests: RequestTable,
+        engines: EngineTable,
+        policy: PolicyHost,
+        effects: list[fx.Effect],
+    ) -> None:
+        self._intake = intake
+        self._requests = requests
+        self._engines = engines
+        self._policy = policy
+        self._effects = effects
+
+    def handle(self, event: inp.Input, now: float) -> list[api.Event]:
+        """Apply one input and return what the policy must know of it."""
+        match event:
+            case inp.Submit():
+                return self._on_submit(event, now)
+            case inp.AttemptDone():
+                return self._on_attempt_done(event)
+            case inp.ResultReady():
+                return self._on_result_ready(event)
+            case inp.AttemptProgress():
+                return self._on_progress(event)
+            case inp.ClientDisconnected():
+                return self._on_client_disconnected(event)
+            case api.EndpointListUpdate():
+                return self._on_endpoint_list(event)
+            case api.ProbeResult() | api.PeerMessage():
+                return [event]
+            case inp.PurgeLearnedState():
+                self._policy.purge(event.categories)
+                return []
+            case inp.AttachLearnedState():
+                self._policy.attach(event.persisted_state)
+                return []
+            case inp.BeginDrain():
+                self._intake.begin_drain(now, event.grace_period)
+                return []
+            case inp.FinishDrain():
+                self._intake.finish_drain(now)
+                return [api.Shutdown()]
+            case _:
+                assert_never(event)
+
+    # --- requests ---
+
+    def _on_submit(self, event: inp.Submit, now: float) -> list[api.Event]:
+        request = Request(
+            event.request,
+            class_index=event.class_index,
+            estimated_cost=event.estimated_cost,
+            idempotency_key=event.idempotency_key,
+        )
+        self._requests.add(request)
+        rejection = self._intake.rejection(request.id, self._requests.pending_count, now)
+        if rejection is not None:
+            self._requests.answer(request, rejection)
+            self._requests.release(request)
+            return []
+        previous_attempt = self._policy.previous_attempt(event.idempotency_key, now)
+        request.is_repeated = previous_attempt is not None
+        arrival = api.Arrival(
+            request=event.request,
+            class_index=event.class_index,
+            timeout=event.timeout,
+            tenant=event.tenant,
+            ordering_key=event.ordering_key,
+            estimated_cost=event.estimated_cost,
+            estimated_memory_mb=event.estimated_memory_mb,
+            table_group=event.table_group,
+            is_retry=event.is_retry,
+            is_write=event.is_write,
+            previous_attempt=previous_attempt,
+        )
+        return [arrival]
+
+    def _on_client_disconnected(self, event: inp.ClientDisconnected) -> list[api.Event]:
+        request = self._requests.get(event.request)
+        if request is None or request.is_answered:
+            return []
+        self._requests.answer(request, None)
+        return [api.ClientDisconnected(event.request)]
+
+    # --- attempts ---
+
+    def _on_result_ready(self, event: inp.ResultReady) -> list[api.Event]:
+        found = self._requests.find_in_flight(event.request, event.attempt)
+        if found is None:
+            return []
+        request, attempt = found
+        if attempt.is_cancelled or request.is_answered or request.committed_attempt is not None:
+            return []
+        self._requests.commit(request, attempt)
+        return [api.StreamStarted(request.id, attempt.number, attempt.engine)]
+
+    def _on_attempt_done(self, event: inp.AttemptDone) -> list[api.Event]:
+        found = self._requests.find_in_flight(event.request, event.attempt)
+        if found is None:
+            return []
+        request, attempt = found
+        attempt.has_ended = True
+        self._policy.record_attempt_end(request.idempotency_key, event.outcome in NEVER_RAN)
+        was_answered = request.is_answered
+        outcome = self._settle(request, attempt, event)
+        ended = api.AttemptEnded(
+            request=request.id,
+            attempt=attempt.number,
+            engine=attempt.engine,
+            outcome=outcome,
+            elapsed=event.elapsed,
+            is_final=request.is_answered and not was_answered,
+            work=event.work,
+            memory_mb=event.memory_mb,
+            load_report=event.load_report,
+        )
+        return [ended]
+
+    def _settle(self, request: Request, attempt: Attempt, event: inp.AttemptDone) -> api.Outcome:
+        """Answer the request if an ended attempt does, and return the outcome that the policy sees."""
+        if request.is_answered:
+            self._requests.mark_releasable(request)
+            return event.outcome
+        if attempt.is_cancelled:
+            # Its result may not be used, but that it never ran still permits a retry.
+            return event.outcome if event.outcome in NEVER_RAN else api.Outcome.CANCELLED
+        if event.outcome is api.Outcome.OK:
+            self._requests.answer(request, fx.CompleteRequest(request.id, attempt.number))
+            return event.outcome
+        if event.is_query_fault:
+            # Every engine would give this error, so it is the answer. It says nothing of the engine's health
+            # or speed; CANCELLED is the outcome that the policy learns nothing from.
+            answer = fx.CompleteRequest(request.id, attempt.number, is_query_fault=True)
+            self._requests.answer(request, answer)
+            return api.Outcome.CANCELLED
+        return event.outcome
+
+    def _on_progress(self, event: inp.AttemptProgress) -> list[api.Event]:
+        found = self._requests.find_in_flight(event.request, event.attempt)
+        if found is None:
+            return []
+        request, attempt = found
+        return [api.ProgressReport(request.id, attempt.number, attempt.engine, event.kind, event.amount)]
+
+    # --- engines ---
+
+    def _on_endpoint_list(self, event: api.EndpointListUpdate) -> list[api.Event]:
+        if event.mode is not api.EndpointListMode.FAILED:
+            self._engines.apply(event)
+            self._withdraw_attempts()
+        return [event]
+
+    def _withdraw_attempts(self) -> None:
+        """Withdraw attempts at engines that drain or are gone; those that were sent are not affected."""
+        for request in self._requests:
+            for attempt in request.in_flight:
+                if not self._engines.is_ready(attempt.engine):
+                    self._effects.append(fx.WithdrawAttempt(request.id, attempt.number))
--- a/saffronlane/dispatch/inputs.py
+++ b/saffronlane/dispatch/inputs.py
@@ -1,4 +1,4 @@
-"""What the world tells the dispatcher. Times are seconds on one monotonic clock, memory is in MB."""
+"""What happens around the dispatcher. Times are seconds on one monotonic clock, memory is in MB."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
     table_group: float = 0.0
     is_retry: bool = False
     is_write: bool = False
-    idempotency_key: bytes = b""  # the key that the client knows the request by; empty: none
+    idempotency_key: bytes = b""  # chosen by the client; empty: none
 
 
 @dataclass(frozen=True, slots=True)
 class ResultReady:
-    """An attempt has as much of its result as is held back; its bytes may leave only after a Commit."""
+    """An attempt has buffered as much of its result as it may; its bytes may leave only after a `Commit`."""
 
     request: int
     attempt: int
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptDone:
-    """An attempt is over, told once. `fault` says that the query itself is wrong, whoever runs it."""
+    """An attempt has ended. `is_query_fault` says that every engine would reject the query."""
 
     request: int
     attempt: int
@@ -49,6 +49,8 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptProgress:
+    """An engine has reported the progress of an attempt."""
+
     request: int
     attempt: int
     kind: api.ProgressKind
@@ -57,33 +59,35 @@
 
 @dataclass(frozen=True, slots=True)
 class PurgeLearnedState:
-    """An operator wants what was learned forgotten."""
+    """An operator has asked to discard learned state of these categories."""
 
     categories: tuple[PurgeCategory, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class AttachLearnedState:
-    """A folder that was not free at the start is, and this is what it holds."""
+    """The state directory, locked by another process at the start, is available with this content."""
 
     persisted_state: PersistedState
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
+    """The client no longer waits for its answer."""
+
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class BeginDrain:
-    """New requests are turned away from now on; what is taken has so many seconds to end."""
+    """Reject new requests from now on; accepted ones have `grace_period` seconds to end."""
 
     grace_period: float
 
 
 @dataclass(frozen=True, slots=True)
 class FinishDrain:
-    """Everything that is still owed an answer gets one now."""
+    """Answer all pending requests now."""
 
 
 Input = (
--- /dev/null
+++ b/saffronlane/dispatch/policy_host.py
@@ -0,0 +1,177 @@
+"""Hosts the policy and its learned state, and restarts both after a fault."""
+
+from __future__ import annotations
+
+from .. import interface as api
+from ..learned_state import DURABILITY_TIMEOUT, Checkpointer, PersistedState, PurgeCategory
+from ..policy import Gateway
+from ..storage import Change
+from . import effects as fx
+from .engine_table import EngineTable
+from .requests import Attempt, Request, RequestTable
+
+
+class PolicyHost:
+    """One policy instance with the checkpointer of what it learns.
+
+    Args:
+        settings: as `policy.Gateway` takes them.
+        seed: of every random draw; a restarted policy takes the next one.
+        effects: receives log lines and changes to persist.
+        persisted_state: what an earlier run stored; None: nothing.
+        is_persistent: whether what is learned is to be stored.
+    """
+
+    def __init__(
+        self,
+        settings: api.Settings,
+        seed: int,
+        effects: list[fx.Effect],
+        persisted_state: PersistedState | None,
+        is_persistent: bool,
+    ) -> None:
+        self._settings = settings
+        self._seed = seed
+        self._effects = effects
+        self._has_engines = False  # the policy has been given a list with engines
+        self._write_ahead_keys: dict[bytes, None] = {}  # of entries that attempts of this step wait for
+        self.fault_count = 0
+        self.gateway = Gateway(settings, seed)
+        self.checkpointer = Checkpointer(settings, persisted_state, is_persistent)
+        self.checkpointer.begin(self.gateway)
+        self.first_changes = self.checkpointer.first(self.gateway) if is_persistent else []
+
+    # --- deciding ---
+
+    def step(self, now: float, events: list[api.Event]) -> list[api.Action]:
+        """Return the policy's decisions on events. The first list with engines restores learned state."""
+        entries = self._first_engines(events)
+        if entries:
+            self.checkpointer.before_list(self.gateway, entries)
+        actions = self.gateway.step(now, events)
+        if entries:
+            self._has_engines = True
+            self.checkpointer.after_list(self.gateway)
+            self._log(self.checkpointer.recalled)
+        return actions
+
+    def _first_engines(self, events: list[api.Event]) -> tuple[api.EngineEntry, ...]:
+        """Return the entries of the first list that has any; empty if that has come before."""
+        if self._has_engines:
+            return ()
+        for event in events:
+            if not isinstance(event, api.EndpointListUpdate) or event.mode is api.EndpointListMode.FAILED:
+                continue
+            if event.entries:
+                return event.entries
+        return ()
+
+    def _log(self, text: str) -> None:
+        if text:
+            self._effects.append(api.Log(text))
+
+    # --- restart ---
+
+    def restart(self, now: float, engines: EngineTable) -> list[api.Action]:
+        """Replace the policy by a new one that takes over what was learned.
+
+        Returns:
+            What the new policy decides on the present list of engines.
+        """
+        try:
+            return self._replace_policy(now, engines, self.checkpointer.anew(self.gateway, now))
+        except Exception as error:  # the failed step may have left the learned state in any condition
+            self._log(f"learned state discarded: {error!r}")
+            return self._replace_policy(now, engines, None)
+
+    def record_fault(self, error: Exception) -> None:
+        """Count a failed step, and forget which entries its attempts waited for."""
+        self.fault_count += 1
+        self._write_ahead_keys.clear()
+        self._log(f"policy restarted after an internal error: {error!r}")
+
+    def _replace_policy(
+        self, now: float, engines: EngineTable, learned_state: PersistedState | None
+    ) -> list[api.Action]:
+        self.gateway = Gateway(self._settings, self._seed + self.fault_count)
+        previous = self.checkpointer
+        self.checkpointer = Checkpointer(self._settings, learned_state, previous.keeping)
+        self.checkpointer.succeed(previous)
+        self.checkpointer.begin(self.gateway)
+        self._has_engines = len(engines) > 0
+        if not self._has_engines:
+            return []
+        update = engines.full_update()
+        self.checkpointer.before_list(self.gateway, update.entries)
+        actions = self.gateway.step(now, [update])
+        self.checkpointer.after_list(self.gateway)
+        return actions
+
+    # --- learned state ---
+
+    def validate_restored(self, events: list[api.Event], requests: RequestTable) -> None:
+        """Test restored estimates against the answers of this step, and against their absence."""
+        for event in events:
+            if isinstance(event, api.Arrival):
+                self.checkpointer.asked(self.gateway, event.class_index)
+            elif isinstance(event, api.AttemptEnded) and event.outcome is api.Outcome.OK:
+                request = requests[event.request]
+                self._log(
+                    self.checkpointer.answered(
+                        self.gateway,
+                        request.class_index,
+                        request.estimated_cost,
+                        event.elapsed,
+                        event.work,
+                    )
+                )
+        for text in self.checkpointer.unheard(self.gateway):
+            self._effects.append(api.Log(text))
+
+    def previous_attempt(self, idempotency_key: bytes, now: float) -> api.PreviousAttempt | None:
+        """Return what is known of an earlier request with the same idempotency key."""
+        if not idempotency_key:
+            return None
+        return self.checkpointer.ledger.earlier(idempotency_key, now)
+
+    def record_attempt_end(self, idempotency_key: bytes, never_ran: bool) -> None:
+        """Record in the idempotency ledger that an attempt of a request with this key has ended."""
+        if idempotency_key:
+            self.checkpointer.ledger.ended(idempotency_key, never_ran)
+
+    def write_ahead(self, request: Request, attempt: Attempt) -> float:
+        """Note which entries must be durable before an attempt starts.
+
+        Returns:
+            Seconds that the attempt may wait for them; 0 if there are none.
+        """
+        keys = self.checkpointer.ahead(self.gateway, request.id, attempt.number, request.idempotency_key)
+        if not keys or not self.checkpointer.keeping:
+            return 0.0
+        self._write_ahead_keys.update(dict.fromkeys(keys))
+        return DURABILITY_TIMEOUT
+
+    def persist_changes(self, now: float) -> None:
+        """Emit what this step's attempts wait for, ahead of them, and all other changes if it is time."""
+        if self._write_ahead_keys:
+            changes = self.checkpointer.changes_ahead(self.gateway, self._write_ahead_keys)
+            self._write_ahead_keys.clear()
+            self._effects.insert(0, fx.Persist(tuple(changes), is_write_ahead=True))
+        if now < self.checkpointer.next_look:
+            return
+        changes = self.unwritten_changes()
+        if changes:
+            self._effects.append(fx.Persist(tuple(changes)))
+
+    def unwritten_changes(self) -> list[Change]:
+        """Return all changes of the learned state that have not been emitted."""
+        return self.checkpointer.changes(self.gateway)
+
+    def attach(self, persisted_state: PersistedState) -> None:
+        """Begin to store learned state, beginning with all that was restored and learned so far."""
+        self.first_changes = self.checkpointer.attach(self.gateway, persisted_state)
+        self._effects.append(fx.Persist(tuple(self.first_changes)))
+
+    def purge(self, categories: tuple[PurgeCategory, ...]) -> None:
+        """Discard what was learned of these categories, here and in the state directory."""
+        self.checkpointer.forget(self.gateway, categories)
--- /dev/null
+++ b/saffronlane/dispatch/requests.py
@@ -0,0 +1,169 @@
+"""The table of requests and their attempts: one final answer for each request."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from . import effects as fx
+from .errors import DuplicateRequestError
+
+
+class ResourceGrant(NamedTuple):
+    """The resources that the policy grants to an attempt."""
+
+    memory_mb: float = 0.0
+    priority: int | None = None
+
+
+NO_GRANT = ResourceGrant()
+
+
+@dataclass(slots=True, eq=False)
+class Attempt:
+    """One attempt of a request at an engine."""
+
+    number: int
+    engine: bytes
+    is_cancelled: bool = False
+    has_ended: bool = False
+
+
+@dataclass(slots=True, eq=False)
+class Request:
+    """One request, until it is answered and all its attempts have ended."""
+
+    id: int
+    class_index: int = 0
+    estimated_cost: float = 0.0
+    idempotency_key: bytes = b""
+    is_repeated: bool = False  # an earlier request with its idempotency key may have run
+    next_grant: ResourceGrant = NO_GRANT
+    attempts: list[Attempt] = field(default_factory=list)
+    committed_attempt: int | None = None
+    is_answered: bool = False
+
+    @property
+    def in_flight(self) -> list[Attempt]:
+        """The attempts that have not ended."""
+        return [attempt for attempt in self.attempts if not attempt.has_ended]
+
+    def add_attempt(self, engine: bytes) -> Attempt:
+        """Append an attempt at an engine."""
+        attempt = Attempt(len(self.attempts), engine)
+        self.attempts.append(attempt)
+        return attempt
+
+    def take_grant(self) -> ResourceGrant:
+        """Return the grant of the next attempt; it holds for that one only."""
+        grant = self.next_grant
+        self.next_grant = NO_GRANT
+        return grant
+
+
+class AttemptInFlight(NamedTuple):
+    """An attempt that has not ended, with its request."""
+
+    request: Request
+    attempt: Attempt
+
+
+class RequestTable:
+    """All requests that are unanswered or have attempts in flight.
+
+    Args:
+        effects: receives answers, cancellations and withdrawals.
+        can_cancel: whether engines may be asked to stop an attempt; otherwise its result is discarded.
+    """
+
+    def __init__(self, effects: list[fx.Effect], can_cancel: bool) -> None:
+        self._effects = effects
+        self._can_cancel = can_cancel
+        self._requests: dict[int, Request] = {}
+        self._releasable: set[int] = set()  # answered ones whose attempts are still to be cancelled
+        self.pending_count = 0  # requests without a final answer
+
+    def __len__(self) -> int:
+        return len(self._requests)
+
+    def __iter__(self) -> Iterator[Request]:
+        return iter(self._requests.values())
+
+    @property
+    def in_flight_count(self) -> int:
+        """Attempts that have not ended, those of answered requests included."""
+        return sum(len(request.in_flight) for request in self._requests.values())
+
+    def add(self, request: Request) -> None:
+        """Add a request that is to be answered.
+
+        Raises:
+            DuplicateRequestError: its number is in the table.
+        """
+        if request.id in self._requests:
+            raise DuplicateRequestError(f"request {request.id} was submitted before")
+        self._requests[request.id] = request
+        self.pending_count += 1
+
+    def __getitem__(self, request_id: int) -> Request:
+        return self._requests[request_id]
+
+    def get(self, request_id: int) -> Request | None:
+        """Return a request, or None if it is over."""
+        return self._requests.get(request_id)
+
+    def find_in_flight(self, request_id: int, attempt_number: int) -> AttemptInFlight | None:
+        """Return an attempt with its request, or None if it has ended."""
+        request = self._requests.get(request_id)
+        if request is None or not 0 <= attempt_number < len(request.attempts):
+            return None
+        attempt = request.attempts[attempt_number]
+        return None if attempt.has_ended else AttemptInFlight(request, attempt)
+
+    def answer(self, request: Request, answer: fx.Effect | None) -> None:
+        """Give a request its final answer, unless it has one.
+
+        Every final answer is emitted here. None: the client has disconnected and gets no answer.
+        """
+        if request.is_answered:
+            return
+        request.is_answered = True
+        self.pending_count -= 1
+        self._releasable.add(request.id)
+        if answer is not None:
+            self._effects.append(answer)
+
+    def commit(self, request: Request, attempt: Attempt) -> None:
+        """Let the result of an attempt leave, and cancel all other attempts of its request."""
+        request.committed_attempt = attempt.number
+        self._effects.append(fx.Commit(request.id, attempt.number))
+        for other in request.in_flight:
+            if other is not attempt:
+                self.cancel(request, other)
+
+    def cancel(self, request: Request, attempt: Attempt) -> None:
+        """Give an attempt up: no result of it counts from now on."""
+        if attempt.has_ended or attempt.is_cancelled:
+            return
+        attempt.is_cancelled = True
+        effect_type = fx.CancelAttempt if self._can_cancel else fx.DiscardAttempt
+        self._effects.append(effect_type(request.id, attempt.number))
+
+    def mark_releasable(self, request: Request) -> None:
+        """Have `release_answered` look at an answered request at the end of this step."""
+        self._releasable.add(request.id)
+
+    def release(self, request: Request) -> None:
+        """Cancel what an answered request has in flight, and remove it once nothing is."""
+        for attempt in request.in_flight:
+            self.cancel(request, attempt)
+        if not request.in_flight:
+            self._requests.pop(request.id, None)
+            self._releasable.discard(request.id)
+
+    def release_answered(self) -> None:
+        """Release the requests that were answered, or lost an attempt after that, in this step."""
+        for request_id in sorted(self._releasable):
+            self.release(self._requests[request_id])
+        self._releasable.clear()
