--- a/saffronlane/daemon.py
+++ b/saffronlane/daemon.py
@@ -93,7 +93,7 @@
     def start(self, sockets: list[socket.socket] | None = None) -> None:
         """Listen. OSError where the address cannot be had."""
         if self.folder is not None:
-            self.folder.unsaved = lambda: self.executor.unsaved
+            self.folder.unsaved = lambda: self.executor.non_durable_count
             self.folder.on_attach = lambda memory: self.executor.feed(d.AttachLearnedState(memory))
             self.folder.on_forget = lambda what: self.executor.feed(d.PurgeLearnedState(what))
             self.folder.start(self.dispatcher)
--- a/saffronlane/dispatch/recording.py
+++ b/saffronlane/dispatch/recording.py
@@ -35,10 +35,10 @@
         settings: api.Settings,
         seed: int,
         max_pending: int = MAX_PENDING,
-        memory: PersistedState | None = None,
+        persisted_state: PersistedState | None = None,
     ) -> None:
         self._sink = sink
-        self._write([encode(settings), seed, max_pending, encode(memory), VERSION])
+        self._write([encode(settings), seed, max_pending, encode(persisted_state), VERSION])
 
     def _write(self, record: object) -> None:
         data = _ENCODER.encode(record)
--- a/saffronlane/engines/executor.py
+++ b/saffronlane/engines/executor.py
@@ -30,10 +30,10 @@
     id: int
     work: Any  # what the transport runs
     sink: Any  # where the transport's answer goes
-    key: str = ""  # that engines know the request by
-    running: dict[int, Attempt] = field(default_factory=dict)
+    idempotency_key: str = ""  # that engines know the request by
+    attempts_in_flight: dict[int, Attempt] = field(default_factory=dict)
     last_error: str = ""
-    answered: bool = False
+    is_answered: bool = False
 
 
 @dataclass(slots=True, eq=False)
@@ -41,23 +41,23 @@
     """One attempt under way; a transport adds what it needs."""
 
     request: Request
-    n: int
+    number: int
     engine: bytes
     effect: d.StartAttempt
-    started: float
-    saved: asyncio.Future[bool] | None = None  # what must be on disk before it leaves
-    waited: float = 0.0  # seconds for that
-    told: bool = False  # its end
+    started_at: float
+    write_ahead: asyncio.Future[bool] | None = None  # what must be on disk before it leaves
+    durability_wait: float = 0.0  # seconds for that
+    has_ended: bool = False  # its end
 
-    async def until_saved(self) -> bool:
+    async def wait_until_durable(self) -> bool:
         """Wait for what a later run must know of it; a disk that hangs holds nothing up for long."""
-        if self.saved is None:
+        if self.write_ahead is None:
             return True
         loop = asyncio.get_running_loop()
         began = loop.time()
-        done, _ = await asyncio.wait({self.saved}, timeout=self.effect.durability_timeout)
-        self.waited = loop.time() - began
-        return bool(done) and self.saved.result()
+        done, _ = await asyncio.wait({self.write_ahead}, timeout=self.effect.durability_timeout)
+        self.durability_wait = loop.time() - began
+        return bool(done) and self.write_ahead.result()
 
 
 class Transport(Protocol):
@@ -69,7 +69,7 @@
 
     def bind(self, executor: Executor) -> None: ...
 
-    def start(self, request: Request, effect: d.StartAttempt, started: float) -> Attempt: ...
+    def create_attempt(self, request: Request, effect: d.StartAttempt, started: float) -> Attempt: ...
 
     def begin(self, attempt: Attempt) -> None:
         """It is in the ledger now, and may end."""
@@ -80,15 +80,15 @@
     def discard(self, attempt: Attempt) -> None:
         """Nobody wants what it brings."""
 
-    def recall(self, attempt: Attempt) -> None:
+    def withdraw(self, attempt: Attempt) -> None:
         """It does not leave if it has not left."""
 
     def commit(self, attempt: Attempt) -> None:
         """Its result may leave, and no other's."""
 
-    def serve(self, request: Request, attempt: Attempt, fault: bool) -> None: ...
+    def complete(self, request: Request, attempt: Attempt, fault: bool) -> None: ...
 
-    def refuse(self, request: Request, retry_after: float, why: str) -> None: ...
+    def reject(self, request: Request, retry_after: float, why: str) -> None: ...
 
     def fail(self, request: Request, why: str) -> None: ...
 
@@ -97,7 +97,7 @@
 
     def close_idle(self, engine: bytes) -> None: ...
 
-    def forgotten(self, attempt: Attempt) -> None:
+    def on_attempt_released(self, attempt: Attempt) -> None:
         """The ledger has dropped it."""
 
     def close(self) -> None: ...
@@ -118,23 +118,23 @@
         self,
         dispatcher: d.Dispatcher,
         transport: Transport,
-        send_peer: Callable[[int | None, bytes], None] | None = None,
-        keep: Keep | None = None,
+        send_gossip: Callable[[int | None, bytes], None] | None = None,
+        persist: Keep | None = None,
     ) -> None:
         self.dispatcher = dispatcher
         self.transport = transport
-        self._send_peer = send_peer
-        self._keep = keep
+        self._send_peer = send_gossip
+        self._keep = persist
         self._saving: asyncio.Future[bool] | None = None  # of this step
-        self.unsaved = 0  # attempts that left though what must be on disk before them was not
+        self.non_durable_count = 0  # attempts that left though what must be on disk before them was not
         self._loop = asyncio.get_running_loop()
         self._inputs: list[d.Input] = []
         self._soon: asyncio.Handle | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at = math.inf
         self._requests: dict[int, Request] = {}
-        self._doers: dict[type, Callable[..., None]] = {
-            d.StartAttempt: self._start,
+        self._effect_handlers: dict[type, Callable[..., None]] = {
+            d.StartAttempt: self._start_attempt,
             d.Persist: self._write,
             d.CancelAttempt: self._cancel,
             d.DiscardAttempt: self._discard,
@@ -162,13 +162,13 @@
     def open_request(self, number: int) -> Request | None:
         """A request that is still owed its answer."""
         request = self._requests.get(number)
-        return None if request is None or request.answered else request
+        return None if request is None or request.is_answered else request
 
-    def client_gone(self, number: int) -> None:
+    def disconnect_client(self, number: int) -> None:
         """The client does not want the answer any more."""
         request = self.open_request(number)
         if request is not None:
-            request.answered = True
+            request.is_answered = True
             self.feed(d.ClientDisconnected(number))
             self._forget(request)
 
@@ -192,7 +192,7 @@
 
     def _do(self, effect: d.Effect) -> None:
         """Carry out one effect; one that fails takes no other with it."""
-        doer = self._doers.get(type(effect))
+        doer = self._effect_handlers.get(type(effect))
         if doer is None:
             return
         try:
@@ -227,16 +227,16 @@
         self, effect: d.CancelAttempt | d.DiscardAttempt | d.WithdrawAttempt | d.Commit | d.CompleteRequest
     ) -> Attempt | None:
         request = self._requests.get(effect.request)
-        return request.running.get(effect.attempt) if request is not None else None
+        return request.attempts_in_flight.get(effect.attempt) if request is not None else None
 
-    def _start(self, effect: d.StartAttempt) -> None:
+    def _start_attempt(self, effect: d.StartAttempt) -> None:
         request = self._requests.get(effect.request)
         if request is None:  # its client has left in this very turn
             self._never_left(effect)
             return
-        attempt = self.transport.start(request, effect, self._loop.time())
-        attempt.saved = self._saving if effect.durability_timeout else None
-        request.running[effect.attempt] = attempt
+        attempt = self.transport.create_attempt(request, effect, self._loop.time())
+        attempt.write_ahead = self._saving if effect.durability_timeout else None
+        request.attempts_in_flight[effect.attempt] = attempt
         self.transport.begin(attempt)
 
     def _write(self, effect: d.Persist) -> None:
@@ -257,7 +257,7 @@
     def _recall(self, effect: d.WithdrawAttempt) -> None:
         attempt = self._find(effect)
         if attempt is not None:
-            self.transport.recall(attempt)
+            self.transport.withdraw(attempt)
 
     def _commit(self, effect: d.Commit) -> None:
         attempt = self._find(effect)
@@ -267,26 +267,26 @@
     def _serve(self, effect: d.CompleteRequest) -> None:
         request, attempt = self.open_request(effect.request), self._find(effect)
         if request is not None and attempt is not None:
-            request.answered = True
-            self.transport.serve(request, attempt, effect.is_query_fault)
+            request.is_answered = True
+            self.transport.complete(request, attempt, effect.is_query_fault)
             self._forget(request)
 
     def _refuse(self, effect: d.RejectRequest) -> None:
         request = self.open_request(effect.request)
         if request is not None:
-            request.answered = True
-            self.transport.refuse(request, effect.retry_after, effect.reason)
+            request.is_answered = True
+            self.transport.reject(request, effect.retry_after, effect.reason)
             self._forget(request)
 
     def _fail(self, effect: d.FailRequest) -> None:
         request = self.open_request(effect.request)
         if request is not None:
-            request.answered = True
+            request.is_answered = True
             self.transport.fail(request, effect.reason)
             self._forget(request)
 
     def _forget(self, request: Request) -> None:
-        if request.answered and not request.running:
+        if request.is_answered and not request.attempts_in_flight:
             self._requests.pop(request.id, None)
 
     def _probe(self, effect: api.ProbeLoad) -> None:
@@ -307,7 +307,7 @@
 
     # --- the transport's side ---
 
-    def done(
+    def finish_attempt(
         self,
         attempt: Attempt,
         outcome: api.Outcome,
@@ -318,43 +318,45 @@
         fault: bool = False,
     ) -> None:
         """An attempt has ended; a second word on it is not heard."""
-        if attempt.told:
+        if attempt.has_ended:
             return
-        attempt.told = True
+        attempt.has_ended = True
         log.debug(
             "attempt ended",
             request=attempt.request.id,
-            attempt=attempt.n,
+            attempt=attempt.number,
             engine=attempt.engine.decode("utf-8", "replace"),
             outcome=outcome.name,
             elapsed=round(elapsed, 4),
         )
         self.feed(
-            d.AttemptDone(attempt.request.id, attempt.n, outcome, elapsed, work, memory_mb, report, fault)
+            d.AttemptDone(
+                attempt.request.id, attempt.number, outcome, elapsed, work, memory_mb, report, fault
+            )
         )
         # The dispatcher answers in this turn's step; what the attempt holds must live until then.
         self._loop.call_soon(self._drop, attempt)
 
     def _drop(self, attempt: Attempt) -> None:
-        attempt.request.running.pop(attempt.n, None)
+        attempt.request.attempts_in_flight.pop(attempt.number, None)
         self._forget(attempt.request)
-        self.transport.forgotten(attempt)
+        self.transport.on_attempt_released(attempt)
 
     # --- the end ---
 
     @property
-    def pending(self) -> bool:
+    def has_unprocessed_input(self) -> bool:
         """Something was told that the dispatcher has not been stepped with."""
         return bool(self._inputs)
 
     @property
-    def at_rest(self) -> bool:
+    def is_idle(self) -> bool:
         """Nothing is owed, and no attempt runs."""
         return not self._requests and not self._inputs
 
-    async def finished(self) -> None:
+    async def wait_until_idle(self) -> None:
         """Wait until nothing is owed and no attempt runs."""
-        while not self.at_rest:
+        while not self.is_idle:
             await asyncio.sleep(0.01)
 
     def close(self) -> None:
--- a/saffronlane/engines/flight.py
+++ b/saffronlane/engines/flight.py
@@ -120,12 +120,12 @@
         if request is None:
             return False
         request.sink.end(status)
-        self._executor.client_gone(number)
+        self._executor.disconnect_client(number)
         return True
 
     # --- what the executor asks for ---
 
-    def start(self, request: Request, effect: d.StartAttempt, started: float) -> Attempt:
+    def create_attempt(self, request: Request, effect: d.StartAttempt, started: float) -> Attempt:
         return _Running(request, effect.attempt, effect.engine, effect, started)
 
     def begin(self, attempt: Attempt) -> None:
@@ -150,13 +150,13 @@
     def discard(self, attempt: Attempt) -> None:
         assert isinstance(attempt, _Running)
         # Guards against an attempt that waits for its channel and is sent after its client has gone.
-        self.recall(attempt)
+        self.withdraw(attempt)
         attempt.passing = True  # read on to the end, into nothing
         attempt.held.clear()
         attempt.committed.set()
         attempt.cancelled = True
 
-    def recall(self, attempt: Attempt) -> None:
+    def withdraw(self, attempt: Attempt) -> None:
         assert isinstance(attempt, _Running)
         if not attempt.left and attempt.task is not None:
             attempt.cancelled = True
@@ -166,7 +166,7 @@
         assert isinstance(attempt, _Running)
         attempt.committed.set()
 
-    def serve(self, request: Request, attempt: Attempt, fault: bool) -> None:
+    def complete(self, request: Request, attempt: Attempt, fault: bool) -> None:
         assert isinstance(attempt, _Running)
         if fault:
             self._answer(request, attempt.status)
@@ -175,7 +175,7 @@
             request.sink.write_now(attempt.held.popleft())
         self._answer(request, Status(Code.OK))
 
-    def refuse(self, request: Request, retry_after: float, why: str) -> None:
+    def reject(self, request: Request, retry_after: float, why: str) -> None:
         text = why + (f" ({request.last_error})" if request.last_error else "")
         about = {"request": str(request.id)}
         self._answer(request, detailed(Code.UNAVAILABLE, text, "REFUSED", retry_after, about))
@@ -196,7 +196,7 @@
         if engine in self._pools:
             self._pools[engine].close_idle()
 
-    def forgotten(self, attempt: Attempt) -> None:
+    def on_attempt_released(self, attempt: Attempt) -> None:
         if self._address(attempt.engine) is None:  # it went from the list while this ran
             self.forget_engine(attempt.engine)
 
@@ -222,13 +222,13 @@
 
     async def _run(self, running: _Running) -> None:
         effect = running.effect
-        ending = running.started + effect.timeout
+        ending = running.started_at + effect.timeout
         verdict: Verdict
         try:
             async with asyncio.timeout_at(ending):
-                if not await running.until_saved():
-                    self._executor.unsaved += 1
-                    log.warning("attempt leaves unsaved", request=running.request.id, attempt=running.n)
+                if not await running.wait_until_durable():
+                    self._executor.non_durable_count += 1
+                    log.warning("attempt leaves unsaved", request=running.request.id, attempt=running.number)
                 verdict = await self._talk(running)
         except TimeoutError:
             verdict = await self._stopped(running, api.Outcome.TIMEOUT)
@@ -241,17 +241,17 @@
             running.request.last_error = str(error)
             verdict = Verdict(api.Outcome.ERROR if running.left else api.Outcome.NOT_SENT)
         except Exception as error:
-            log.exception("attempt failed", request=running.request.id, attempt=running.n)
+            log.exception("attempt failed", request=running.request.id, attempt=running.number)
             running.request.last_error = repr(error)
             await self._stopped(running, api.Outcome.RESET)
             verdict = Verdict(api.Outcome.RESET if running.left else api.Outcome.NOT_SENT)
         self._done(running, verdict)
 
     def _done(self, running: _Running, verdict: Verdict) -> None:
-        if running.told:
+        if running.has_ended:
             return
         request, call = running.request, running.call
-        elapsed = self._loop.time() - running.started - running.waited
+        elapsed = self._loop.time() - running.started_at - running.durability_wait
         told = orca.Told()
         if call is not None and call.ending is Ending.STATUS:
             told = orca.read(call.trailers, self._executor.dispatcher.settings.report_columns)
@@ -262,8 +262,8 @@
         pool = self._pools.get(running.engine)
         if pool is not None:
             pool.released()
-        self._executor.done(
-            running, verdict.outcome, elapsed, told.work, told.memory_mb, told.report, verdict.fault
+        self._executor.finish_attempt(
+            running, verdict.outcome, elapsed, told.work, told.memory_mb, told.report, verdict.is_query_fault
         )
 
     async def _stopped(self, running: _Running, outcome: api.Outcome) -> Verdict:
@@ -363,14 +363,14 @@
             raise ConnectFailed("the engine has no address")
         effect = running.effect
         channel = await pool.channel()
-        left = running.started + effect.timeout - self._loop.time()
+        left = running.started_at + effect.timeout - self._loop.time()
         extra: list[tuple[str, str | bytes]] = [
             ("saffronlane-gateway", self._name),
             ("saffronlane-request", str(running.request.id)),
-            ("saffronlane-attempt", str(running.n)),
+            ("saffronlane-attempt", str(running.number)),
         ]
-        if running.request.key:
-            extra.append(("saffronlane-key", running.request.key))
+        if running.request.idempotency_key:
+            extra.append(("saffronlane-key", running.request.idempotency_key))
         if effect.grant_mb:
             extra.append(("saffronlane-grant-mb", f"{effect.grant_mb:.1f}"))
         if effect.priority is not None:
@@ -391,7 +391,7 @@
         while (message := await call.read()) is not None:
             note = orca.read_note(message)
             if note is not None:
-                self._executor.feed(d.AttemptProgress(request.id, running.n, *note))
+                self._executor.feed(d.AttemptProgress(request.id, running.number, *note))
                 request.sink.note(*note)
                 continue
             if running.cancelled:
@@ -402,7 +402,7 @@
             running.held.append(message)
             running.held_size += len(message)
             if running.held_size > self._limits.hold_back:
-                self._executor.feed(d.ResultReady(request.id, running.n))
+                self._executor.feed(d.ResultReady(request.id, running.number))
                 await running.committed.wait()
                 running.passing = True
                 while running.held:
@@ -425,7 +425,7 @@
                     pass
             told = orca.read(call.trailers, self._executor.dispatcher.settings.report_columns)
             status = call.status or Status(Code.UNKNOWN)
-            outcome = classify(call.ending or Ending.RESET, status, heard=False).outcome
+            outcome = classify(call.ending or Ending.RESET, status, earlier_call_processed=False).outcome
         except (ConnectFailed, RpcError):
             outcome = api.Outcome.CONNECT_FAILED
         except TimeoutError:
--- a/saffronlane/engines/outcomes.py
+++ b/saffronlane/engines/outcomes.py
@@ -29,10 +29,10 @@
 @dataclass(frozen=True, slots=True)
 class Verdict:
     outcome: Outcome
-    fault: bool = False  # of the query
+    is_query_fault: bool = False  # of the query
 
 
-def classify(ending: Ending, status: Status, heard: bool) -> Verdict:
+def classify(ending: Ending, status: Status, earlier_call_processed: bool) -> Verdict:
     """Judge one ended call.
 
     Args:
@@ -42,7 +42,7 @@
             never ran" does not mean that the attempt never did.
     """
     if ending is Ending.UNPROCESSED:
-        return Verdict(Outcome.RESET if heard else Outcome.REJECTED)
+        return Verdict(Outcome.RESET if earlier_call_processed else Outcome.REJECTED)
     if ending in (Ending.RESET, Ending.LOST):
         return Verdict(Outcome.RESET)
     if ending is Ending.CANCELLED:
@@ -54,5 +54,5 @@
     if status.code is Code.DEADLINE_EXCEEDED:
         return Verdict(Outcome.TIMEOUT)
     if status.code in QUERY_FAULTS:
-        return Verdict(Outcome.ERROR, fault=True)
+        return Verdict(Outcome.ERROR, is_query_fault=True)
     return Verdict(Outcome.ERROR)
--- a/saffronlane/flight/service.py
+++ b/saffronlane/flight/service.py
@@ -248,7 +248,7 @@
     ) -> None:
         sink = CallSink(call)
         number = self._submit(call, handle, (statement, identity), sink)
-        call.on_gone = lambda: self._executor.client_gone(number)
+        call.on_gone = lambda: self._executor.disconnect_client(number)
         log.debug("request", request=number, session=session.short if session else "", cls=identity.cls)
         self._running.setdefault(handle.nonce, set()).add(number)
         try:
@@ -304,7 +304,7 @@
         if poll is not None:
             poll.sink.drop()
             if poll.sink.status is None:
-                self._executor.client_gone(poll.request)
+                self._executor.disconnect_client(poll.request)
 
     def _sweep(self) -> None:
         self._sweep_polls()
--- a/saffronlane/platform/downstream/server.py
+++ b/saffronlane/platform/downstream/server.py
@@ -144,7 +144,7 @@
 
     def gone(self, number: int, rid: bytes) -> None:
         self.ids.discard(rid)
-        self._executor.client_gone(number)
+        self._executor.disconnect_client(number)
 
     def dropped(self, client: ClientConnection) -> None:
         """A connection is closed."""
--- a/saffronlane/platform/server.py
+++ b/saffronlane/platform/server.py
@@ -156,7 +156,7 @@
 
     def _debts(self) -> Debts:
         front = self.front
-        owed = bool(self.dispatcher.pending_count or self.executor.pending or front.owed)
+        owed = bool(self.dispatcher.pending_count or self.executor.has_unprocessed_input or front.owed)
         unread = self.process.phase is Phase.DRAINING and not owed and front.unread()
         # Guards against an end while connections are full: the system has taken those that wait outside,
         # and what they sent is owed. Room is made in some hundredths of a second, if the end can wait.
--- a/saffronlane/platform/upstream/connection.py
+++ b/saffronlane/platform/upstream/connection.py
@@ -121,7 +121,7 @@
     @staticmethod
     def _unheard_of(sending: Sending) -> bool:
         # Answered: its client's going is told, and the decisions are stepped later in this turn.
-        gone = sending.request.answered
+        gone = sending.request.is_answered
         return sending.put_off < MOST_PUT_OFF and (gone or client_of(sending.request).unread)
 
     def _on_heard(self) -> None:
--- a/saffronlane/platform/upstream/pool.py
+++ b/saffronlane/platform/upstream/pool.py
@@ -51,7 +51,7 @@
 
     # --- what the executor asks for ---
 
-    def start(self, request: Request, effect: d.StartAttempt, started: float) -> Attempt:
+    def create_attempt(self, request: Request, effect: d.StartAttempt, started: float) -> Attempt:
         return Sending(request, effect.attempt, effect.engine, effect, started)
 
     def begin(self, attempt: Attempt) -> None:
@@ -63,7 +63,7 @@
             return
         attempt.link = link
         link.open[statement.id] = attempt
-        attempt.timer = self._loop.call_at(attempt.started + effect.timeout, self._on_timeout, attempt)
+        attempt.timer = self._loop.call_at(attempt.started_at + effect.timeout, self._on_timeout, attempt)
         told = [b"c=" + statement.cls, b"w=%d" % max(1, round(effect.timeout * 1000.0))]
         if statement.token:
             told.append(b"i=" + statement.token)
@@ -88,9 +88,9 @@
         Guards against an attempt that waits for its connection and is sent after its client has gone, where
         the settings forbid cancelling.
         """
-        self.recall(attempt)
+        self.withdraw(attempt)
 
-    def recall(self, attempt: Attempt) -> None:
+    def withdraw(self, attempt: Attempt) -> None:
         assert isinstance(attempt, Sending)
         if not attempt.left_at:
             self._give_up(attempt, Outcome.NOT_SENT)
@@ -98,11 +98,11 @@
     def commit(self, attempt: Attempt) -> None:
         """Results are whole before they are told; nothing waits for this."""
 
-    def serve(self, request: Request, attempt: Attempt, fault: bool) -> None:
+    def complete(self, request: Request, attempt: Attempt, fault: bool) -> None:
         assert isinstance(attempt, Sending)
         client_of(request).served(attempt.result())
 
-    def refuse(self, request: Request, retry_after: float, why: str) -> None:
+    def reject(self, request: Request, retry_after: float, why: str) -> None:
         client_of(request).refused(retry_after)
 
     def fail(self, request: Request, why: str) -> None:
@@ -125,7 +125,7 @@
             if link.life.takes and not link.owed:
                 link.drain("idle")
 
-    def forgotten(self, attempt: Attempt) -> None:
+    def on_attempt_released(self, attempt: Attempt) -> None:
         if self._address(attempt.engine) is None:
             self.forget_engine(attempt.engine)
 
@@ -274,10 +274,10 @@
         for timer in (sending.timer, sending.pages_timer):
             if timer is not None:
                 timer.cancel()
-        elapsed = self._loop.time() - (sending.left_at or sending.started)
+        elapsed = self._loop.time() - (sending.left_at or sending.started_at)
         link = sending.link
         if link is not None and sending.left_at and outcome is not Outcome.OK:
             link.spent.add(sending.statement.id)
-        self._executor.done(sending, outcome, elapsed, sending.work, sending.memory_mb)
+        self._executor.finish_attempt(sending, outcome, elapsed, sending.work, sending.memory_mb)
         if link is not None:
             link.release(sending)
--- a/tests/node/support.py
+++ b/tests/node/support.py
@@ -72,14 +72,14 @@
 def outcomes(built: World) -> list[Outcome]:
     """Collects the outcomes that the dispatcher is told from now on."""
     told: list[Outcome] = []
-    done = built.node.executor.done
+    done = built.node.executor.finish_attempt
 
     def spy(attempt: Any, outcome: Outcome, *rest: Any) -> None:
-        if not attempt.told:
+        if not attempt.has_ended:
             told.append(outcome)
         done(attempt, outcome, *rest)
 
-    built.node.executor.done = spy  # type: ignore[method-assign]
+    built.node.executor.finish_attempt = spy  # type: ignore[method-assign]
     return told
 
 
--- a/tests/node/test_attempt_ends.py
+++ b/tests/node/test_attempt_ends.py
@@ -393,13 +393,13 @@
             await asyncio.sleep(0.15)
             await real(link)
 
-        done = built.node.executor.done
+        done = built.node.executor.finish_attempt
 
         def spy(attempt: Any, outcome: Outcome, elapsed: float, *rest: Any) -> None:
             spans.append(elapsed)
             done(attempt, outcome, elapsed, *rest)
 
-        built.node.executor.done = spy  # type: ignore[method-assign]
+        built.node.executor.finish_attempt = spy  # type: ignore[method-assign]
         connection_module.NodeConnection._run = slow  # type: ignore[method-assign]
         try:
             client = await built.client()
--- a/tests/node/test_interleavings.py
+++ b/tests/node/test_interleavings.py
@@ -139,13 +139,13 @@
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda _, context: faults.append(context))
         clients, links = Clients(built, random), built.node.links
-        start = links.start
+        start = links.create_attempt
 
         def kept(*told: Any) -> Any:
             sent.append(start(*told))
             return sent[-1]
 
-        links.start = kept  # type: ignore[method-assign]
+        links.create_attempt = kept  # type: ignore[method-assign]
         with structlog.testing.capture_logs() as logs:
             changing = asyncio.create_task(lists(built, random))
             await clients.run()
--- a/tests/test_folder.py
+++ b/tests/test_folder.py
@@ -142,7 +142,7 @@
         hangs.setattr(files_module._RealHandle, "sync", lambda self: gate.wait(30.0))
         change(house, "hangs")
         ask(house, 3)
-        assert house.daemon.executor.unsaved == 1
+        assert house.daemon.executor.non_durable_count == 1
         gate.set()
     working(house)
 
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -47,7 +47,7 @@
         self.settings, self.folder, self.start = settings, folder, at
         self.memory = PersistedState(tuple(folder.items()), at)
         self.record = io.BytesIO()
-        recording = RecordingWriter(self.record, settings, seed, memory=self.memory)
+        recording = RecordingWriter(self.record, settings, seed, persisted_state=self.memory)
         self.core = d.Dispatcher(settings, seed, recording, persisted_state=self.memory, is_persistent=True)
         self.now = at.monotonic_s
         self.effects: list[d.Effect] = []
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -41,8 +41,8 @@
         (Ending.STATUS, Status(Code.RESOURCE_EXHAUSTED), False, Verdict(Outcome.ERROR)),
         (Ending.STATUS, Status(Code.CANCELLED), False, Verdict(Outcome.ERROR)),
         (Ending.STATUS, Status(Code.DEADLINE_EXCEEDED), False, Verdict(Outcome.TIMEOUT)),
-        (Ending.STATUS, Status(Code.INVALID_ARGUMENT), False, Verdict(Outcome.ERROR, fault=True)),
-        (Ending.STATUS, Status(Code.NOT_FOUND), False, Verdict(Outcome.ERROR, fault=True)),
+        (Ending.STATUS, Status(Code.INVALID_ARGUMENT), False, Verdict(Outcome.ERROR, is_query_fault=True)),
+        (Ending.STATUS, Status(Code.NOT_FOUND), False, Verdict(Outcome.ERROR, is_query_fault=True)),
         (
             Ending.STATUS,
             detailed(Code.UNAVAILABLE, "no", NEVER_RAN, None),
@@ -269,7 +269,7 @@
         peer.executor.feed(api.EndpointListUpdate(api.EndpointListMode.FULL, 2, (entry,)))
         assert (await peer.end()).outcome is Outcome.NOT_SENT
         assert peer.server is not None and peer.server.open_calls == 0
-        peer.executor.client_gone(number)
+        peer.executor.disconnect_client(number)
         peer.close()
 
     run(work)
@@ -313,7 +313,7 @@
         peer = Peer({"GetFlightInfo": info, "DoGet": waits})
         number, _ = peer.ask()
         await inside.wait()
-        peer.executor.client_gone(number)
+        peer.executor.disconnect_client(number)
         end = await peer.end()
         assert end.outcome is Outcome.CANCELLED and gone
         peer.close()
@@ -338,7 +338,7 @@
         await taken.wait()
         await asyncio.sleep(0.05)
         began = loop.time()
-        peer.executor.client_gone(number)
+        peer.executor.disconnect_client(number)
         assert (await peer.end()).outcome is Outcome.CANCELLED
         assert 0.19 < loop.time() - began < 2.0
         peer.close()
@@ -354,11 +354,11 @@
         peer = Peer({"GetFlightInfo": info, "DoGet": empty})
         number, _ = peer.ask()
         peer.executor._step()
-        running = peer.executor._requests[number].running[0]
+        running = peer.executor._requests[number].attempts_in_flight[0]
         assert running.task is not None
         running.task.cancel()
         assert (await peer.end()).outcome is Outcome.NOT_SENT
-        peer.executor.client_gone(number)
+        peer.executor.disconnect_client(number)
         peer.close()
 
     run(work)
@@ -505,14 +505,14 @@
     async def work() -> None:
         peer = Peer({"GetFlightInfo": info, "DoGet": empty})
         first, second = peer.ask(), peer.ask()
-        start = peer.executor._start
+        start = peer.executor._start_attempt
 
         def faulty(effect: d.StartAttempt) -> None:
             if effect.request == first[0]:
                 raise KeyError("a fault of ours")
             start(effect)
 
-        peer.executor._doers[d.StartAttempt] = faulty
+        peer.executor._effect_handlers[d.StartAttempt] = faulty
         await second[1].over.wait()
         assert second[1].status == Status(Code.OK)
         await first[1].over.wait()
