--- a/saffronlane/engines/__init__.py
+++ b/saffronlane/engines/__init__.py
@@ -1,9 +1,10 @@
-"""Clients of the engines: attempts, how exactly each ended, and the transports that run them. No decision.
+"""Runs attempts at engines and classifies how each ended; decides nothing.
 
-`executor.py` serves any transport; `flight.py` is the one by Flight SQL, and is not imported here, so that a
+`executor.py` works with any transport. `flight.py`, the one for Flight SQL, is not imported here, so that a
 program with another transport loads neither gRPC nor protobuf.
 """
 
-from .executor import Attempt, Executor, Request, Transport
+from .executor import Executor
+from .transport import Attempt, Request, Transport
 
 __all__ = ["Attempt", "Executor", "Request", "Transport"]
--- /dev/null
+++ b/saffronlane/engines/effect_runner.py
@@ -0,0 +1,163 @@
+"""Carries out the dispatcher's effects by a transport."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Iterable
+
+import structlog
+
+from .. import dispatch as d
+from .. import interface as api
+from ..storage import Change
+from .request_ledger import RequestLedger
+from .transport import Attempt, Transport
+
+log = structlog.get_logger()
+PersistChanges = Callable[[tuple[Change, ...], bool], "asyncio.Future[bool] | None"]
+SendGossip = Callable[[int | None, bytes], None]
+_AttemptEffect = d.CancelAttempt | d.DiscardAttempt | d.WithdrawAttempt | d.Commit | d.CompleteRequest
+
+
+class EffectRunner:
+    """Applies effects to the requests of a ledger.
+
+    Args:
+        dispatcher: whose effects these are.
+        transport: runs attempts and answers clients.
+        requests: the requests that are not over.
+        feed: takes inputs of the dispatcher.
+        send_gossip: carries a message to a peer gateway, or to all.
+        persist: stores changes of the learned state; a write ahead returns a future that tells whether it is
+            durable.
+    """
+
+    def __init__(
+        self,
+        dispatcher: d.Dispatcher,
+        transport: Transport,
+        requests: RequestLedger,
+        feed: Callable[[d.Input], None],
+        send_gossip: SendGossip | None,
+        persist: PersistChanges | None,
+    ) -> None:
+        self._dispatcher = dispatcher
+        self._transport = transport
+        self._requests = requests
+        self._feed = feed
+        self._send_gossip = send_gossip
+        self._persist_changes = persist
+        self._write_ahead: asyncio.Future[bool] | None = None  # of this step
+        self._loop = asyncio.get_running_loop()
+
+    def run(self, effects: Iterable[d.Effect]) -> None:
+        """Carry out the effects of one step; one that fails affects no other."""
+        self._write_ahead = None
+        for effect in effects:
+            try:
+                self._apply(effect)
+            except Exception:
+                log.exception("effect failed", effect=repr(effect))
+                if isinstance(effect, d.StartAttempt):
+                    self._report_not_sent(effect)
+
+    def _apply(self, effect: d.Effect) -> None:
+        match effect:
+            case d.StartAttempt():
+                self._start_attempt(effect)
+            case d.CompleteRequest():
+                self._complete(effect)
+            case d.RejectRequest():
+                self._reject(effect)
+            case d.FailRequest():
+                self._fail(effect)
+            case d.Persist():
+                self._persist(effect)
+            case d.CancelAttempt() | d.DiscardAttempt() | d.WithdrawAttempt() | d.Commit():
+                self._update_attempt(effect)
+            case api.ProbeLoad():
+                self._transport.probe(effect.engine)
+            case api.CloseIdleConnections():
+                self._transport.close_idle(effect.engine)
+            case api.SendGossip():
+                self._gossip(effect)
+            case api.Log():
+                self._log(effect)
+
+    # --- attempts ---
+
+    def _start_attempt(self, effect: d.StartAttempt) -> None:
+        request = self._requests.get(effect.request)
+        if request is None:  # its client disconnected in this very turn of the loop
+            self._report_not_sent(effect)
+            return
+        attempt = self._transport.create_attempt(request, effect, self._loop.time())
+        if effect.durability_timeout:
+            attempt.write_ahead = self._write_ahead
+        request.attempts_in_flight[effect.attempt] = attempt
+        self._transport.begin(attempt)
+
+    def _report_not_sent(self, effect: d.StartAttempt) -> None:
+        self._feed(d.AttemptDone(effect.request, effect.attempt, api.Outcome.NOT_SENT, elapsed=0.0))
+
+    def _find(self, effect: _AttemptEffect) -> Attempt | None:
+        return self._requests.attempt(effect.request, effect.attempt)
+
+    def _update_attempt(
+        self, effect: d.CancelAttempt | d.DiscardAttempt | d.WithdrawAttempt | d.Commit
+    ) -> None:
+        attempt = self._find(effect)
+        if attempt is None:
+            return
+        match effect:
+            case d.CancelAttempt():
+                self._transport.cancel(attempt)
+            case d.DiscardAttempt():
+                self._transport.discard(attempt)
+            case d.WithdrawAttempt():
+                self._transport.withdraw(attempt)
+            case d.Commit():
+                self._transport.commit(attempt)
+
+    # --- answers ---
+
+    def _complete(self, effect: d.CompleteRequest) -> None:
+        request = self._requests.unanswered(effect.request)
+        attempt = self._find(effect)
+        if request is not None and attempt is not None:
+            self._requests.mark_answered(request)
+            self._transport.complete(request, attempt, effect.is_query_fault)
+            self._requests.remove_if_over(request)
+
+    def _reject(self, effect: d.RejectRequest) -> None:
+        request = self._requests.unanswered(effect.request)
+        if request is not None:
+            self._requests.mark_answered(request)
+            self._transport.reject(request, effect.retry_after, effect.reason)
+            self._requests.remove_if_over(request)
+
+    def _fail(self, effect: d.FailRequest) -> None:
+        request = self._requests.unanswered(effect.request)
+        if request is not None:
+            self._requests.mark_answered(request)
+            self._transport.fail(request, effect.reason)
+            self._requests.remove_if_over(request)
+
+    # --- all else ---
+
+    def _persist(self, effect: d.Persist) -> None:
+        if self._persist_changes is None:
+            return
+        durable = self._persist_changes(effect.changes, effect.is_write_ahead)
+        if effect.is_write_ahead:
+            self._write_ahead = durable
+
+    def _gossip(self, effect: api.SendGossip) -> None:
+        if self._send_gossip is not None:
+            self._send_gossip(effect.peer, effect.data)
+
+    def _log(self, effect: api.Log) -> None:
+        text = effect.text
+        for engine in self._dispatcher.engines:  # the policy names engines by the hex of their ids
+            text = text.replace(engine.hex(), engine.decode("utf-8", "replace"))
+        log.info("decision", text=text)
--- a/saffronlane/engines/flight.py
+++ b/saffronlane/engines/flight.py
@@ -26,9 +26,10 @@
 from ..rpc.status import detailed
 from . import orca
 from .errors import ConnectFailed
-from .executor import Attempt, Executor, Request
+from .executor import Executor
 from .outcomes import Verdict, classify
 from .pool import Pool, PoolLimits
+from .transport import Attempt, Request
 
 log = structlog.get_logger()
 MOST_ERROR = 300  # characters of an engine's words in our own answer
--- a/saffronlane/platform/upstream/attempt.py
+++ b/saffronlane/platform/upstream/attempt.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from ...engines.executor import Attempt
+from ...engines.transport import Attempt
 from ..errors import Spoilt
 from ..statement import Statement
 
--- a/saffronlane/platform/upstream/client.py
+++ b/saffronlane/platform/upstream/client.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from ...engines.executor import Request
+from ...engines.transport import Request
 
 
 class Client(Protocol):
--- a/saffronlane/platform/upstream/pool.py
+++ b/saffronlane/platform/upstream/pool.py
@@ -9,7 +9,8 @@
 import structlog
 
 from ... import dispatch as d
-from ...engines.executor import Attempt, Executor, Request
+from ...engines.executor import Executor
+from ...engines.transport import Attempt, Request
 from ...interface import Outcome, ProbeResult
 from ...resp import command
 from ..config import Address
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -505,14 +505,15 @@
     async def work() -> None:
         peer = Peer({"GetFlightInfo": info, "DoGet": empty})
         first, second = peer.ask(), peer.ask()
-        start = peer.executor._start_attempt
+        effects = peer.executor._effects
+        start = effects._start_attempt
 
         def faulty(effect: d.StartAttempt) -> None:
             if effect.request == first[0]:
                 raise KeyError("a fault of ours")
             start(effect)
 
-        peer.executor._effect_handlers[d.StartAttempt] = faulty
+        effects._start_attempt = faulty  # type: ignore[method-assign]
         await second[1].over.wait()
         assert second[1].status == Status(Code.OK)
         await first[1].over.wait()
