--- a/saffronlane/dispatch/core.py
+++ b/saffronlane/dispatch/core.py
@@ -115,9 +115,9 @@
         self._next_request += 1
         return number
 
-    def unwritten_changes(self) -> list[Change]:
+    def take_unpersisted_changes(self) -> list[Change]:
         """Return all changes of the learned state that have not been emitted, for the end of a run."""
-        return self._policy.unwritten_changes()
+        return self._policy.take_unpersisted_changes()
 
     def step(self, now: float, inputs: list[inp.Input]) -> list[fx.Effect]:
         """Take in all that happened up to `now`, in order.
--- a/saffronlane/dispatch/policy_host.py
+++ b/saffronlane/dispatch/policy_host.py
@@ -159,11 +159,11 @@
             self._effects.insert(0, fx.Persist(tuple(changes), is_write_ahead=True))
         if now < self.checkpointer.next_look:
             return
-        changes = self.unwritten_changes()
+        changes = self.take_unpersisted_changes()
         if changes:
             self._effects.append(fx.Persist(tuple(changes)))
 
-    def unwritten_changes(self) -> list[Change]:
+    def take_unpersisted_changes(self) -> list[Change]:
         """Return all changes of the learned state that have not been emitted."""
         return self.checkpointer.changes(self.gateway)
 
--- a/saffronlane/dispatch/recording.py
+++ b/saffronlane/dispatch/recording.py
@@ -20,7 +20,15 @@
 from .effects import Effect
 from .errors import RecordingError
 from .inputs import Input
-from .recording_schema import VERSION, decode, decode_input, describe, encode, encode_input, without_log_texts
+from .recording_schema import (
+    RECORDING_VERSION,
+    decode,
+    decode_input,
+    describe,
+    encode,
+    encode_input,
+    without_log_texts,
+)
 
 _ENCODER = msgspec.msgpack.Encoder()
 _LENGTH_BYTES = 4
@@ -38,7 +46,7 @@
         persisted_state: PersistedState | None = None,
     ) -> None:
         self._sink = sink
-        self._write([encode(settings), seed, max_pending, encode(persisted_state), VERSION])
+        self._write([encode(settings), seed, max_pending, encode(persisted_state), RECORDING_VERSION])
 
     def _write(self, record: object) -> None:
         data = _ENCODER.encode(record)
@@ -103,9 +111,11 @@
         settings = decode(plain, api.Settings)
     except (ValueError, TypeError, msgspec.ValidationError) as error:
         raise RecordingError(f"{path} has no settings at its start: {error}") from error
-    version = optional[1] if len(optional) > 1 else VERSION
-    if version != VERSION:
-        raise RecordingError(f"{path} is a recording of version {version}; this program reads {VERSION}")
+    version = optional[1] if len(optional) > 1 else RECORDING_VERSION
+    if version != RECORDING_VERSION:
+        raise RecordingError(
+            f"{path} is a recording of version {version}; this program reads {RECORDING_VERSION}"
+        )
     return Dispatcher(
         settings, seed, max_pending=max_pending, persisted_state=memory, is_persistent=memory is not None
     )
--- a/saffronlane/dispatch/recording_schema.py
+++ b/saffronlane/dispatch/recording_schema.py
@@ -15,8 +15,8 @@
 from . import inputs as inp
 from .recording_forms import FORMS, INPUT_BY_NAME
 
-VERSION = 1
-T = TypeVar("T")
+RECORDING_VERSION = 1
+ValueT = TypeVar("ValueT")
 
 
 def _names_in_code(kind: Any) -> tuple[str, ...]:
@@ -48,7 +48,7 @@
     return [FORMS[type(value)].name, encode(value)]
 
 
-def decode(plain: object, kind: type[T]) -> T:
+def decode(plain: object, kind: type[ValueT]) -> ValueT:
     """Read what `encode` wrote. Raises `msgspec.ValidationError` where it does not fit the type."""
     return msgspec.convert(_renamed(plain, kind), kind)
 
--- a/saffronlane/engines/effect_runner.py
+++ b/saffronlane/engines/effect_runner.py
@@ -125,21 +125,21 @@
         request = self._requests.unanswered(effect.request)
         attempt = self._find(effect)
         if request is not None and attempt is not None:
-            self._requests.mark_answered(request)
+            self._requests.close_request(request)
             self._transport.complete(request, attempt, effect.is_query_fault)
             self._requests.remove_if_over(request)
 
     def _reject(self, effect: d.RejectRequest) -> None:
         request = self._requests.unanswered(effect.request)
         if request is not None:
-            self._requests.mark_answered(request)
+            self._requests.close_request(request)
             self._transport.reject(request, effect.retry_after, effect.reason)
             self._requests.remove_if_over(request)
 
     def _fail(self, effect: d.FailRequest) -> None:
         request = self._requests.unanswered(effect.request)
         if request is not None:
-            self._requests.mark_answered(request)
+            self._requests.close_request(request)
             self._transport.fail(request, effect.reason)
             self._requests.remove_if_over(request)
 
--- a/saffronlane/engines/executor.py
+++ b/saffronlane/engines/executor.py
@@ -78,7 +78,7 @@
         """Give up a request whose client no longer waits for the answer."""
         request = self._requests.unanswered(number)
         if request is not None:
-            self._requests.mark_answered(request)
+            self._requests.close_request(request)
             self.feed(d.ClientDisconnected(number))
             self._requests.remove_if_over(request)
 
--- a/saffronlane/engines/outcomes.py
+++ b/saffronlane/engines/outcomes.py
@@ -1,7 +1,8 @@
-"""What the end of a call says about an attempt. A pure table, since rule 2 hangs on it.
+"""Classifies how an attempt ended by how its last call ended.
 
-CONNECT_FAILED and REJECTED promise that the query certainly never ran; they are told only where that is
-certain. A query is at fault itself where the engine says so with a code that any other engine would give.
+Retries of non-idempotent requests depend on this table: `CONNECT_FAILED` and `REJECTED` state that the query
+never ran, and are given only where that is certain. A query is at fault itself where the engine answers with
+a code that every other engine would give.
 """
 
 from __future__ import annotations
@@ -11,8 +12,8 @@
 from ..interface import Outcome
 from ..rpc.status import Code, Ending, Status
 
-NEVER_RAN = "NEVER_RAN"  # ErrorInfo.reason: the engine's explicit word that it did nothing
-QUERY_FAULTS = frozenset(
+NEVER_RAN_REASON = "NEVER_RAN"  # of an ErrorInfo by which an engine states that it did nothing
+QUERY_FAULT_CODES = frozenset(
     (
         Code.INVALID_ARGUMENT,
         Code.NOT_FOUND,
@@ -28,31 +29,37 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
+    """How an attempt ended; `is_query_fault` if every engine would reject the query."""
+
     outcome: Outcome
-    is_query_fault: bool = False  # of the query
+    is_query_fault: bool = False
 
 
 def classify(ending: Ending, status: Status, earlier_call_processed: bool) -> Verdict:
-    """Judge one ended call.
+    """Classify an attempt whose last call has ended.
 
     Args:
-        ending: how it ended on the wire.
-        status: its status, the peer's own only if `ending` is STATUS.
-        heard: whether an earlier call of the same attempt was taken in by the engine, so that "this call
-            never ran" does not mean that the attempt never did.
+        ending: how the call ended on the wire.
+        status: its status; the engine's own only if `ending` is STATUS.
+        earlier_call_processed: whether the engine processed an earlier call of the same attempt. Then a call
+            that was never processed does not mean that the attempt never ran.
     """
-    if ending is Ending.UNPROCESSED:
-        return Verdict(Outcome.RESET if earlier_call_processed else Outcome.REJECTED)
-    if ending in (Ending.RESET, Ending.LOST):
-        return Verdict(Outcome.RESET)
-    if ending is Ending.CANCELLED:
-        return Verdict(Outcome.CANCELLED)
+    match ending:
+        case Ending.UNPROCESSED:
+            return Verdict(Outcome.RESET if earlier_call_processed else Outcome.REJECTED)
+        case Ending.RESET | Ending.LOST:
+            return Verdict(Outcome.RESET)
+        case Ending.CANCELLED:
+            return Verdict(Outcome.CANCELLED)
+        case Ending.STATUS:
+            return _classify_status(status)
+
+
+def _classify_status(status: Status) -> Verdict:
     if status.ok:
         return Verdict(Outcome.OK)
-    if status.reason() == NEVER_RAN:
+    if status.reason() == NEVER_RAN_REASON:
         return Verdict(Outcome.REJECTED)
     if status.code is Code.DEADLINE_EXCEEDED:
         return Verdict(Outcome.TIMEOUT)
-    if status.code in QUERY_FAULTS:
-        return Verdict(Outcome.ERROR, is_query_fault=True)
-    return Verdict(Outcome.ERROR)
+    return Verdict(Outcome.ERROR, is_query_fault=status.code in QUERY_FAULT_CODES)
--- a/saffronlane/engines/request_ledger.py
+++ b/saffronlane/engines/request_ledger.py
@@ -37,7 +37,7 @@
         request = self._requests.get(number)
         return None if request is None else request.attempts_in_flight.get(attempt_number)
 
-    def mark_answered(self, request: Request) -> None:
+    def close_request(self, request: Request) -> None:
         """Note that a request needs no answer any more."""
         request.is_answered = True
 
--- a/saffronlane/lab/engine.py
+++ b/saffronlane/lab/engine.py
@@ -17,7 +17,7 @@
 from google.protobuf.message import Message
 
 from ..engines import orca
-from ..engines.outcomes import NEVER_RAN
+from ..engines.outcomes import NEVER_RAN_REASON
 from ..flight.arrow import flight_data
 from ..http2 import ErrorCode
 from ..http2.transport import local_sockets
@@ -246,7 +246,7 @@
         faults = self.faults
         if self._drawn(faults.refuse):
             self._tell("refused", told)
-            raise RpcError(detailed(Code.UNAVAILABLE, "turned away", NEVER_RAN, None))
+            raise RpcError(detailed(Code.UNAVAILABLE, "turned away", NEVER_RAN_REASON, None))
         if self._drawn(faults.error):
             self._tell("error", told)
             raise RpcError(Status(Code.INTERNAL, "a fault of the engine"))
--- a/saffronlane/state_directory.py
+++ b/saffronlane/state_directory.py
@@ -259,7 +259,7 @@
         if self._timer is not None:
             self._timer.cancel()
         if self._writer is not None and self._begun:
-            self._writer.put([*dispatcher.unwritten_changes(), self._sign(clean=True)])
+            self._writer.put([*dispatcher.take_unpersisted_changes(), self._sign(clean=True)])
             if not self._writer.stop(LAST_COMMIT):
                 log.error("the last of what was known is not kept: the disk hangs", folder=str(self.path))
             self.report()
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -118,7 +118,7 @@
         return Life(self.settings, self.folder, replace(later, **at))
 
     def stopped(self, gap: float = 0.5, **at) -> Life:
-        self.write(self.core.unwritten_changes())
+        self.write(self.core.take_unpersisted_changes())
         self.sign(clean=True)
         return self.killed(gap, **at)
 
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -12,7 +12,7 @@
 from saffronlane import interface as api
 from saffronlane.engines import Executor, orca
 from saffronlane.engines.flight import ExecutorLimits, FlightLinks, Work
-from saffronlane.engines.outcomes import NEVER_RAN, Verdict, classify
+from saffronlane.engines.outcomes import NEVER_RAN_REASON, Verdict, classify
 from saffronlane.engines.pool import PoolLimits
 from saffronlane.http2 import ErrorCode
 from saffronlane.http2.transport import local_sockets
@@ -45,7 +45,7 @@
         (Ending.STATUS, Status(Code.NOT_FOUND), False, Verdict(Outcome.ERROR, is_query_fault=True)),
         (
             Ending.STATUS,
-            detailed(Code.UNAVAILABLE, "no", NEVER_RAN, None),
+            detailed(Code.UNAVAILABLE, "no", NEVER_RAN_REASON, None),
             True,
             Verdict(Outcome.REJECTED),
         ),
@@ -212,7 +212,8 @@
 
 def test_the_engines_explicit_word() -> None:
     assert (
-        outcome_of(ends_with(detailed(Code.UNAVAILABLE, "full", NEVER_RAN, 1.0))).outcome is Outcome.REJECTED
+        outcome_of(ends_with(detailed(Code.UNAVAILABLE, "full", NEVER_RAN_REASON, 1.0))).outcome
+        is Outcome.REJECTED
     )
 
 
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -12,7 +12,13 @@
 from saffronlane import interface as api
 from saffronlane.dispatch.errors import RecordingError
 from saffronlane.dispatch.recording import RecordingWriter, ReplayedStep, _records, replay
-from saffronlane.dispatch.recording_schema import VERSION, decode, decode_input, encode, encode_input
+from saffronlane.dispatch.recording_schema import (
+    RECORDING_VERSION,
+    decode,
+    decode_input,
+    encode,
+    encode_input,
+)
 from saffronlane.learned_state import PersistedState
 
 RECORDINGS = sorted(Path(__file__).parent.glob("fixtures/recordings/*.record"))
@@ -68,7 +74,7 @@
     with path.open("wb") as sink:
         RecordingWriter(sink, make_settings(), seed=1)
     header = msgspec.msgpack.decode(path.read_bytes()[4:])
-    data = msgspec.msgpack.encode([*header[:4], VERSION + 1])
+    data = msgspec.msgpack.encode([*header[:4], RECORDING_VERSION + 1])
     path.write_bytes(len(data).to_bytes(4, "big") + data)
     with pytest.raises(RecordingError, match="version 2"):
         list(replay(path))
