--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -220,7 +220,7 @@
 
     def sign(self, number: int) -> None:
         run = k.RunRecord(self.now, 1e9 + self.now, "boot", "place", "", number, GATEWAYS, False)
-        self.write(number, [k.change(k.RUN, run)])
+        self.write(number, [k.make_change(k.RUN, run)])
 
     def kill(self) -> None:
         for number in range(GATEWAYS):
@@ -308,17 +308,26 @@
                     self.step(number)
 
 
+PACE_FIELDS = ("latency_per_cost", "work_per_cost", "uncontended_work_per_cost")
+
+
 def wrong(folder: Folder, factor: float) -> Folder:
     """Paces so many times too long, and health the other way round for every second engine."""
     changed = dict(folder)
     for key, entry in folder.items():
         value = k.decode(key, entry)
         if isinstance(value, k.ClassRecord):
-            times = {name: getattr(value, name) * factor for name in ("latency", "work", "calm")}
+            times = {name: getattr(value, name) * factor for name in PACE_FIELDS}
             value = with_fields(value, **times)
         elif isinstance(value, k.EngineRecord) and int(key[3:]) % 2:
-            value = with_fields(value, ill=True, fails=1.0, judged=value.seen, trial_gap=0.4)
-        changed[key] = k.change(key, value).entry or entry
+            value = with_fields(
+                value,
+                is_ejected=True,
+                failure_ratio=1.0,
+                last_outcome_at=value.last_listed_at,
+                probe_request_interval=0.4,
+            )
+        changed[key] = k.make_change(key, value).entry or entry
     return changed
 
 
@@ -351,7 +360,7 @@
         if run is not None and age > GAP:
             old = k.decode(k.RUN, run)
             assert isinstance(old, k.RunRecord)
-            made = k.change(k.RUN, with_fields(old, boot="older", wall=1e9 + back - age)).entry
+            made = k.make_change(k.RUN, with_fields(old, boot_id="older", wall_s=1e9 + back - age)).entry
             assert made is not None
             folder = folder | {k.RUN: made}
         fleet.start(number, folder, 1e9 + back)
--- a/saffronlane/cli/learned_state.py
+++ b/saffronlane/cli/learned_state.py
@@ -17,11 +17,11 @@
 from ..learned_state import PersistedState, StateRestorer, Timestamp
 from ..learned_state import confidence as weigh
 from ..learned_state import records as k
-from ..learned_state.clock import between
-from ..learned_state.errors import Unreadable
-from ..learned_state.purge import PurgeCategory, in_entries
+from ..learned_state.clock import gap_between
+from ..learned_state.errors import UnreadableRecordError
+from ..learned_state.purge import PurgeCategory, purge_entries
 from ..state_directory import FORGET, boot_id
-from ..storage import FolderBusy, FolderLock, RealFiles, Recovery, Store, StoreFailed, recover
+from ..storage import DirectoryBusyError, DirectoryLock, RealFiles, Recovery, Store, StoreFailedError, recover
 from ..storage.files import LOCK_NAME, place_of
 
 FOLDER = click.Path(file_okay=False, exists=True, path_type=Path)
@@ -48,7 +48,7 @@
 def _values(found: Recovery) -> tuple[dict[bytes, k.Record], list[str]]:
     values, problems = {}, []
     for key, value in k.decode_all(sorted(found.state.items())):
-        if isinstance(value, Unreadable):
+        if isinstance(value, UnreadableRecordError):
             problems.append(str(value))
         else:
             values[key] = value
@@ -95,15 +95,15 @@
     }
     run = values.get(k.RUN)
     if isinstance(run, k.RunRecord):
-        gap = between(Timestamp(run.mono, run.wall, run.boot, run.place), now)
+        gap = gap_between(Timestamp(run.monotonic_s, run.wall_s, run.boot_id, run.directory_id), now)
         told["last_sign"] = {
-            "seconds_ago": round(gap.most, 3),
-            "sure": gap.sure,
-            "clean": run.clean,
+            "seconds_ago": round(gap.max_seconds, 3),
+            "sure": gap.is_certain,
+            "clean": run.ended_cleanly,
             "program": run.program,
-            "gateway": f"{run.position} of {run.gateways}",
+            "gateway": f"{run.gateway_index} of {run.gateway_count}",
         }
-    kinds = {"classes": k.CLASS, "engines": k.ENGINE, "requests": k.SENT, "orders": k.ORDER}
+    kinds = {"classes": k.CLASS, "engines": k.ENGINE, "requests": k.IDEMPOTENCY, "orders": k.ORDERING}
     for name, kind in kinds.items():
         told[name] = sum(k.kind_of(key) == kind for key in values)
     return told
@@ -126,16 +126,16 @@
     age = told.get("last_sign", {}).get("seconds_ago", float("inf"))
     for key, value in values.items():
         if isinstance(value, k.ClassRecord):
-            since = age + (run.mono - value.at if isinstance(run, k.RunRecord) else 0.0)
-            worth = weigh.mass(value.mass, since, 1.0)
+            since = age + (run.monotonic_s - value.updated_at if isinstance(run, k.RunRecord) else 0.0)
+            worth = weigh.effective_samples(value.effective_samples, since, 1.0)
             click.echo(
-                f"{k.name_of(key)}: {value.mass:.1f} answers, {worth:.1f} by now; "
-                f"latency {value.latency:.4g} s, work {value.work:.4g} s a unit of cost {value.cost:.4g}"
+                f"{k.name_of(key)}: {value.effective_samples:.1f} answers, {worth:.1f} by now; "
+                f"latency {value.latency_per_cost:.4g} s, work {value.work_per_cost:.4g} s a unit of cost {value.mean_estimated_cost:.4g}"
             )
         elif isinstance(value, k.EngineRecord):
-            state = "silent" if value.silent else "ill" if value.ill else "well"
+            state = "silent" if value.is_unresponsive else "ill" if value.is_ejected else "well"
             click.echo(
-                f"{k.name_of(key)}: {state}, failures {value.fails:.2f}, {len(value.sent)} sent while cold"
+                f"{k.name_of(key)}: {state}, failures {value.failure_ratio:.2f}, {len(value.recent_dispatches)} sent while cold"
             )
 
 
@@ -159,8 +159,8 @@
             click.echo(str(error), err=True)
             sys.exit(2)
         recall = StateRestorer(config.settings, PersistedState(tuple(found.state.items()), _now(folder)))
-        trust, summary = recall.trust, recall.summary
-        click.echo(f"age {summary.age:.1f} s, exact {trust.exact}, weight {trust.factor:g}")
+        trust, summary = recall.confidence, recall.summary
+        click.echo(f"age {summary.age:.1f} s, exact {trust.has_complete_ledgers}, weight {trust.weight:g}")
         for note in summary.notes:
             click.echo(note)
     click.echo("whole" if not (found.dropped or problems) else "not all of it could be read")
@@ -173,7 +173,7 @@
     """All entries as JSON, one a line."""
     values, _ = _values(_read(folder))
     for key, value in values.items():
-        click.echo(json.dumps({"key": k.name_of(key)} | k.plain(value), default=_text))
+        click.echo(json.dumps({"key": k.name_of(key)} | k.exported_fields(value), default=_text))
 
 
 def _text(value: object) -> str:
@@ -187,8 +187,8 @@
     """Forget CLASSES (times, needs), ENGINES (health) or ALL. A running gateway is asked to, but for ALL."""
     chosen = [PurgeCategory(w) for w in what]
     try:
-        lock = FolderLock(folder)
-    except FolderBusy as error:
+        lock = DirectoryLock(folder)
+    except DirectoryBusyError as error:
         _ask(folder, chosen, str(error))
         return
     except OSError as error:
@@ -197,13 +197,13 @@
     try:
         store = Store(RealFiles(folder))
         store.load()
-        changes = in_entries(store.state.items(), chosen)
+        changes = purge_entries(store.state.items(), chosen)
         store.begin()
         if changes:
             store.commit(changes)
         store.finish()  # twice: the generation before it goes too
         store.finish()
-    except (OSError, StoreFailed) as error:
+    except (OSError, StoreFailedError) as error:
         click.echo(f"{folder}: {error}", err=True)
         sys.exit(2)
     finally:
--- a/saffronlane/dispatch/core.py
+++ b/saffronlane/dispatch/core.py
@@ -79,7 +79,7 @@
         self.checkpointer = Checkpointer(settings, persisted_state, is_persistent)
         self.checkpointer.begin(self.gateway)
         # To be written before anything else: what was recalled, on this run's clock.
-        self.first_changes = self.checkpointer.first(self.gateway) if is_persistent else []
+        self.first_changes = self.checkpointer.initial_changes(self.gateway) if is_persistent else []
         self._listed = False  # the gateway has had a list
         self._ahead: dict[bytes, None] = {}  # keys of entries that attempts of this step wait for, in order
         self.fault_count = 0  # times that the decisions failed and were begun anew
@@ -126,7 +126,7 @@
     @property
     def next_timer(self) -> float:
         """When `step` wants to be called even if nothing happens; infinity: never."""
-        return min(self._timers[0][0] if self._timers else math.inf, self.checkpointer.next_look)
+        return min(self._timers[0][0] if self._timers else math.inf, self.checkpointer.next_checkpoint_at)
 
     def unwritten_changes(self) -> list[Change]:
         """All changes of what is known that have not been given out, for the end of a run."""
@@ -168,7 +168,7 @@
             events.append(api.TimerFired(heapq.heappop(self._timers)[1]))
         if events:
             self._decide(now, events)
-            self.checkpointer.touch()
+            self.checkpointer.mark_changed()
         self._keep(now)
         effects, self._effects = self._effects, []
         if self._record is not None:
@@ -178,21 +178,23 @@
     def _keep(self, now: float) -> None:
         """What attempts wait for comes before them."""
         if self._ahead:
-            changes = self.checkpointer.changes_ahead(self.gateway, self._ahead)
+            changes = self.checkpointer.write_ahead_changes(self.gateway, self._ahead)
             self._ahead.clear()
             self._effects.insert(0, fx.Persist(tuple(changes), is_write_ahead=True))
-        if now >= self.checkpointer.next_look and (changes := self.checkpointer.changes(self.gateway)):
+        if now >= self.checkpointer.next_checkpoint_at and (
+            changes := self.checkpointer.changes(self.gateway)
+        ):
             self._effects.append(fx.Persist(tuple(changes)))
 
     def _decide(self, now: float, events: list[api.Event]) -> None:
         try:
             if entries := self._first_list(events):
-                self.checkpointer.before_list(self.gateway, entries)
+                self.checkpointer.before_endpoint_list(self.gateway, entries)
             actions = self.gateway.step(now, events)
             if entries:
                 self._listed = True
-                self.checkpointer.after_list(self.gateway)
-                if said := self.checkpointer.recalled:
+                self.checkpointer.after_endpoint_list(self.gateway)
+                if said := self.checkpointer.restored_description:
                     self._effects.append(api.Log(said))
         except Exception as error:
             # Guards against a fault in the decisions: no request may be lost by it, and no later one harmed.
@@ -225,15 +227,17 @@
         """Answers tell whether what was recalled holds, and so does their absence."""
         for event in events:
             if isinstance(event, api.Arrival):
-                self.checkpointer.asked(self.gateway, event.class_index)
+                self.checkpointer.record_request(self.gateway, event.class_index)
             elif isinstance(event, api.AttemptEnded) and event.outcome is api.Outcome.OK:
                 request = self._requests[event.request]
-                said = self.checkpointer.answered(
+                said = self.checkpointer.record_answer(
                     self.gateway, request.cls, request.cost, event.elapsed, event.work
                 )
                 if said:
                     self._effects.append(api.Log(said))
-        self._effects += [api.Log(said) for said in self.checkpointer.unheard(self.gateway)]
+        self._effects += [
+            api.Log(said) for said in self.checkpointer.drop_unconfirmed_estimates(self.gateway)
+        ]
 
     def _begin_anew(self, now: float, why: str) -> None:
         """A new gateway takes over what the old one knew, as if it had been restarted."""
@@ -245,7 +249,7 @@
             self._leave(request)
         self._timers.clear()
         try:
-            self._take_over(now, self.checkpointer.anew(self.gateway, now))
+            self._take_over(now, self.checkpointer.snapshot_for_restart(self.gateway, now))
         except Exception as error:  # what failed may have left anything behind
             self._effects.append(api.Log(f"what was known is lost: {error!r}"))
             self._take_over(now, None)
@@ -254,18 +258,18 @@
         self.gateway = Gateway(self.settings, self.seed + self.fault_count)
         before, self.checkpointer = (
             self.checkpointer,
-            Checkpointer(self.settings, memory, self.checkpointer.keeping),
+            Checkpointer(self.settings, memory, self.checkpointer.is_enabled),
         )
-        self.checkpointer.succeed(before)
+        self.checkpointer.take_over(before)
         self.checkpointer.begin(self.gateway)
         entries = tuple(self._engines.values())
         self._listed = bool(entries)
         if entries:
-            self.checkpointer.before_list(self.gateway, entries)
+            self.checkpointer.before_endpoint_list(self.gateway, entries)
             actions = self.gateway.step(
                 now, [api.EndpointListUpdate(api.EndpointListMode.FULL, self._version, entries)]
             )
-            self.checkpointer.after_list(self.gateway)
+            self.checkpointer.after_endpoint_list(self.gateway)
             for action in actions:
                 if isinstance(action, api.SetTimer):
                     self._set_timer(action)
@@ -287,7 +291,7 @@
             wait = self.settings.limits.max_retry_after if self.settings.limits.sends_retry_after else 0.0
             return self._turn_away(request, wait, f"{self.max_pending} requests wait already")
         earlier = (
-            self.checkpointer.ledger.earlier(event.idempotency_key, self._now)
+            self.checkpointer.ledger.previous_attempt(event.idempotency_key, self._now)
             if event.idempotency_key
             else None
         )
@@ -339,7 +343,7 @@
         attempt.done = True
         outcome, final = event.outcome, False
         if request.identity:
-            self.checkpointer.ledger.ended(request.identity, outcome in NEVER_RAN)
+            self.checkpointer.ledger.record_attempt_end(request.identity, outcome in NEVER_RAN)
         if request.ended:
             self._closing.add(request.id)
         elif attempt.cancelled:
@@ -402,7 +406,7 @@
                     self._effects.append(fx.WithdrawAttempt(request.id, attempt.n))
 
     def _on_forget(self, event: inp.PurgeLearnedState) -> list[api.Event]:
-        self.checkpointer.forget(self.gateway, event.categories)
+        self.checkpointer.purge(self.gateway, event.categories)
         return []
 
     def _on_attach(self, event: inp.AttachLearnedState) -> list[api.Event]:
@@ -431,8 +435,8 @@
         request.terms = None
         attempt = _Attempt(len(request.attempts), action.engine)
         request.attempts.append(attempt)
-        ahead = self.checkpointer.ahead(self.gateway, request.id, attempt.n, request.identity)
-        wait = DURABILITY_TIMEOUT if ahead and self.checkpointer.keeping else 0.0
+        ahead = self.checkpointer.write_ahead_keys(self.gateway, request.id, attempt.n, request.identity)
+        wait = DURABILITY_TIMEOUT if ahead and self.checkpointer.is_enabled else 0.0
         if wait:
             self._ahead.update(dict.fromkeys(ahead))
         self._effects.append(
--- a/saffronlane/learned_state/__init__.py
+++ b/saffronlane/learned_state/__init__.py
@@ -1,24 +1,24 @@
-"""What a gateway keeps across restarts: how much it counts, what must be written when. Pure, without I/O."""
+"""Learned state across restarts: what is persisted and when, and how much it counts once restored. No I/O."""
 
-from . import confidence as weigh
-from . import records as kept
+from . import confidence, records
 from .checkpointer import DURABILITY_TIMEOUT, Checkpointer
-from .clock import Gap, Timestamp, between
-from .ledger import Ledger
+from .clock import Gap, Timestamp, gap_between
+from .ledger import IdempotencyLedger
+from .persisted_state import PersistedState, RestoreSummary
 from .purge import PurgeCategory
-from .restore import PersistedState, StateRestorer, Summary
+from .restore import StateRestorer
 
 __all__ = [
     "DURABILITY_TIMEOUT",
-    "Gap",
     "Checkpointer",
-    "Ledger",
+    "Gap",
+    "IdempotencyLedger",
     "PersistedState",
-    "Timestamp",
-    "StateRestorer",
-    "Summary",
     "PurgeCategory",
-    "between",
-    "kept",
-    "weigh",
+    "RestoreSummary",
+    "StateRestorer",
+    "Timestamp",
+    "confidence",
+    "gap_between",
+    "records",
 ]
--- a/saffronlane/learned_state/checkpointer.py
+++ b/saffronlane/learned_state/checkpointer.py
@@ -1,276 +1,317 @@
-"""What of a gateway's knowledge is to be written, and when. Pure: changes go out, nobody here writes them.
+"""Decides which learned state is to be written, and when. It does no I/O: it returns changes to write.
 
-Two ways lead to the disk. What a rule depends on after a crash goes ahead: it is durable before the attempt
-leaves, which costs that attempt one fsync. All else lags, by LAG at most, and costs nobody anything.
+Records that a guarantee depends on after a crash are written ahead: they are durable before the attempt
+leaves, which costs that attempt one fsync. All others follow within CHECKPOINT_INTERVAL and delay nothing.
 """
 
 from __future__ import annotations
 
 import math
-from collections.abc import Iterable
+from collections.abc import Collection, Iterable
 
 from .. import interface as api
 from ..policy import Gateway
 from ..storage import Change, Entry
-from . import export
-from . import records as k
+from . import export, records
 from .clock import Timestamp
-from .ledger import Ledger
-from .purge import PurgeCategory, in_gateway
-from .restore import PersistedState, StateRestorer, Summary
-from .validation import Scatter, Wash
-
-LAG = 0.5  # seconds between two looks at what has changed
+from .ledger import IdempotencyLedger
+from .persisted_state import PersistedState, RestoreSummary
+from .purge import PurgeCategory, purge_gateway
+from .restore import StateRestorer
+from .validation import EstimateValidator, LogDeviation
+from .written_entries import WrittenEntries
+
+CHECKPOINT_INTERVAL = 0.5  # seconds
 DURABILITY_TIMEOUT = (
-    0.25  # seconds that an attempt waits for a disk that hangs; then it goes, and that is told
+    0.25  # seconds that an attempt waits for a disk that hangs, before it leaves all the same
 )
-FADING = (k.ORDER, k.ENGINE)  # kinds whose entries go when nothing speaks for them any more
-SEEN = 60.0  # seconds; how exactly it is kept when an engine was last listed
+LAST_LISTED_RESOLUTION = 60.0  # seconds
+MIN_TIME = 1e-6  # seconds
+RESTART_NAME = "here"  # stands for boot and directory where a gateway restarts within its process
 
 
 class Checkpointer:
-    """The memory of one gateway, beside its decisions.
+    """The learned state of one gateway, as it is restored and persisted.
 
     Args:
         settings: of the gateway.
-        memory: what an earlier run left; None: nothing.
-        keeping: whether what it finds changed goes anywhere.
+        state: what an earlier run left, if anything.
+        is_enabled: whether changes are written at all.
     """
 
     def __init__(
-        self, settings: api.Settings, memory: PersistedState | None = None, keeping: bool = False
+        self, settings: api.Settings, state: PersistedState | None = None, is_enabled: bool = False
     ) -> None:
-        self.settings, self.keeping = settings, keeping
-        self.ledger = Ledger()
-        self.summary = Summary()
-        self.wash = Wash()
-        self._recall = StateRestorer(settings, memory) if memory is not None else None
-        self._written: dict[bytes, Entry] = {}
-        # Keys that fade when nothing speaks for them; requests are told by the ledger, and may be many.
-        self._fading: dict[bytes, None] = {}  # in order, so that a replay writes alike
-        if memory is not None and keeping:
-            self._hold(memory)
-        self._scatters = [Scatter() for _ in settings.classes]
-        self._newer = self._recall.newer if self._recall is not None else frozenset()
-        self._counts: dict[str, int] = {}  # by class, at its last writing
-        self._next = -math.inf
-        self._touched = False
-        self._dropped: list[bytes] = []  # keys to be removed at the next look
-        self._listed = False
-
-    # --- at the start ---
+        self.settings = settings
+        self.is_enabled = is_enabled
+        self.ledger = IdempotencyLedger()
+        self.summary = RestoreSummary()
+        self.validator = EstimateValidator()
+        self._restorer = StateRestorer(settings, state) if state is not None else None
+        self._written = WrittenEntries()
+        if state is not None and is_enabled:
+            self._written = WrittenEntries.of_state(state)
+        self._log_deviations = [LogDeviation() for _ in settings.classes]
+        self._protected_keys: frozenset[bytes] = frozenset()
+        if self._restorer is not None:
+            self._protected_keys = self._restorer.newer_version_keys
+        self._written_answer_counts: dict[str, int] = {}  # by settings digest
+        self._next_checkpoint_at = -math.inf
+        self._has_changes = False
+        self._purged_keys: list[bytes] = []
+        self._has_endpoints = False
+
+    # --- start ---
 
     def begin(self, gateway: Gateway) -> None:
-        """Before the first event."""
-        if self._recall is not None:
-            self.summary = self._recall.summary
-            self._recall.begin(gateway, self.ledger)
-
-    def before_list(self, gateway: Gateway, entries: tuple[api.EngineEntry, ...]) -> None:
-        """Before the gateway takes its first list."""
-        if self._recall is not None and not self._listed:
-            self._recall.listed(gateway, entries)
-            self._try_out(self._recall)
-        self._listed = True
-
-    def _try_out(self, recall: StateRestorer) -> None:
-        """Put on trial what was recalled of classes."""
-        for index, mass in recall.masses.items():
-            kept = recall.class_named(self.settings.classes[index].name)
-            assert kept is not None
-            self.wash.begin(index, kept, mass)
-
-    def _hold(self, memory: PersistedState) -> None:
-        """What a folder holds is what has been written."""
-        self._written = {key: entry for key, entry in memory.entries if key != k.RUN}
-        self._fading = dict.fromkeys(key for key in self._written if k.kind_of(key) in FADING)
+        """Restore what needs no endpoint list, before the first event."""
+        if self._restorer is not None:
+            self.summary = self._restorer.summary
+            self._restorer.restore_at_start(gateway, self.ledger)
+
+    def before_endpoint_list(self, gateway: Gateway, entries: tuple[api.EngineEntry, ...]) -> None:
+        """Restore class estimates before the gateway applies its first endpoint list."""
+        if self._restorer is not None and not self._has_endpoints:
+            self._restorer.restore_classes(gateway, entries)
+            self._begin_validation(self._restorer)
+        self._has_endpoints = True
+
+    def after_endpoint_list(self, gateway: Gateway) -> None:
+        """Restore what refers to engines of the endpoint list."""
+        if self._restorer is not None:
+            self._restorer.restore_peer_load(gateway)
 
     @property
-    def recalled(self) -> str:
-        """Words for the log on what came of an earlier run's knowledge; empty: nothing."""
-        known = self.summary
-        if not (known.classes or known.engines):
+    def restored_description(self) -> str:
+        """A line for the log on what was restored; empty if nothing was."""
+        summary = self.summary
+        if not (summary.classes or summary.engines):
             return ""
-        classes = ", ".join(f"{name} as {mass:g} answers" for name, mass in known.classes.items())
-        return f"recalled {known.engines} engines; classes: {classes or 'none'}"
-
-    def after_list(self, gateway: Gateway) -> None:
-        if self._recall is not None:
-            self._recall.tell(gateway)
-
-    def forget(self, gateway: Gateway, what: Iterable[PurgeCategory]) -> None:
-        """Begin anew with what an operator names, here and on disk."""
-        in_gateway(gateway, what)
-        if PurgeCategory.CLASSES in what:
-            self.wash, self._counts = Wash(), {}
-            if self._recall is not None:
-                self._recall.masses.clear()
-            self._dropped = [key for key in self._written if k.kind_of(key) == k.CLASS]
-        self.touch()
-
-    # --- as requests come and go ---
-
-    def asked(self, gateway: Gateway, cls: int) -> None:
-        self.wash.asked(cls, gateway.batch.now)
-
-    def unheard(self, gateway: Gateway) -> list[str]:
-        """Words for the log on classes that were dropped because no answer came."""
-        return (
-            self.wash.unheard(gateway.workload_estimates.estimators, gateway.batch.now)
-            if self.wash.under_way
-            else []
+        classes = ", ".join(f"{name} as {samples:g} answers" for name, samples in summary.classes.items())
+        return f"restored {summary.engines} engines; classes: {classes or 'none'}"
+
+    def attach(self, gateway: Gateway, state: PersistedState) -> list[Change]:
+        """Restore from a directory that another process used until now, and begin to persist.
+
+        Returns:
+            The changes of the first commit.
+        """
+        restorer = StateRestorer(self.settings, state)
+        self._restorer = restorer
+        self.is_enabled = True
+        self._protected_keys = restorer.newer_version_keys
+        self.summary = restorer.summary
+        self._written = WrittenEntries.of_state(state)
+        restorer.attach(gateway, self.ledger)
+        self._begin_validation(restorer)
+        self._written_answer_counts.clear()
+        self.ledger.changed.update(dict.fromkeys(self.ledger.identities()))
+        return self._update_written({**restorer.rebased_records, **self._current_records(gateway)})
+
+    def _begin_validation(self, restorer: StateRestorer) -> None:
+        for index, samples in restorer.sample_sizes.items():
+            record = restorer.class_record(self.settings.classes[index].name)
+            assert record is not None
+            self.validator.begin(index, record, samples)
+
+    # --- purge and restart ---
+
+    def purge(self, gateway: Gateway, categories: Collection[PurgeCategory]) -> None:
+        """Reset these categories in the gateway, and remove them with the next checkpoint."""
+        purge_gateway(gateway, categories)
+        if PurgeCategory.CLASSES in categories:
+            self.validator = EstimateValidator()
+            self._written_answer_counts = {}
+            if self._restorer is not None:
+                self._restorer.sample_sizes.clear()
+            self._purged_keys = self._written.keys_of(records.CLASS)
+        self.mark_changed()
+
+    def snapshot_for_restart(self, gateway: Gateway, now: float) -> PersistedState:
+        """Return the state for a gateway that replaces this one within the process."""
+        run = records.RunRecord(
+            monotonic_s=now,
+            wall_s=0.0,
+            boot_id=RESTART_NAME,
+            directory_id=RESTART_NAME,
+            program="",
+            gateway_index=self.settings.gateway_index,
+            gateway_count=self.settings.gateway_count,
+            ended_cleanly=True,
         )
+        entries = (*self.entries(gateway), (records.RUN, records.encode(records.RUN, run)))
+        return PersistedState(entries, Timestamp(now, 0.0, RESTART_NAME, RESTART_NAME))
+
+    def take_over(self, predecessor: Checkpointer) -> None:
+        """Continue in the place of another checkpointer: the store holds what that one gave out."""
+        self._written = predecessor._written
+
+    # --- requests ---
+
+    def record_request(self, gateway: Gateway, class_index: int) -> None:
+        """Record the arrival of a request."""
+        self.validator.record_request(class_index, gateway.batch.now)
 
-    def answered(self, gateway: Gateway, cls: int, cost: float, elapsed: float, work: float) -> str:
-        """One answer that was learned from; words for the log, or none."""
-        self._scatters[cls].add(math.log(max(1e-6, work if work > 0.0 else elapsed) / (cost or 1.0)))
-        if not self.wash.under_way:
+    def drop_unconfirmed_estimates(self, gateway: Gateway) -> list[str]:
+        """Drop restored estimates that no answer confirmed in time. Returns lines for the log."""
+        if not self.validator.active_count:
+            return []
+        return self.validator.drop_unconfirmed(gateway.workload_estimates.estimators, gateway.batch.now)
+
+    def record_answer(
+        self, gateway: Gateway, class_index: int, cost: float, elapsed: float, work: float
+    ) -> str:
+        """Record an answer that the class's estimator has learned from.
+
+        Returns:
+            A line for the log if it made a restored estimate invalid, else an empty string.
+        """
+        measured = work if work > 0.0 else elapsed
+        self._log_deviations[class_index].add(math.log(max(MIN_TIME, measured) / (cost or 1.0)))
+        if not self.validator.active_count:
             return ""
-        said = self.wash.answered(cls, gateway.workload_estimates.estimators[cls], cost or 1.0, elapsed, work)
-        if said and self._recall is not None:
-            self._recall.masses.pop(cls, None)
-        return said
-
-    def ahead(self, gateway: Gateway, request: int, attempt: int, identity: bytes) -> list[bytes]:
-        """What must be on disk before an attempt leaves that the gateway has just sent: keys of entries."""
-        sent = gateway.in_flight.attempts.get((request, attempt))
-        if sent is None:
+        estimator = gateway.workload_estimates.estimators[class_index]
+        message = self.validator.record_answer(class_index, estimator, cost or 1.0, elapsed, work)
+        if message and self._restorer is not None:
+            self._restorer.sample_sizes.pop(class_index, None)
+        return message
+
+    def write_ahead_keys(
+        self, gateway: Gateway, request_id: int, attempt_number: int, identity: bytes
+    ) -> list[bytes]:
+        """Record an attempt in the ledger, and return the keys that must be durable before it leaves."""
+        attempt = gateway.in_flight.attempts.get((request_id, attempt_number))
+        if attempt is None:
             return []
-        job, rules, found = sent.request, gateway.batch.guarantees, []
-        if identity and job.class_settings.idempotency is not api.Idempotency.SAFE:
-            self.ledger.sent(identity, job.class_settings, gateway.batch.now, export.entry(sent.engine))
-            found.append(k.SENT + identity)
-        if job.class_settings.is_ordered and job.ordering_key:
-            found.append(k.ORDER + export.order_name(job.ordering_key))
-        if attempt and rules.retry_budget_base is not None:
-            found.append(k.BUDGET)
-        if rules.slow_start_overload_factor and sent.engine.warmup_remaining(
-            gateway.batch.now, gateway.batch.guarantees.slow_start_duration
+        class_settings = attempt.request.class_settings
+        now = gateway.batch.now
+        guarantees = gateway.batch.guarantees
+        keys = []
+        if identity and class_settings.idempotency is not api.Idempotency.SAFE:
+            self.ledger.record_attempt(identity, class_settings, now, export.engine_entry(attempt.engine))
+            keys.append(records.IDEMPOTENCY + identity)
+        if class_settings.is_ordered and attempt.request.ordering_key:
+            keys.append(records.ORDERING + export.encode_ordering_key(attempt.request.ordering_key))
+        if attempt_number and guarantees.retry_budget_base is not None:
+            keys.append(records.RETRY_BUDGET)
+        if guarantees.slow_start_overload_factor and attempt.engine.warmup_remaining(
+            now, guarantees.slow_start_duration
         ):
-            found.append(k.ENGINE + sent.engine.id)
-        return found
+            keys.append(records.ENGINE + attempt.engine.id)
+        return keys
 
-    # --- what to write ---
+    # --- changes to write ---
 
-    def changes_ahead(self, gateway: Gateway, keys: Iterable[bytes]) -> list[Change]:
-        """The entries that `ahead` named."""
-        return self._differing({key: self._value(gateway, key) for key in keys})
+    def write_ahead_changes(self, gateway: Gateway, keys: Iterable[bytes]) -> list[Change]:
+        """Return the changes for the keys that `write_ahead_keys` returned."""
+        return self._update_written({key: self._write_ahead_record(gateway, key) for key in keys})
 
-    def touch(self) -> None:
-        """Something has happened: there may be changes at the next look."""
-        self._touched = self.keeping
+    def mark_changed(self) -> None:
+        """Note that the next checkpoint may find changes."""
+        self._has_changes = self.is_enabled
 
     @property
-    def next_look(self) -> float:
-        return self._next if self._touched else math.inf
-
-    def first(self, gateway: Gateway) -> list[Change]:
-        """What goes with this run's first sign of life: all that was recalled, on this run's clock."""
-        values: dict[bytes, k.Record | None] = dict(self._recall.rebased) if self._recall is not None else {}
-        for key in self._written:
-            if k.kind_of(key) == k.SENT:
-                values[key] = self.ledger.get(key[2:])
-        return self._differing(values | {k.FLEET: export.fleet(gateway)})
-
-    def attach(self, gateway: Gateway, memory: PersistedState) -> list[Change]:
-        """Take a folder in that another process had until now, and begin to keep. Gives the first commit."""
-        self._recall = recall = StateRestorer(self.settings, memory)
-        self.keeping, self._newer, self.summary = True, recall.newer, recall.summary
-        self._hold(memory)
-        recall.attach(gateway, self.ledger)
-        self._try_out(recall)
-        self._counts.clear()
-        self.ledger.changed.update(dict.fromkeys(self.ledger.identities()))
-        return self._differing({**recall.rebased, **self._all(gateway)})
+    def next_checkpoint_at(self) -> float:
+        """When `changes` is to be called; infinite while nothing has changed."""
+        return self._next_checkpoint_at if self._has_changes else math.inf
+
+    def initial_changes(self, gateway: Gateway) -> list[Change]:
+        """Return what is committed with the first heartbeat: all that was restored, on this run's clock."""
+        values: dict[bytes, records.Record | None] = {}
+        if self._restorer is not None:
+            values.update(self._restorer.rebased_records)
+        for key in self._written.keys_of(records.IDEMPOTENCY):
+            values[key] = self.ledger.get(records.identity_of(key))
+        return self._update_written(values | {records.FLEET: export.fleet_record(gateway)})
 
     def changes(self, gateway: Gateway) -> list[Change]:
-        """All that has changed since the last look."""
-        self._next, self._touched = gateway.batch.now + LAG, False
-        self.ledger.forget_until(gateway.batch.now)
-        return self._differing(self._all(gateway))
+        """Return all changes since the last checkpoint."""
+        self._next_checkpoint_at = gateway.batch.now + CHECKPOINT_INTERVAL
+        self._has_changes = False
+        self.ledger.expire(gateway.batch.now)
+        return self._update_written(self._current_records(gateway))
 
     def entries(self, gateway: Gateway) -> tuple[tuple[bytes, Entry], ...]:
-        """All of it, for a gateway that takes over in this very process."""
-        values: dict[bytes, k.Record | None] = {
-            k.SENT + i: self.ledger.get(i) for i in self.ledger.identities()
+        """Return all state, for a gateway that takes over within the process."""
+        values: dict[bytes, records.Record | None] = {
+            records.IDEMPOTENCY + identity: self.ledger.get(identity) for identity in self.ledger.identities()
         }
-        values |= self._all(gateway, every=True)
-        made = [k.change(key, value) for key, value in values.items() if value is not None]
-        return tuple((one.key, one.entry) for one in made if one.entry is not None)
-
-    def anew(self, gateway: Gateway, now: float) -> PersistedState:
-        """A memory for a gateway that begins in the place of this one."""
-        run = k.RunRecord(
-            now, 0.0, "here", "here", "", self.settings.gateway_index, self.settings.gateway_count, True
-        )
-        made = k.change(k.RUN, run).entry
-        assert made is not None
-        return PersistedState((*self.entries(gateway), (k.RUN, made)), Timestamp(now, 0.0, "here", "here"))
-
-    def succeed(self, before: Checkpointer) -> None:
-        """Go on in the place of another one: what it gave out to be written is what the disk holds."""
-        self._written, self._fading = before._written, before._fading
-
-    def _all(self, gateway: Gateway, every: bool = False) -> dict[bytes, k.Record | None]:
-        masses = self._recall.masses if self._recall is not None else {}
-        found: dict[bytes, k.Record | None] = dict.fromkeys(self._dropped)
-        self._dropped = []
-        for name, one in export.classes(gateway, masses, self._deviations()).items():
-            if every or self._counts.get(one.mark) != one.count:
-                self._counts[one.mark] = one.count
-                found[k.CLASS + name] = one
-        for engine in gateway.fleet.engines.values():
-            if engine.state is not api.EngineState.REMOVED:
-                found[k.ENGINE + engine.id] = export.engine(gateway, engine, self._seen(gateway))
-        if self._recall is not None:
-            for identity, old in self._recall.unlisted().items():
-                found[k.ENGINE + identity] = old
-        found[k.BUDGET], found[k.FLEET] = export.budget(gateway), export.fleet(gateway)
-        found[k.TOLD] = export.told(gateway)
-        for order, state in export.orders(gateway).items():
-            found[k.ORDER + order] = state
+        values |= self._current_records(gateway, with_unchanged_classes=True)
+        return tuple((key, records.encode(key, value)) for key, value in values.items() if value is not None)
+
+    def _update_written(self, values: dict[bytes, records.Record | None]) -> list[Change]:
+        return self._written.update(values, self._protected_keys)
+
+    def _current_records(
+        self, gateway: Gateway, with_unchanged_classes: bool = False
+    ) -> dict[bytes, records.Record | None]:
+        """Return the records that may have changed; None for those to be removed."""
+        found: dict[bytes, records.Record | None] = dict.fromkeys(self._purged_keys)
+        self._purged_keys = []
+        found |= self._class_records(gateway, with_unchanged_classes)
+        found |= self._engine_records(gateway)
+        found[records.RETRY_BUDGET] = export.retry_budget_record(gateway)
+        found[records.FLEET] = export.fleet_record(gateway)
+        found[records.PEER_LOAD] = export.peer_load_record(gateway)
+        for ordering_key, ordering in export.ordering_records(gateway).items():
+            found[records.ORDERING + ordering_key] = ordering
         for identity in self.ledger.changed:
-            found[k.SENT + identity] = self.ledger.get(identity)
+            found[records.IDEMPOTENCY + identity] = self.ledger.get(identity)
         self.ledger.changed.clear()
-        gone = (key for key in self._fading if key not in found)
-        return found | {key: None for key in gone if self._listed or k.kind_of(key) == k.ORDER}
+        return found | dict.fromkeys(self._obsolete_keys(found))
+
+    def _class_records(self, gateway: Gateway, with_unchanged: bool) -> dict[bytes, records.ClassRecord]:
+        restored_samples = self._restorer.sample_sizes if self._restorer is not None else {}
+        found = {}
+        for name, record in export.class_records(gateway, restored_samples, self._deviations()).items():
+            digest = record.settings_digest
+            if with_unchanged or self._written_answer_counts.get(digest) != record.answer_count:
+                self._written_answer_counts[digest] = record.answer_count
+                found[records.CLASS + name] = record
+        return found
 
-    def _deviations(self) -> list[float]:
-        """Each class's scatter; what was recalled of it stands until enough is known."""
-        found = []
-        for cls, scatter in zip(self.settings.classes, self._scatters, strict=True):
-            old = self._recall.class_named(cls.name) if self._recall is not None else None
-            found.append(scatter.deviation or (old.scatter if old is not None else 0.0))
+    def _engine_records(self, gateway: Gateway) -> dict[bytes, records.EngineRecord]:
+        found = {}
+        last_listed_at = _last_listed_at(gateway)
+        for engine in gateway.fleet.engines.values():
+            if engine.state is not api.EngineState.REMOVED:
+                found[records.ENGINE + engine.id] = export.engine_record(gateway, engine, last_listed_at)
+        if self._restorer is not None:
+            for identity, record in self._restorer.unlisted_engines().items():
+                found[records.ENGINE + identity] = record
         return found
 
-    def _value(self, gateway: Gateway, key: bytes) -> k.Record | None:
-        kind = k.kind_of(key)
-        if kind == k.SENT:
-            return self.ledger.get(key[2:])
-        if kind == k.ORDER:
-            return k.OrderingRecord(True, 0.0)
-        if kind == k.ENGINE:
-            return export.engine(gateway, gateway.fleet.engines[key[2:]], self._seen(gateway))
-        return export.budget(gateway)
-
-    @staticmethod
-    def _seen(gateway: Gateway) -> float:
-        return math.floor(gateway.batch.now / SEEN) * SEEN
-
-    def _differing(self, values: dict[bytes, k.Record | None]) -> list[Change]:
+    def _obsolete_keys(self, found: dict[bytes, records.Record | None]) -> list[bytes]:
+        """Return transient keys without a record. Before the first endpoint list, engines stay."""
+        return [
+            key
+            for key in self._written.transient_keys()
+            if key not in found and (self._has_endpoints or records.kind_of(key) == records.ORDERING)
+        ]
+
+    def _deviations(self) -> list[float]:
+        """Return the log deviation of each class; the restored one until enough is known."""
         found = []
-        for key, value in values.items():
-            made = k.change(key, value)
-            if made.entry == self._written.get(key):
-                continue
-            if made.entry is None and key in self._newer:
-                continue  # not ours to remove: a later version may come back to it
-            if made.entry is None:
-                self._written.pop(key, None)
-                self._fading.pop(key, None)
-            else:
-                self._written[key] = made.entry
-                if k.kind_of(key) in FADING:
-                    self._fading[key] = None
-            found.append(made)
+        for class_settings, tracker in zip(self.settings.classes, self._log_deviations, strict=True):
+            restored = (
+                self._restorer.class_record(class_settings.name) if self._restorer is not None else None
+            )
+            default = restored.log_deviation if restored is not None else 0.0
+            found.append(tracker.deviation or default)
         return found
+
+    def _write_ahead_record(self, gateway: Gateway, key: bytes) -> records.Record | None:
+        kind = records.kind_of(key)
+        identity = records.identity_of(key)
+        if kind == records.IDEMPOTENCY:
+            return self.ledger.get(identity)
+        if kind == records.ORDERING:
+            return records.OrderingRecord(True, 0.0)
+        if kind == records.ENGINE:
+            return export.engine_record(gateway, gateway.fleet.engines[identity], _last_listed_at(gateway))
+        return export.retry_budget_record(gateway)
+
+
+def _last_listed_at(gateway: Gateway) -> float:
+    """Return now, rounded down so that engine records don't change all the time."""
+    return math.floor(gateway.batch.now / LAST_LISTED_RESOLUTION) * LAST_LISTED_RESOLUTION
--- a/saffronlane/learned_state/clock.py
+++ b/saffronlane/learned_state/clock.py
@@ -1,26 +1,28 @@
-"""How long ago something was, when clocks may have been set, machines restarted, or folders moved.
+"""The time between two runs, when clocks may have been set, machines restarted, or directories moved.
 
-Times are kept as monotonic seconds of the boot they were taken in. Within one boot they stay comparable
-across processes (clock_gettime(2), CLOCK_MONOTONIC). Across boots only wall time is left, which may lie.
+Times are persisted as monotonic seconds of the boot in which they were taken. Within one boot they stay
+comparable across processes (clock_gettime(2), CLOCK_MONOTONIC). Across boots only wall time is left, which
+may have been set.
 """
 
 from __future__ import annotations
 
+import math
 from dataclasses import dataclass
 
-MONTH = 30 * 86_400.0
-SLEEP_SLACK = 5.0  # seconds that two clocks of one boot may drift apart before a suspend or a step is assumed
+MAX_WALL_CLOCK_GAP = 360 * 86_400.0  # seconds
+MAX_CLOCK_DRIFT = 5.0  # seconds between two clocks of one boot, before a suspend or a clock step is assumed
 
 
 @dataclass(frozen=True, slots=True)
 class Timestamp:
-    """One reading of all clocks, and of where it was taken.
+    """One reading of all clocks, and where it was taken.
 
     Attributes:
-        mono: monotonic seconds.
-        wall: seconds since 1970.
-        boot: names this boot of this machine; empty: not known.
-        place: names this folder, and no copy of it; empty: not known.
+        monotonic_s: monotonic seconds.
+        wall_s: seconds since 1970.
+        boot_id: names this boot of this machine; empty if unknown.
+        directory_id: names this state directory, and no copy of it; empty if unknown.
     """
 
     monotonic_s: float
@@ -31,38 +33,60 @@
 
 @dataclass(frozen=True, slots=True)
 class Gap:
-    """What lies between the last sign of an earlier run and this moment.
+    """The time between the last heartbeat of an earlier run and now.
 
     Attributes:
-        least, most: bounds of the seconds between; `most` is infinite where nothing bounds it.
-        shift: add it to a kept time to have it on this run's clock; the latest time that it may have been.
-        same_boot: kept times are exact.
-        same_place: the folder was not copied or restored, as far as can be told.
+        min_seconds: lower bound.
+        max_seconds: upper bound; infinite if nothing bounds it.
+        clock_offset: added to a persisted time, gives the latest time that it may be on this run's clock.
+        is_same_boot: persisted times are exact.
+        is_same_directory: as far as is known, the directory was neither copied nor restored.
     """
 
-    least: float
-    most: float
-    shift: float
-    same_boot: bool
-    same_place: bool
+    min_seconds: float
+    max_seconds: float
+    clock_offset: float
+    is_same_boot: bool
+    is_same_directory: bool
 
     @property
-    def sure(self) -> bool:
-        return self.same_boot and self.same_place
+    def is_certain(self) -> bool:
+        """Whether the gap is exact and the directory the original one."""
+        return self.is_same_boot and self.is_same_directory
 
 
-def between(last: Timestamp, now: Timestamp) -> Gap:
-    """The gap from an earlier run's last sign to now.
+UNKNOWN_GAP = Gap(
+    min_seconds=0.0,
+    max_seconds=math.inf,
+    clock_offset=0.0,
+    is_same_boot=False,
+    is_same_directory=False,
+)
 
-    Rules must hold on the shortest gap that there may have been, and knowledge must be discounted by the
-    longest. A wall clock that stands before the last sign was set back: then nothing bounds the gap.
+
+def gap_between(last: Timestamp, now: Timestamp) -> Gap:
+    """Return the gap from an earlier run's last heartbeat to now.
+
+    Guarantees must hold on the shortest possible gap, and estimates are discounted by the longest. A wall
+    clock that stands before the last heartbeat was set back: then nothing bounds the gap.
     """
-    place = bool(last.directory_id) and last.directory_id == now.directory_id
-    walls = now.wall_s - last.wall_s
+    is_same_directory = bool(last.directory_id) and last.directory_id == now.directory_id
+    wall_gap = now.wall_s - last.wall_s
+    monotonic_gap = now.monotonic_s - last.monotonic_s
     if last.boot_id and last.boot_id == now.boot_id and now.monotonic_s >= last.monotonic_s:
-        monos = now.monotonic_s - last.monotonic_s
-        slept = walls > monos + SLEEP_SLACK  # a suspended machine, or a clock set forward
-        return Gap(monos, walls if slept else monos, 0.0, True, place)
-    if 0.0 <= walls < MONTH * 12.0:
-        return Gap(0.0, walls, now.monotonic_s - last.monotonic_s, False, place)
-    return Gap(0.0, float("inf"), now.monotonic_s - last.monotonic_s, False, place)
+        was_suspended = wall_gap > monotonic_gap + MAX_CLOCK_DRIFT
+        return Gap(
+            min_seconds=monotonic_gap,
+            max_seconds=wall_gap if was_suspended else monotonic_gap,
+            clock_offset=0.0,
+            is_same_boot=True,
+            is_same_directory=is_same_directory,
+        )
+    is_plausible = 0.0 <= wall_gap < MAX_WALL_CLOCK_GAP
+    return Gap(
+        min_seconds=0.0,
+        max_seconds=wall_gap if is_plausible else math.inf,
+        clock_offset=monotonic_gap,
+        is_same_boot=False,
+        is_same_directory=is_same_directory,
+    )
--- a/saffronlane/learned_state/confidence.py
+++ b/saffronlane/learned_state/confidence.py
@@ -1,9 +1,9 @@
-"""How much kept knowledge counts: by its age, and by what has changed since. docs/knowledge.md derives it.
+"""How much persisted state counts, by its age and by what has changed since (derived in docs/knowledge.md).
 
-A class's true pace drifts like a random walk. One answer tells it with a variance s2; in a second it drifts
-by q. An estimate from n answers has the variance s2 / n, and after t seconds s2 / n + q t, which is that of m
-answers with 1 / m = 1 / n + t / TAU, where TAU = s2 / q. So old knowledge counts as fewer answers.
-Ages add up in this form: to save and to load ten times costs no more than once, whatever the times between.
+The true pace of a class drifts like a random walk. One answer measures it with a variance s2; in a second it
+drifts by q. An estimate from n answers has the variance s2 / n, and after t seconds s2 / n + q t, which is
+that of m answers with 1 / m = 1 / n + t / DRIFT_TIME, where DRIFT_TIME = s2 / q. So older estimates count as
+fewer answers. Ages add up in this form: any number of restarts costs no more than one.
 """
 
 from __future__ import annotations
@@ -15,112 +15,137 @@
 from ..policy.health.outlier_detection import FAIL_MEMORY
 from .clock import Gap
 
-TAU = 28_800.0  # seconds in which a class's pace drifts as far as one answer lies beside the mean
-MASS_MOST = 16.0  # answers that knowledge counts at most: a wrong one is outvoted by as many new ones
-COUNT_MOST = 200  # answers that the mix of classes is remembered by
-OTHER_FLEET = 0.5  # weight where no engine is known but all are of known kinds
-OTHER_PLACE = 0.5  # weight of a folder that was copied or restored: whose traffic taught it is not known
-FRESH = (
-    3.0  # seconds of gap within which ledgers still show all that was sent; a run's sign comes each second
+DRIFT_TIME = 28_800.0  # seconds in which a class's pace drifts as far as one answer lies beside the mean
+MAX_EFFECTIVE_SAMPLES = 16.0  # answers; as many new ones outvote a wrong estimate
+MAX_CLASS_MIX_COUNT = 200  # answers
+SAME_MACHINE_TYPES_WEIGHT = 0.5  # weight where no engine is known but all are of known machine types
+COPIED_DIRECTORY_WEIGHT = 0.5  # weight of a directory that was copied or restored
+MAX_EXACT_GAP = (
+    3.0  # seconds without a clean end within which ledgers are complete; heartbeats come each second
 )
-HEALTH_MOST = 60.0  # seconds after which an engine's failures say nothing; six memories of the rules
-LIMIT_MOST, LIMIT_TAU = (
-    60.0,
-    10.0,
-)  # seconds: a limit grows by itself after a jam; beyond the first there is none
-ENGINE_MOST = 3600.0  # seconds that an engine which is in no list is remembered
-KNOWN_MOST = 4096  # engines remembered
-WRONG, WRONG_AFTER = math.log(3.0), 4  # mean log ratio, and answers, that say a class's knowledge is wrong
-SCATTER = 1.0  # of one answer's log ratio, where a class's own is not known
-REFUSING = 0.5  # of its deadline: knowledge that a class takes longer would refuse it whole, for good
-UNHEARD = 2.0  # deadlines: a class that is asked for and brings no answer so long begins anew
-REPEATS = 3.0  # of its deadline: how long a client may still repeat a request, after a key's own time
+MAX_HEALTH_AGE = 60.0  # seconds
+HEALTH_DECAY_TIME_RATIO = 6.0  # of the memory of the outlier detector
+MAX_CONCURRENCY_LIMIT_AGE = 60.0  # seconds
+CONCURRENCY_LIMIT_GROWTH_TIME = 10.0  # seconds in which an unused limit grows by the factor e
+MAX_UNLISTED_ENGINE_AGE = 3600.0  # seconds
+MAX_UNLISTED_ENGINES = 4096  # engines
+MAX_MEAN_LOG_RATIO = math.log(3.0)  # of answers to the restored estimate
+MIN_VALIDATION_SAMPLES = 4  # answers
+DEFAULT_LOG_DEVIATION = 1.0  # of one answer's log ratio
+MAX_EXECUTION_DEADLINE_RATIO = 0.5  # of the deadline; a longer estimate could reject the whole class for good
+UNCONFIRMED_TIMEOUT_DEADLINES = 2.0  # deadlines
+CLIENT_RETRY_DEADLINES = 3.0  # deadlines; how long a client may retry after the idempotency TTL
 
 
 @dataclass(frozen=True, slots=True)
-class Trust:
-    """What a folder as a whole is worth.
+class DirectoryConfidence:
+    """How much a state directory as a whole counts.
 
     Attributes:
-        factor: on the mass of what classes have taught.
-        exact: the ledgers show all that was sent, so that rules can be kept by them alone.
-        age: seconds to add to the age of what is kept, for discounting.
+        weight: factor on the effective samples of class estimates.
+        has_complete_ledgers: the ledgers show every dispatch, so guarantees can rely on them alone.
+        age: seconds to add to the age of each record, for discounting.
     """
 
-    factor: float
-    exact: bool
+    weight: float
+    has_complete_ledgers: bool
     age: float
 
 
-def trust(gap: Gap, clean: bool, same_position: bool) -> Trust:
-    """Weigh a folder by the gap since its last sign and by how the run before ended."""
-    own = gap.same_place and same_position
-    exact = own and gap.same_boot and (clean or gap.most <= FRESH)
-    return Trust(1.0 if own else OTHER_PLACE, exact, gap.most)
+def assess_directory(gap: Gap, clean: bool, same_position: bool) -> DirectoryConfidence:
+    """Assess a directory by the gap since its last heartbeat and by how the run before ended.
+
+    Args:
+        gap: since the last heartbeat.
+        clean: the run before ended by a regular shutdown.
+        same_position: it had the same gateway index among as many gateways.
+    """
+    is_own = gap.is_same_directory and same_position
+    is_recent = clean or gap.max_seconds <= MAX_EXACT_GAP
+    return DirectoryConfidence(
+        weight=1.0 if is_own else COPIED_DIRECTORY_WEIGHT,
+        has_complete_ledgers=is_own and gap.is_same_boot and is_recent,
+        age=gap.max_seconds,
+    )
 
 
-def mass(before: float, age: float, factor: float) -> float:
-    """Answers that knowledge still stands for after `age` seconds."""
+def effective_samples(before: float, age: float, weight: float) -> float:
+    """Return the answers that an estimate from `before` answers still stands for after `age` seconds."""
     if before <= 0.0 or not age < math.inf:
         return 0.0
-    return min(MASS_MOST, factor * before / (1.0 + before * max(0.0, age) / TAU))
+    return min(MAX_EFFECTIVE_SAMPLES, weight * before / (1.0 + before * max(0.0, age) / DRIFT_TIME))
+
 
+def fleet_similarity(known: dict[bytes, float], listed: dict[bytes, float]) -> float:
+    """Return the weight of estimates that were learned on another fleet.
 
-def fleet_factor(known: dict[bytes, float], listed: dict[bytes, float]) -> float:
-    """Weight by how much of the fleet is the one that taught: cores by engine, then and now."""
+    Args:
+        known: cores by engine, when the estimates were learned.
+        listed: cores by engine, now.
+    """
     if not known or not listed:
         return 1.0
-    same = sum(known.get(name) == cores for name, cores in listed.items()) / len(listed)
-    kinds = set(known.values())
-    alike = sum(cores in kinds for cores in listed.values()) / len(listed)
-    return max(same, OTHER_FLEET * alike)
+    same_engines = sum(known.get(name) == cores for name, cores in listed.items()) / len(listed)
+    known_sizes = set(known.values())
+    same_sizes = sum(cores in known_sizes for cores in listed.values()) / len(listed)
+    return max(same_engines, SAME_MACHINE_TYPES_WEIGHT * same_sizes)
 
 
-def health(fails: float, age: float) -> float:
-    """A share of failures, worn off as it would have been by outcomes that nobody saw; 0: it says nothing."""
-    return 0.0 if age > HEALTH_MOST else fails * math.exp(-max(0.0, age) / FAIL_MEMORY / 6.0)
+def decayed_failure_ratio(failure_ratio: float, age: float) -> float:
+    """Return a failure ratio as unobserved outcomes would have decayed it; 0 if it is too old to count."""
+    if age > MAX_HEALTH_AGE:
+        return 0.0
+    return failure_ratio * math.exp(-max(0.0, age) / FAIL_MEMORY / HEALTH_DECAY_TIME_RATIO)
 
 
-def limit(threads: float, age: float) -> float:
-    """The limit on own threads after a while without word: it would have grown by itself."""
-    return threads * math.exp(max(0.0, age) / LIMIT_TAU) if threads > 0.0 and age < LIMIT_MOST else math.inf
+def recovered_concurrency_limit(threads: float, age: float) -> float:
+    """Return a concurrency limit as it would have grown by itself; infinite if there is none left."""
+    if threads > 0.0 and age < MAX_CONCURRENCY_LIMIT_AGE:
+        return threads * math.exp(max(0.0, age) / CONCURRENCY_LIMIT_GROWTH_TIME)
+    return math.inf
 
 
-def seeds(mass_kept: float) -> float:
-    """Seed answers that count beside so much knowledge: it takes their place."""
-    return max(0.0, SEED_ANSWERS - mass_kept)
+def remaining_seed_samples(restored_samples: float) -> float:
+    """Return the seed answers that still count beside a restored estimate, which takes their place."""
+    return max(0.0, SEED_ANSWERS - restored_samples)
 
 
-def left(mass_recalled: float, answers: int) -> float:
-    """What of recalled knowledge still counts after so many answers."""
-    return mass_recalled * DECAY**answers
+def remaining_weight(weight: float, answers: int) -> float:
+    """Return what is left of a weight after so many new answers."""
+    return weight * DECAY**answers
 
 
-def own(answers: int) -> float:
-    """Answers that count of so many, each a little less than the one after it."""
+def new_effective_samples(answers: int) -> float:
+    """Return how many answers so many new ones count as, each a little less than the one after it."""
     return (1.0 - DECAY**answers) / (1.0 - DECAY)
 
 
-def may_refuse(exec_time: float, deadline: float) -> bool:
-    """Whether recalled knowledge may refuse queries before an answer bears it out.
+def may_reject(exec_time: float, deadline: float) -> bool:
+    """Return whether a restored estimate may reject queries before an answer confirms it.
 
-    What says that no query of a class can end in time would keep away the very answers that disprove it.
+    An estimate that no query of a class can meet its deadline would keep away the answers that disprove it.
     """
-    return exec_time <= REFUSING * deadline
+    return exec_time <= MAX_EXECUTION_DEADLINE_RATIO * deadline
+
 
+def is_unconfirmed(since: float, now: float, deadline: float) -> bool:
+    """Return whether the restored estimate may be the cause that requests have gone unanswered so long."""
+    return now - since > UNCONFIRMED_TIMEOUT_DEADLINES * deadline
 
-def unheard(since: float, now: float, deadline: float) -> bool:
-    """Whether a class has been asked for so long without an answer that what is recalled may be the cause."""
-    return now - since > UNHEARD * deadline
 
+def is_contradicted(log_ratio_total: float, answers: int, log_deviation: float) -> bool:
+    """Return whether answers lie so far from the restored estimate that chance does not explain it.
 
-def wrong(total: float, answers: int, scatter: float) -> bool:
-    """Whether answers lie so far from what was recalled that chance does not explain it.
+    Times mostly follow a lognormal distribution: where logarithms have the standard deviation s, their mean
+    lies s * s / 2 below the logarithm of the mean.
 
-    `total` is the sum of their log ratios to the recalled mean. Where logarithms scatter by s, their mean
-    lies s * s / 2 under the logarithm of the mean (of a lognormal distribution, which times mostly resemble).
+    Args:
+        log_ratio_total: sum of the logarithms of the answers' ratios to the restored mean.
+        answers: how many.
+        log_deviation: standard deviation of one logarithm; 0 if unknown.
     """
-    if answers < WRONG_AFTER:
+    if answers < MIN_VALIDATION_SAMPLES:
         return False
-    spread = scatter if scatter > 0.0 else SCATTER
-    return abs(total / answers + spread * spread / 2.0) > WRONG + spread / math.sqrt(answers)
+    deviation = log_deviation if log_deviation > 0.0 else DEFAULT_LOG_DEVIATION
+    mean = log_ratio_total / answers + deviation * deviation / 2.0
+    return abs(mean) > MAX_MEAN_LOG_RATIO + deviation / math.sqrt(answers)
--- a/saffronlane/learned_state/errors.py
+++ b/saffronlane/learned_state/errors.py
@@ -1,12 +1,12 @@
-"""Errors of entries."""
+"""Errors of persisted records."""
 
 from __future__ import annotations
 
 from ..errors import SaffronlaneError
 
 
-class Unreadable(SaffronlaneError):
-    """An entry that cannot be used; the text names its key."""
+class UnreadableRecordError(SaffronlaneError):
+    """A record that cannot be decoded; the text names its key."""
 
     remedy = (
         "Nothing, since the entry is left out; `saffronlane knowledge check` tells what else "
@@ -14,8 +14,8 @@
     )
 
 
-class Newer(Unreadable):
-    """Written by a later version: left in place for it."""
+class NewerVersionError(UnreadableRecordError):
+    """A record that a later version of the program wrote; it stays in place."""
 
     remedy = (
         "Nothing, since it is left in place; run the newer version again, or have it forgotten "
--- a/saffronlane/learned_state/export.py
+++ b/saffronlane/learned_state/export.py
@@ -1,4 +1,4 @@
-"""What a gateway knows, as entries to keep. Reads `policy.Gateway`; changes nothing."""
+"""Conversion of a gateway's state to records. Reads `policy.Gateway` and changes nothing."""
 
 from __future__ import annotations
 
@@ -8,154 +8,179 @@
 from ..policy import Gateway
 from ..policy.estimation.run_time_estimator import RunTimeEstimator
 from ..state import Engine
-from . import confidence as weigh
+from . import confidence
 from .records import (
     NEVER,
     ClassRecord,
     EngineRecord,
     FleetRecord,
     OrderingRecord,
+    PeerLoadEntry,
     PeerLoadRecord,
     RetryBudgetRecord,
-    class_mark,
+    class_settings_digest,
 )
 
-BIN = 0.1  # seconds; arrivals of rule 7's window are counted in such bins, each from its start on
+ARRIVAL_BIN = 0.1  # seconds; arrivals of the retry budget's window are counted in bins, each as of its start
+MIN_EFFECTIVE_SAMPLES = 0.5  # answers; estimates from less are not persisted
+MAX_CONCURRENCY_LIMIT = 1e9  # threads; from here on there is no limit
+ORDERING_KEY_LENGTH = 8  # bytes
 
 
-def past(time: float) -> float:
+def finite_time(time: float) -> float:
+    """Return a time in the stored form, which has no minus infinity."""
     return max(time, NEVER)
 
 
-def classes(gateway: Gateway, recalled: dict[int, float], scatters: list[float]) -> dict[bytes, ClassRecord]:
-    """Each class of which an answer is known. `recalled`: answers that earlier knowledge stood for."""
+def class_records(
+    gateway: Gateway, restored_samples: dict[int, float], log_deviations: list[float]
+) -> dict[bytes, ClassRecord]:
+    """Return the record of each class with an answer, by name.
+
+    Args:
+        gateway: whose estimates to read.
+        restored_samples: by class, the answers that restored estimates stood for.
+        log_deviations: by class.
+    """
     found = {}
-    for index, known in enumerate(gateway.workload_estimates.estimators):
-        kept = _class(gateway, known, recalled.get(index, 0.0), scatters[index])
-        if kept is not None:
-            found[known.class_settings.name.encode()] = kept
+    for index, estimator in enumerate(gateway.workload_estimates.estimators):
+        record = _class_record(gateway, estimator, restored_samples.get(index, 0.0), log_deviations[index])
+        if record is not None:
+            found[estimator.class_settings.name.encode()] = record
     return found
 
 
-def _class(gateway: Gateway, known: RunTimeEstimator, recalled: float, scatter: float) -> ClassRecord | None:
-    answers = known.answer_count - known.recalled_count
-    seed = [part * weigh.left(1.0, answers) for part in known.prior]
-    estimates, latencies, works, calm = (
-        now - part
-        for now, part in zip(
-            (known.estimated_costs, known.latency_total, known.work_total, known.uncontended_work_total),
-            seed,
-            strict=True,
-        )
-    )
-    mass = weigh.left(recalled, answers) + weigh.own(answers)
-    if mass < 0.5 or not estimates > 0.0 or min(latencies, works, calm) <= 0.0:
+def _class_record(
+    gateway: Gateway, estimator: RunTimeEstimator, restored_samples: float, log_deviation: float
+) -> ClassRecord | None:
+    """Return one class's record without the seeds' part; None if too little is known."""
+    answers = estimator.answer_count - estimator.recalled_count
+    seed_weight = confidence.remaining_weight(1.0, answers)
+    seed_costs, seed_latency, seed_work, seed_uncontended_work = estimator.prior
+    costs = estimator.estimated_costs - seed_costs * seed_weight
+    latency = estimator.latency_total - seed_latency * seed_weight
+    work = estimator.work_total - seed_work * seed_weight
+    uncontended_work = estimator.uncontended_work_total - seed_uncontended_work * seed_weight
+    samples = confidence.remaining_weight(restored_samples, answers)
+    samples += confidence.new_effective_samples(answers)
+    is_empty = not costs > 0.0 or min(latency, work, uncontended_work) <= 0.0
+    if samples < MIN_EFFECTIVE_SAMPLES or is_empty:
         return None
     return ClassRecord(
-        mark=class_mark(gateway.batch.settings, known.class_settings),
-        at=gateway.batch.now,
-        mass=mass,
-        count=known.answer_count,
-        cost=known.mean_estimated_cost,
-        latency=latencies / estimates,
-        work=works / estimates,
-        calm=calm / estimates,
-        best=known.baseline_inflation,
-        need=known.memory_requirement,
-        scatter=scatter,
+        settings_digest=class_settings_digest(gateway.batch.settings, estimator.class_settings),
+        updated_at=gateway.batch.now,
+        effective_samples=samples,
+        answer_count=estimator.answer_count,
+        mean_estimated_cost=estimator.mean_estimated_cost,
+        latency_per_cost=latency / costs,
+        work_per_cost=work / costs,
+        uncontended_work_per_cost=uncontended_work / costs,
+        baseline_inflation=estimator.baseline_inflation,
+        memory_requirement=estimator.memory_requirement,
+        log_deviation=log_deviation,
     )
 
 
-def engine(gateway: Gateway, one: Engine, seen: float) -> EngineRecord:
-    cold = one.warmup_remaining(gateway.batch.now, gateway.batch.guarantees.slow_start_duration) > 0.0
+def engine_record(gateway: Gateway, engine: Engine, last_listed_at: float) -> EngineRecord:
+    """Return an engine's record. Its dispatches are part of it only during slow start."""
+    step = gateway.batch
+    is_warming_up = engine.warmup_remaining(step.now, step.guarantees.slow_start_duration) > 0.0
     return EngineRecord(
-        cores=one.cores,
-        zone=one.zone,
-        kind=one.machine_type,
-        cell=one.cell,
-        started=one.started_at,
-        reborn_at=past(one.inferred_restart_at),
-        broke_at=past(one.connection_lost_at),
-        judged=past(one.last_outcome_at),
-        fails=one.failure_ratio,
-        ill=one.is_ejected,
-        silent=one.is_unresponsive,
-        trial_gap=one.probe_request_interval,
-        full=past(one.last_rejection_at),
-        reported=one.reported_threads_per_core,
-        reported_at=past(one.reported_at),
-        lately=one.recent_work.value,
-        lately_at=past(one.recent_work.updated_at),
-        seen=seen,
-        sent=list(one.recent_dispatches) if cold else [],
+        cores=engine.cores,
+        zone=engine.zone,
+        machine_type=engine.machine_type,
+        cell=engine.cell,
+        started_at=engine.started_at,
+        inferred_restart_at=finite_time(engine.inferred_restart_at),
+        connection_lost_at=finite_time(engine.connection_lost_at),
+        last_outcome_at=finite_time(engine.last_outcome_at),
+        failure_ratio=engine.failure_ratio,
+        is_ejected=engine.is_ejected,
+        is_unresponsive=engine.is_unresponsive,
+        probe_request_interval=engine.probe_request_interval,
+        last_rejection_at=finite_time(engine.last_rejection_at),
+        reported_threads_per_core=engine.reported_threads_per_core,
+        reported_at=finite_time(engine.reported_at),
+        recent_work=engine.recent_work.value,
+        recent_work_updated_at=finite_time(engine.recent_work.updated_at),
+        last_listed_at=last_listed_at,
+        recent_dispatches=list(engine.recent_dispatches) if is_warming_up else [],
     )
 
 
-def budget(gateway: Gateway) -> RetryBudgetRecord | None:
-    """Rule 7's window; None where no budget is set."""
-    rules = gateway.batch.guarantees
-    if rules.retry_budget_base is None:
+def retry_budget_record(gateway: Gateway) -> RetryBudgetRecord | None:
+    """Return the window of the retry budget, or None where no budget is set."""
+    step = gateway.batch
+    if step.guarantees.retry_budget_base is None:
         return None
-    since = gateway.batch.now - rules.retry_budget_window - 2.0 * gateway.batch.settings.min_step_interval
-    bins: dict[int, int] = {}
-    for at in gateway.completion.retry_policy.budget.served_arrivals:
-        if at > since:
-            number = math.floor(at / BIN)
-            bins[number] = bins.get(number, 0) + 1
-    extras = [at for at in gateway.completion.retry_policy.budget.retries if at > since]
-    return RetryBudgetRecord(extras, [(number * BIN, count) for number, count in bins.items()])
-
-
-def orders(gateway: Gateway) -> dict[bytes, OrderingRecord]:
-    """Ordering keys with an attempt out, or at rest."""
+    window_start = step.now - step.guarantees.retry_budget_window - 2.0 * step.settings.min_step_interval
+    budget = gateway.completion.retry_policy.budget
+    counts: dict[int, int] = {}
+    for time in budget.served_arrivals:
+        if time > window_start:
+            number = math.floor(time / ARRIVAL_BIN)
+            counts[number] = counts.get(number, 0) + 1
+    return RetryBudgetRecord(
+        retries=[time for time in budget.retries if time > window_start],
+        arrival_bins=[(number * ARRIVAL_BIN, count) for number, count in counts.items()],
+    )
+
+
+def ordering_records(gateway: Gateway) -> dict[bytes, OrderingRecord]:
+    """Return the ordering keys with an attempt in flight, or in their cool-down."""
     found = {}
-    for job in dict.fromkeys(attempt.request for attempt in gateway.in_flight.attempts.values()):
-        if job.class_settings.is_ordered and job.ordering_key:
-            found[order_name(job.ordering_key)] = OrderingRecord(True, 0.0)
-    for key, until in gateway.pending.ordering.cooldowns.items():
-        if until > gateway.batch.now and order_name(key) not in found:
-            found[order_name(key)] = OrderingRecord(False, until)
+    for request in dict.fromkeys(attempt.request for attempt in gateway.in_flight.attempts.values()):
+        if request.class_settings.is_ordered and request.ordering_key:
+            found[encode_ordering_key(request.ordering_key)] = OrderingRecord(True, 0.0)
+    for ordering_key, cooldown_until in gateway.pending.ordering.cooldowns.items():
+        name = encode_ordering_key(ordering_key)
+        if cooldown_until > gateway.batch.now and name not in found:
+            found[name] = OrderingRecord(False, cooldown_until)
     return found
 
 
-def order_name(key: int) -> bytes:
-    return key.to_bytes(8, "big")
+def encode_ordering_key(key: int) -> bytes:
+    """Return an ordering key as part of a stored key."""
+    return key.to_bytes(ORDERING_KEY_LENGTH, "big")
 
 
-def fleet(gateway: Gateway) -> FleetRecord:
-    limit = gateway.concurrency_limit.limit if gateway.concurrency_limit.limit < 1e9 else 0.0
-    recent = gateway.in_flight.recent_work
+def fleet_record(gateway: Gateway) -> FleetRecord:
+    """Return the state that concerns all engines together."""
+    limit = gateway.concurrency_limit.limit
+    recent_work = gateway.in_flight.recent_work
     return FleetRecord(
-        gateway.batch.now,
-        past(gateway.batch.started_at),
-        limit,
-        gateway.concurrency_limit.latency_inflation,
-        recent.value,
-        past(recent.updated_at),
-        gateway.fleet.mean_reported_threads,
+        updated_at=gateway.batch.now,
+        dispatches_known_since=finite_time(gateway.batch.started_at),
+        concurrency_limit=limit if limit < MAX_CONCURRENCY_LIMIT else 0.0,
+        latency_inflation=gateway.concurrency_limit.latency_inflation,
+        recent_work=recent_work.value,
+        recent_work_updated_at=finite_time(recent_work.updated_at),
+        mean_reported_threads=gateway.fleet.mean_reported_threads,
     )
 
 
-def told(gateway: Gateway) -> PeerLoadRecord | None:
-    """What other gateways told of, as far as it is not over."""
+def peer_load_record(gateway: Gateway) -> PeerLoadRecord | None:
+    """Return the unexpired load that peers reported, or None without gossip."""
     if not gateway.batch.limits.gossip:
         return None
-    return PeerLoadRecord(
-        [
-            (
-                sender,
-                number,
-                one.expires_at,
-                one.engine.id,
-                one.threads,
-                one.memory_mb,
-                one.bulk_load_table_digest,
+    entries = []
+    for (sender, number), attempt in gateway.load_gossip.peer_load.entries.items():
+        if attempt.expires_at > gateway.batch.now:
+            entry = PeerLoadEntry(
+                sender=sender,
+                number=number,
+                expires_at=attempt.expires_at,
+                engine=attempt.engine.id,
+                threads=attempt.threads,
+                memory_mb=attempt.memory_mb,
+                bulk_load_table_digest=attempt.bulk_load_table_digest,
             )
-            for (sender, number), one in gateway.load_gossip.peer_load.entries.items()
-            if one.expires_at > gateway.batch.now
-        ]
-    )
+            entries.append(entry)
+    return PeerLoadRecord(entries)
 
 
-def entry(one: Engine) -> api.EngineEntry:
-    return api.EngineEntry(one.id, one.state, one.started_at, one.zone, one.machine_type, one.cell)
+def engine_entry(engine: Engine) -> api.EngineEntry:
+    """Return an engine as an entry of the endpoint list."""
+    return api.EngineEntry(
+        engine.id, engine.state, engine.started_at, engine.zone, engine.machine_type, engine.cell
+    )
--- a/saffronlane/learned_state/ledger.py
+++ b/saffronlane/learned_state/ledger.py
@@ -1,7 +1,7 @@
-"""Requests known by a key, of which an attempt may have run: what a client's repeat of one may still do.
+"""The idempotency ledger: requests with a key of which an attempt may have run.
 
-A client repeats a request after it lost its gateway, or only its answer. To the rules the repeat is a new
-request with an earlier attempt whose outcome is open, and so rule 2 holds for it as for any other.
+A client repeats a request after it lost its gateway, or only the answer. The repeat is a new request with an
+earlier attempt whose outcome is open, and retry safety holds for it as for any other.
 """
 
 from __future__ import annotations
@@ -10,91 +10,121 @@
 from dataclasses import dataclass
 
 from .. import interface as api
-from . import confidence as weigh
+from . import confidence
 from .records import IdempotencyRecord
 
-MOST = 100_000  # requests remembered; past it those that would be forgotten first are
+MAX_ENTRIES = 100_000  # requests; past it those that expire first are dropped
 
 
 @dataclass(slots=True, eq=False)
-class _Line:
-    kept: IdempotencyRecord
-    certain: bool = False  # that none of its attempts ran so far; `out` ones are open
-    out: int = 0
+class _LedgerEntry:
+    """One request.
 
+    Attributes:
+        record: the first attempt that may have run.
+        never_ran: none of the attempts that have ended ran; those in flight are open.
+        in_flight: attempts without an end so far.
+    """
 
-class Ledger:
-    """In order of time to be forgotten; bounded in time and in number."""
+    record: IdempotencyRecord
+    never_ran: bool = False
+    in_flight: int = 0
+
+
+class IdempotencyLedger:
+    """Requests by idempotency key, bounded in time and in number.
+
+    Attributes:
+        changed: identities whose records are to be written, in order.
+    """
 
     def __init__(self) -> None:
-        self._lines: dict[bytes, _Line] = {}
-        self._ends: list[tuple[float, bytes]] = []  # heap
-        self.changed: dict[bytes, None] = {}  # identities to be written, in order
+        self._entries: dict[bytes, _LedgerEntry] = {}
+        self._expirations: list[tuple[float, bytes]] = []  # heap
+        self.changed: dict[bytes, None] = {}
 
     def __len__(self) -> int:
-        return len(self._lines)
+        return len(self._entries)
 
     def get(self, identity: bytes) -> IdempotencyRecord | None:
-        line = self._lines.get(identity)
-        return line.kept if line is not None else None
+        """Return the record of a request, or None."""
+        entry = self._entries.get(identity)
+        return entry.record if entry is not None else None
 
     def identities(self) -> list[bytes]:
-        return list(self._lines)
+        """Return the identities of all requests."""
+        return list(self._entries)
 
-    def recall(self, identity: bytes, kept: IdempotencyRecord) -> None:
-        """Take an entry of an earlier run in, as of this run's clock."""
+    def restore(self, identity: bytes, record: IdempotencyRecord) -> None:
+        """Add a record of an earlier run, with times of this run's clock."""
         self.changed[identity] = None
-        line = self._lines.get(identity)
-        if line is not None:  # asked here too since: the earlier attempt is the one that counts
-            line.kept, line.certain = (kept if kept.at < line.kept.at else line.kept), False
+        entry = self._entries.get(identity)
+        if entry is None:
+            self._add(identity, _LedgerEntry(record))
             return
-        self._lines[identity] = _Line(kept)
-        heapq.heappush(self._ends, (kept.until, identity))
-
-    def earlier(self, identity: bytes, now: float) -> api.PreviousAttempt | None:
-        """The attempt that a repeat must reckon with; None: there was none that may have run."""
-        self.forget_until(now)
-        line = self._lines.get(identity)
-        if line is None:
+        # A repeat has come here since: the earlier of the two attempts counts.
+        entry.never_ran = False
+        if record.attempted_at < entry.record.attempted_at:
+            entry.record = record
+
+    def previous_attempt(self, identity: bytes, now: float) -> api.PreviousAttempt | None:
+        """Return the attempt of an earlier request with this key that may have run, or None."""
+        self.expire(now)
+        record = self.get(identity)
+        if record is None:
             return None
-        kept = line.kept
-        return api.PreviousAttempt(kept.engine, kept.at, kept.zone, kept.kind, kept.cell)
-
-    def sent(self, identity: bytes, cls: api.ClassSettings, now: float, entry: api.EngineEntry) -> None:
-        """An attempt leaves now. The first that may have run is the one that counts."""
-        line = self._lines.get(identity)
-        if line is None:
-            until = now + cls.idempotency_ttl + weigh.REPEATS * cls.deadline
-            kept = IdempotencyRecord(
-                cls.name, now, entry.engine, entry.zone, entry.machine_type, entry.cell, until
+        return api.PreviousAttempt(
+            record.engine, record.attempted_at, record.zone, record.machine_type, record.cell
+        )
+
+    def record_attempt(
+        self, identity: bytes, class_settings: api.ClassSettings, now: float, endpoint: api.EngineEntry
+    ) -> None:
+        """Record an attempt that leaves now. The first that may have run is the one that counts."""
+        entry = self._entries.get(identity)
+        if entry is None:
+            retry_time = confidence.CLIENT_RETRY_DEADLINES * class_settings.deadline
+            record = IdempotencyRecord(
+                query_class=class_settings.name,
+                attempted_at=now,
+                engine=endpoint.engine,
+                zone=endpoint.zone,
+                machine_type=endpoint.machine_type,
+                cell=endpoint.cell,
+                expires_at=now + class_settings.idempotency_ttl + retry_time,
             )
-            line = self._lines[identity] = _Line(kept, certain=True)
-            heapq.heappush(self._ends, (until, identity))
+            entry = _LedgerEntry(record, never_ran=True)
+            self._add(identity, entry)
             self.changed[identity] = None
-            while len(self._lines) > MOST:
-                self._forget_first()
-        line.out += 1
-
-    def ended(self, identity: bytes, never_ran: bool) -> None:
-        """The end of an attempt. One that certainly never ran leaves no trace."""
-        line = self._lines.get(identity)
-        if line is None:
+            while len(self._entries) > MAX_ENTRIES:
+                self._expire_first()
+        entry.in_flight += 1
+
+    def record_attempt_end(self, identity: bytes, never_ran: bool) -> None:
+        """Record the end of an attempt. A request of which certainly none ran is dropped."""
+        entry = self._entries.get(identity)
+        if entry is None:
             return
-        line.out -= 1
-        line.certain = line.certain and never_ran
-        if line.certain and line.out <= 0:
+        entry.in_flight -= 1
+        entry.never_ran = entry.never_ran and never_ran
+        if entry.never_ran and entry.in_flight <= 0:
             self._drop(identity)
 
-    def forget_until(self, now: float) -> None:
-        while self._ends and self._ends[0][0] <= now:
-            self._forget_first()
+    def expire(self, now: float) -> None:
+        """Drop the requests that no client repeats any more."""
+        while self._expirations and self._expirations[0][0] <= now:
+            self._expire_first()
+
+    def _add(self, identity: bytes, entry: _LedgerEntry) -> None:
+        self._entries[identity] = entry
+        heapq.heappush(self._expirations, (entry.record.expires_at, identity))
 
-    def _forget_first(self) -> None:
-        until, identity = heapq.heappop(self._ends)
-        line = self._lines.get(identity)
-        if line is not None and line.kept.until <= until:
+    def _expire_first(self) -> None:
+        expires_at, identity = heapq.heappop(self._expirations)
+        record = self.get(identity)
+        if record is not None and record.expires_at <= expires_at:
             self._drop(identity)
 
     def _drop(self, identity: bytes) -> None:
-        del self._lines[identity]
+        del self._entries[identity]
         self.changed[identity] = None
--- a/saffronlane/state_directory.py
+++ b/saffronlane/state_directory.py
@@ -21,9 +21,9 @@
 from .learned_state import records as k
 from .storage import (
     Change,
+    DirectoryBusyError,
+    DirectoryLock,
     Entry,
-    FolderBusy,
-    FolderLock,
     RealFiles,
     Store,
     StoreLimits,
@@ -64,7 +64,7 @@
         self._config, self._loop = config, loop
         self._boot = boot_id()
         self._why = ""
-        self._lock: FolderLock | None = None
+        self._lock: DirectoryLock | None = None
         self._files: RealFiles | None = None
         self._writer: Writer | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -82,7 +82,7 @@
         """Take the folder in use if it is free."""
         try:
             self.memory = PersistedState(self._open(), self._moment())
-        except (OSError, FolderBusy) as error:
+        except (OSError, DirectoryBusyError) as error:
             if str(error) != self._why:
                 log.error("knowledge is not kept", folder=str(self.path), **told(error))
             self._why = str(error)
@@ -98,7 +98,7 @@
 
     def _open(self) -> tuple[tuple[bytes, Entry], ...]:
         began = time.monotonic()
-        self._lock = FolderLock(self.path)
+        self._lock = DirectoryLock(self.path)
         self._files = RealFiles(self.path)
         store = Store(self._files, StoreLimits(most=self._config.knowledge_most))
         found = store.load()
@@ -124,8 +124,8 @@
             if lock is not None:
                 lock.release()
             try:
-                self._lock = FolderLock(self.path)
-            except FolderBusy as error:
+                self._lock = DirectoryLock(self.path)
+            except DirectoryBusyError as error:
                 raise OSError(str(error)) from None
 
     def _look(self) -> None:
@@ -170,7 +170,7 @@
             settings.gateway_count,
             clean,
         )
-        return k.change(k.RUN, run)
+        return k.make_change(k.RUN, run)
 
     @property
     def status(self) -> WriterStatus:
@@ -188,7 +188,7 @@
             log.info(
                 "knowledge recalled",
                 age_s=round(summary.age, 3),
-                exact=summary.exact,
+                exact=summary.has_complete_ledgers,
                 requests=summary.requests,
                 orders=summary.orders,
             )
--- a/saffronlane/storage/__init__.py
+++ b/saffronlane/storage/__init__.py
@@ -1,7 +1,7 @@
 """A small crash-safe map on disk: log, snapshots, recovery. It knows nothing of what is kept in it."""
 
-from .errors import FolderBusy, StoreFailed
-from .files import Files, FolderLock, Handle, RealFiles
+from .errors import DirectoryBusyError, StoreFailedError
+from .files import DirectoryLock, Files, Handle, RealFiles
 from .format import Change, Entry, StoredMap
 from .recovery import Recovery, recover
 from .store import Store, StoreLimits
@@ -11,13 +11,13 @@
     "Change",
     "Entry",
     "Files",
-    "FolderBusy",
-    "FolderLock",
+    "DirectoryBusyError",
+    "DirectoryLock",
     "Handle",
     "RealFiles",
     "Recovery",
     "Store",
-    "StoreFailed",
+    "StoreFailedError",
     "StoreLimits",
     "StoredMap",
     "Writer",
--- a/saffronlane/storage/errors.py
+++ b/saffronlane/storage/errors.py
@@ -5,7 +5,7 @@
 from ..errors import SaffronlaneError
 
 
-class FolderBusy(SaffronlaneError):
+class DirectoryBusyError(SaffronlaneError):
     """Another process has the folder; the text says which, as far as it is known."""
 
     remedy = "End the process that has the folder, or give this gateway a folder of its own."
@@ -20,7 +20,7 @@
     )
 
 
-class StoreFailed(SaffronlaneError):
+class StoreFailedError(SaffronlaneError):
     """The store cannot keep anything now. `Store.repair` tries with fresh files."""
 
     remedy = "Free space or replace the disk; the gateway serves on and tries again with fresh files."
--- a/saffronlane/storage/files.py
+++ b/saffronlane/storage/files.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Protocol
 
-from .errors import FolderBusy
+from .errors import DirectoryBusyError
 
 LOCK_NAME = "lock"
 
@@ -130,7 +130,7 @@
     return f"{lock.st_dev:x}.{lock.st_ino:x}"
 
 
-class FolderLock:
+class DirectoryLock:
     """The exclusive use of a folder, for as long as this process lives (flock(2)). OSError, FolderBusy.
 
     `place`: see `place_of`.
@@ -146,7 +146,7 @@
             os.close(self._fd)
             if not isinstance(error, BlockingIOError):
                 raise
-            raise FolderBusy(f"{folder} is in use by process {holder or 'unknown'}") from None
+            raise DirectoryBusyError(f"{folder} is in use by process {holder or 'unknown'}") from None
         try:
             os.ftruncate(self._fd, 0)
             os.pwrite(self._fd, f"{os.getpid()}\n".encode(), 0)
--- a/saffronlane/storage/store.py
+++ b/saffronlane/storage/store.py
@@ -16,7 +16,7 @@
 from rpds import HashTrieMap
 
 from . import format as fmt
-from .errors import StoreFailed
+from .errors import StoreFailedError
 from .files import Files, Handle
 from .recovery import Recovery, recover
 
@@ -100,7 +100,7 @@
         self.state = fmt.applied(self.state, changes)
         self.sequence += 1
         if self.failed or self._segment is None:
-            raise StoreFailed("the store has failed and is not yet repaired")
+            raise StoreFailedError("the store has failed and is not yet repaired")
         try:
             if self.bytes + len(data) > self.limits.most:
                 raise OSError(f"{self.limits.most} bytes are taken")
@@ -144,10 +144,10 @@
 
     # --- inside ---
 
-    def _broken(self, error: OSError) -> StoreFailed:
+    def _broken(self, error: OSError) -> StoreFailedError:
         self.close()
         self._compaction = None
-        return StoreFailed(error.strerror or str(error))
+        return StoreFailedError(error.strerror or str(error))
 
     def _log_behind(self) -> int:
         newest = max(self._snapshots, default=0)
--- a/saffronlane/storage/writer.py
+++ b/saffronlane/storage/writer.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, replace
 
-from .errors import StoreFailed
+from .errors import StoreFailedError
 from .format import Change, Entry
 from .store import Store
 
@@ -143,7 +143,7 @@
         try:
             if not self._store.failed:
                 self._store.finish()
-        except StoreFailed as error:
+        except StoreFailedError as error:
             self._fell(error)
         self._store.close()
 
@@ -168,7 +168,7 @@
                 self._store.commit(changes)
             elif not askers:
                 self._store.work()
-        except StoreFailed as error:
+        except StoreFailedError as error:
             if kept:
                 self._fell(error)
             kept = False
@@ -176,7 +176,7 @@
             Exception
         ) as error:  # guards against a fault here ending the thread: askers would wait for ever
             self._store.close()
-            self._fell(StoreFailed(repr(error)))
+            self._fell(StoreFailedError(repr(error)))
             kept = False
         if kept and changes:
             now = self._clock()
@@ -196,7 +196,7 @@
             if self._status.failures and self._before_repair is not None:
                 self._before_repair()
             self._store.begin()
-        except (StoreFailed, OSError) as error:
+        except (StoreFailedError, OSError) as error:
             self._fell(error)
         else:
             if self._status.failures:
--- a/tests/test_folder.py
+++ b/tests/test_folder.py
@@ -77,10 +77,10 @@
     ask(house, 30)
     end(house)
     kept = k.decode(k.CLASS + b"lookup", read(folder).state[k.CLASS + b"lookup"])
-    assert isinstance(kept, k.ClassRecord) and kept.count == 30
+    assert isinstance(kept, k.ClassRecord) and kept.answer_count == 30
     house.daemon = begin(house)
     summary = house.daemon.dispatcher.checkpointer.summary
-    assert summary.exact and summary.classes["lookup"] > 10.0 and summary.engines == 2
+    assert summary.has_complete_ledgers and summary.classes["lookup"] > 10.0 and summary.engines == 2
     ask(house)
 
 
@@ -103,7 +103,7 @@
     change(house, "after")
     end(house)
     # What nobody could write at the time was written once it could be.
-    assert sum(key.startswith(k.SENT) for key in dict(read(folder).state.items())) == 3
+    assert sum(key.startswith(k.IDEMPOTENCY) for key in dict(read(folder).state.items())) == 3
     house.daemon = begin(house)
 
 
@@ -129,7 +129,7 @@
     house.until(lambda: folder.exists() and read(folder).found)
     working(house)
     names = {k.kind_of(key) for key in dict(read(folder).state.items())}
-    assert {k.CLASS, k.ENGINE, k.SENT, k.RUN} <= names
+    assert {k.CLASS, k.ENGINE, k.IDEMPOTENCY, k.RUN} <= names
     ask(house, 3)
 
 
@@ -232,7 +232,7 @@
     assert run("forget", folder, "classes")[0] == 0
     state = dict(read(folder).state.items())
     assert not [key for key in state if key.startswith(k.CLASS)] and [
-        key for key in state if key.startswith(k.SENT)
+        key for key in state if key.startswith(k.IDEMPOTENCY)
     ]
     assert run("forget", folder, "all")[0] == 0
     assert not len(read(folder).state)
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -20,7 +20,14 @@
 from saffronlane import interface as api
 from saffronlane.dispatch.recording import RecordingWriter, replay
 from saffronlane.interface import EngineState, Idempotency, Outcome
-from saffronlane.learned_state import Ledger, PersistedState, PurgeCategory, StateRestorer, Timestamp, between
+from saffronlane.learned_state import (
+    IdempotencyLedger,
+    PersistedState,
+    PurgeCategory,
+    StateRestorer,
+    Timestamp,
+    gap_between,
+)
 from saffronlane.learned_state import confidence as weigh
 from saffronlane.learned_state import records as k
 from saffronlane.learned_state.rebase import Rebase
@@ -66,7 +73,7 @@
         wall = at.wall_s + self.now - at.monotonic_s
         place = (self.settings.gateway_index, self.settings.gateway_count, clean)
         self.write(
-            [k.change(k.RUN, k.RunRecord(self.now, wall, at.boot_id, at.directory_id, "test", *place))]
+            [k.make_change(k.RUN, k.RunRecord(self.now, wall, at.boot_id, at.directory_id, "test", *place))]
         )
 
     def step(self, *inputs: d.Input, after: float = 0.0) -> list[d.Effect]:
@@ -192,7 +199,7 @@
     request = life.submit(idempotency_key=b"mine")
     life.done(request, Outcome.REJECTED)
     life.pass_time(1.0)
-    assert not [key for key in life.folder if key.startswith(k.SENT)]
+    assert not [key for key in life.folder if key.startswith(k.IDEMPOTENCY)]
     after = life.killed()
     after.engines()
     assert after.sends(after.submit(idempotency_key=b"mine"))
@@ -214,24 +221,29 @@
     for n in range(5):
         life.done(life.submit(idempotency_key=b"%d" % n))
     life.pass_time(1.0)
-    assert sum(key.startswith(k.SENT) for key in life.folder) == 5
+    assert sum(key.startswith(k.IDEMPOTENCY) for key in life.folder) == 5
     late = Life(life.settings, dict(life.folder), replace(HERE, monotonic_s=life.now + 100.0))
-    assert not [key for key in late.folder if key.startswith(k.SENT)]
+    assert not [key for key in late.folder if key.startswith(k.IDEMPOTENCY)]
     life.pass_time(100.0)
     life.submit()
     life.pass_time(1.0)
-    assert not [key for key in life.folder if key.startswith(k.SENT)]
+    assert not [key for key in life.folder if key.startswith(k.IDEMPOTENCY)]
 
 
 def test_requests_are_forgotten_in_time_and_in_number(monkeypatch):
-    monkeypatch.setattr("saffronlane.learned_state.ledger.MOST", 10)
-    ledger = Ledger()
+    monkeypatch.setattr("saffronlane.learned_state.ledger.MAX_ENTRIES", 10)
+    ledger = IdempotencyLedger()
     entry = api.EngineEntry(b"e", EngineState.READY)
     for n in range(50):
-        ledger.sent(b"%d" % n, KEYED, float(n), entry)
+        ledger.record_attempt(b"%d" % n, KEYED, float(n), entry)
     assert len(ledger) == 10
-    assert ledger.earlier(b"49", 49.0) is not None and ledger.earlier(b"20", 49.0) is None
-    assert ledger.earlier(b"49", 49.0 + KEYED.idempotency_ttl + weigh.REPEATS * KEYED.deadline) is None
+    assert ledger.previous_attempt(b"49", 49.0) is not None and ledger.previous_attempt(b"20", 49.0) is None
+    assert (
+        ledger.previous_attempt(
+            b"49", 49.0 + KEYED.idempotency_ttl + weigh.CLIENT_RETRY_DEADLINES * KEYED.deadline
+        )
+        is None
+    )
     assert len(ledger) == 0
 
 
@@ -416,8 +428,8 @@
         return life.effects.index(start), start
 
     for fields, key in (
-        ({"cls": 0, "idempotency_key": b"x"}, k.SENT + b"x"),
-        ({"cls": 1, "ordering_key": 9}, k.ORDER + (9).to_bytes(8, "big")),
+        ({"cls": 0, "idempotency_key": b"x"}, k.IDEMPOTENCY + b"x"),
+        ({"cls": 1, "ordering_key": 9}, k.ORDERING + (9).to_bytes(8, "big")),
     ):
         before = len(life.effects)
         at, start = step_of(life.submit(**fields))
@@ -429,7 +441,7 @@
     life.done(plain, Outcome.ERROR)
     at, start = step_of(plain, 1)
     keep = next(e for e in life.effects[before:at] if isinstance(e, d.Persist) and e.is_write_ahead)
-    assert start.durability_timeout > 0.0 and k.BUDGET in [c.key for c in keep.changes]
+    assert start.durability_timeout > 0.0 and k.RETRY_BUDGET in [c.key for c in keep.changes]
 
 
 def test_without_a_folder_nothing_waits():
@@ -440,7 +452,10 @@
     )
     effects = core.step(2.0, [d.Submit(core.new_request(), 0, 4.0, idempotency_key=b"x")])
     assert [e.durability_timeout for e in effects if isinstance(e, d.StartAttempt)] == [0.0]
-    assert not [e for e in effects if isinstance(e, d.Persist)] and core.checkpointer.next_look == math.inf
+    assert (
+        not [e for e in effects if isinstance(e, d.Persist)]
+        and core.checkpointer.next_checkpoint_at == math.inf
+    )
 
 
 # --- what was learned ---
@@ -459,9 +474,11 @@
     after = taught(0.05).killed()
     after.engines(4)
     assert after.core.gateway.workload_estimates.estimators[0].exec_time() == pytest.approx(0.05, rel=0.02)
-    assert after.core.checkpointer.summary.classes["short"] == pytest.approx(weigh.MASS_MOST, rel=0.01)
+    assert after.core.checkpointer.summary.classes["short"] == pytest.approx(
+        weigh.MAX_EFFECTIVE_SAMPLES, rel=0.01
+    )
     said = [e.text for e in after.effects if isinstance(e, api.Log)]
-    assert said == ["recalled 4 engines; classes: short as 16 answers"]
+    assert said == ["restored 4 engines; classes: short as 16 answers"]
 
 
 def test_knowledge_fades_as_it_ages():
@@ -476,29 +493,34 @@
 
 @given(st.floats(0.5, 33.0), st.lists(st.floats(0.0, 1e5), min_size=1, max_size=20))
 def test_ages_add_up_however_often_it_is_saved_and_loaded(mass, gaps):
-    stepwise = min(weigh.MASS_MOST, mass)
+    stepwise = min(weigh.MAX_EFFECTIVE_SAMPLES, mass)
     for gap in gaps:
-        stepwise = weigh.mass(stepwise, gap, 1.0)
-    assert stepwise == pytest.approx(weigh.mass(min(weigh.MASS_MOST, mass), sum(gaps), 1.0), rel=1e-6)
+        stepwise = weigh.effective_samples(stepwise, gap, 1.0)
+    assert stepwise == pytest.approx(
+        weigh.effective_samples(min(weigh.MAX_EFFECTIVE_SAMPLES, mass), sum(gaps), 1.0), rel=1e-6
+    )
 
 
 def test_a_restart_loop_neither_ages_nor_multiplies_what_is_known():
     life = taught(0.05)
-    before = weigh.MASS_MOST
+    before = weigh.MAX_EFFECTIVE_SAMPLES
     for _ in range(40):  # dies every two seconds, without an answer
         life = life.killed(gap=0.2)
         life.engines(4)
         life.pass_time(1.8)
     kept = k.decode(k.CLASS + b"short", life.folder[k.CLASS + b"short"])
-    assert kept.mass == pytest.approx(weigh.mass(before, 80.0, 1.0), rel=0.05)
-    assert kept.latency == pytest.approx(0.05, rel=0.02)
+    assert kept.effective_samples == pytest.approx(weigh.effective_samples(before, 80.0, 1.0), rel=0.05)
+    assert kept.latency_per_cost == pytest.approx(0.05, rel=0.02)
     for _ in range(40):  # one answer a life: as many answers as there were, the seeds never among them
         life = life.killed(gap=0.2)
         life.engines(4)
         life.done(life.submit(), elapsed=0.05, work=0.05)
         life.pass_time(1.8)
     kept = k.decode(k.CLASS + b"short", life.folder[k.CLASS + b"short"])
-    assert kept.mass <= weigh.MASS_MOST + 1.0 and kept.latency == pytest.approx(0.05, rel=0.02)
+    assert (
+        kept.effective_samples <= weigh.MAX_EFFECTIVE_SAMPLES + 1.0
+        and kept.latency_per_cost == pytest.approx(0.05, rel=0.02)
+    )
 
 
 @pytest.mark.parametrize("factor", [0.01, 0.1, 0.3, 3.0, 10.0, 100.0])
@@ -572,14 +594,21 @@
 
 def test_another_fleet_halves_what_classes_know_and_another_kind_ends_it():
     kinds = (api.MachineType("kind", 8.0, 16384.0), api.MachineType("big", 64.0, 16384.0))
-    for names, kind, expected in (("same", 0, 1.0), ("other", 0, weigh.OTHER_FLEET), ("other", 1, 0.0)):
+    for names, kind, expected in (
+        ("same", 0, 1.0),
+        ("other", 0, weigh.SAME_MACHINE_TYPES_WEIGHT),
+        ("other", 1, 0.0),
+    ):
         after = taught(machine_types=kinds).killed()
         base = 0 if names == "same" else 100
         after.list(
             *(api.EngineEntry(engine_id(base + n), EngineState.READY, machine_type=kind) for n in range(4))
         )
         mass = after.core.checkpointer.summary.classes.get("short", 0.0)
-        assert mass == pytest.approx(min(weigh.MASS_MOST, expected * 28.0), rel=0.05), (names, kind)
+        assert mass == pytest.approx(min(weigh.MAX_EFFECTIVE_SAMPLES, expected * 28.0), rel=0.05), (
+            names,
+            kind,
+        )
 
 
 def test_the_limit_of_a_jam_outlives_a_crash_and_fades():
@@ -645,7 +674,7 @@
 
 
 def test_old_illness_says_nothing():
-    after = ill_engine().killed(gap=weigh.HEALTH_MOST + 1.0)
+    after = ill_engine().killed(gap=weigh.MAX_HEALTH_AGE + 1.0)
     after.engines(4)
     assert not after.core.gateway.fleet.engines[engine_id(0)].is_ejected
 
@@ -657,7 +686,7 @@
     after.done(after.submit(), elapsed=0.05)
     after.pass_time(1.0)
     assert k.ENGINE + engine_id(3) in after.folder
-    later = after.killed(gap=weigh.ENGINE_MOST + 200.0)
+    later = after.killed(gap=weigh.MAX_UNLISTED_ENGINE_AGE + 200.0)
     later.list(api.EngineEntry(engine_id(0), EngineState.READY))
     later.done(later.submit(), elapsed=0.05)
     later.pass_time(1.0)
@@ -672,7 +701,7 @@
     life = taught()
     booted = life.killed(gap=3600.0, boot_id="next", monotonic_s=20.0)
     kept = k.decode(k.CLASS + b"short", booted.folder[k.CLASS + b"short"])
-    assert kept.at <= 20.0 - 3600.0 + 5.0
+    assert kept.updated_at <= 20.0 - 3600.0 + 5.0
     third = booted.killed(gap=0.5, boot_id="next")
     third.engines(4)
     assert third.core.checkpointer.summary.classes["short"] < 8.0  # an hour old, whichever boot is asked
@@ -683,14 +712,16 @@
     folder = dict(life.folder)
     folder[k.CLASS + b"long"] = Entry(1, b"\xc1 no msgpack")
     folder[k.ENGINE + engine_id(0)] = Entry(1, msgspec.msgpack.encode([1, 2]))
-    folder[k.BUDGET] = Entry(9, b"of the future")
+    folder[k.RETRY_BUDGET] = Entry(9, b"of the future")
     folder[b"z/unknown"] = Entry(1, b"")
     after = Life(life.settings, folder, replace(HERE, monotonic_s=life.now + 1.0))
     after.engines(4)
     assert after.core.gateway.workload_estimates.estimators[0].exec_time() == pytest.approx(0.05, rel=0.02)
     assert len(after.core.checkpointer.summary.notes) == 4
     after.pass_time(2.0)
-    assert folder[b"z/unknown"] == Entry(1, b"") and folder[k.BUDGET].version == 9  # left for who knows them
+    assert (
+        folder[b"z/unknown"] == Entry(1, b"") and folder[k.RETRY_BUDGET].version == 9
+    )  # left for who knows them
 
 
 NUMBERS = st.one_of(st.floats(), st.integers(-(2**63), 2**63), st.sampled_from([0.0, -1e12, 1e308]))
@@ -717,15 +748,15 @@
                 fields.append([(data.draw(NUMBERS), data.draw(st.integers(0, 3))) for _ in range(2)])
         return Entry(1, msgspec.msgpack.encode(fields))
 
-    mark = k.class_mark(make_settings(), make_settings().classes[0])
+    mark = k.class_settings_digest(make_settings(), make_settings().classes[0])
     folder = {
         k.RUN: value(k.RunRecord),
-        k.BUDGET: value(k.RetryBudgetRecord),
+        k.RETRY_BUDGET: value(k.RetryBudgetRecord),
         k.FLEET: value(k.FleetRecord),
-        k.TOLD: value(k.PeerLoadRecord),
+        k.PEER_LOAD: value(k.PeerLoadRecord),
         k.ENGINE + engine_id(0): value(k.EngineRecord),
-        k.SENT + b"x": value(k.IdempotencyRecord),
-        k.ORDER + bytes(8): value(k.OrderingRecord),
+        k.IDEMPOTENCY + b"x": value(k.IdempotencyRecord),
+        k.ORDERING + bytes(8): value(k.OrderingRecord),
     }
     figures = msgspec.msgpack.decode(value(k.ClassRecord).value)
     folder[k.CLASS + b"short"] = Entry(1, msgspec.msgpack.encode([mark, *figures[1:]]))
@@ -742,11 +773,11 @@
 @given(st.floats(0, 1e6), st.floats(-1e5, 1e5), st.booleans(), st.floats(0, 1e6))
 def test_a_gap_has_bounds_on_the_side_of_the_rules(mono, step, same, then):
     last, now = Timestamp(then, 1e9, "a", "p"), Timestamp(mono, 1e9 + step, "a" if same else "b", "p")
-    gap = between(last, now)
-    assert 0.0 <= gap.least <= gap.most
+    gap = gap_between(last, now)
+    assert 0.0 <= gap.min_seconds <= gap.max_seconds
     rebase = Rebase(gap)
     for time in (then, then - 100.0):
-        assert rebase.early(time) <= rebase.late(time) <= max(mono, mono + gap.least) + 1e-6
+        assert rebase.early(time) <= rebase.late(time) <= max(mono, mono + gap.min_seconds) + 1e-6
 
 
 # --- in one process ---
@@ -775,7 +806,7 @@
     life.done(waits, elapsed=0.05)
     life.pass_time(1.0)
     assert not [
-        key for key in life.folder if key.startswith(k.ORDER)
+        key for key in life.folder if key.startswith(k.ORDERING)
     ]  # nor does the folder keep what is over
 
 
@@ -834,7 +865,7 @@
     new.pass_time(0.5)
     assert not new.sends(again) and not new.sends(waits)
     assert core.gateway.workload_estimates.estimators[1].exec_time() == pytest.approx(0.05, rel=0.05)
-    assert {k.SENT + b"mine", k.CLASS + b"ordered"} <= set(new.folder)  # kept on, by the new one
+    assert {k.IDEMPOTENCY + b"mine", k.CLASS + b"ordered"} <= set(new.folder)  # kept on, by the new one
 
 
 def test_a_folder_of_every_older_version_is_read(tmp_path: Path):
@@ -848,7 +879,11 @@
         life = Life(settings, dict(found.state.items()), Timestamp(5000.5, 1.7e9 + 0.5, "boot", "place"))
         life.list(api.EngineEntry(engine_id(0), EngineState.READY))
         summary = life.core.checkpointer.summary
-        assert summary.notes == [] and summary.exact and summary.classes == {"short": weigh.MASS_MOST}
+        assert (
+            summary.notes == []
+            and summary.has_complete_ledgers
+            and summary.classes == {"short": weigh.MAX_EFFECTIVE_SAMPLES}
+        )
         assert (summary.engines, summary.requests, summary.orders) == (1, 1, 1)
         gateway = life.core.gateway
         assert (
@@ -865,15 +900,18 @@
     recall = StateRestorer(
         settings, PersistedState(tuple(life.folder.items()), replace(HERE, monotonic_s=life.now + 0.1))
     )
-    assert not recall.trust.exact and recall.trust.factor == weigh.OTHER_PLACE
+    assert (
+        not recall.confidence.has_complete_ledgers
+        and recall.confidence.weight == weigh.COPIED_DIRECTORY_WEIGHT
+    )
     assert "gateway 0 of 1" in recall.summary.notes[0]
 
 
 def test_seeds_give_way_to_knowledge_answer_by_answer():
     assert (
-        weigh.seeds(0.0) == SEED_ANSWERS
-        and weigh.seeds(1.5) == SEED_ANSWERS - 1.5
-        and weigh.seeds(9.0) == 0.0
+        weigh.remaining_seed_samples(0.0) == SEED_ANSWERS
+        and weigh.remaining_seed_samples(1.5) == SEED_ANSWERS - 1.5
+        and weigh.remaining_seed_samples(9.0) == 0.0
     )
 
 
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -19,12 +19,12 @@
 
 from saffronlane.storage import (
     Change,
+    DirectoryBusyError,
+    DirectoryLock,
     Entry,
-    FolderBusy,
-    FolderLock,
     RealFiles,
     Store,
-    StoreFailed,
+    StoreFailedError,
     StoreLimits,
     Writer,
     recover,
@@ -230,13 +230,13 @@
             try:
                 life.commit(store)
                 store.work()
-            except StoreFailed:
+            except StoreFailedError:
                 failed = True
                 break
         assert not life.lies, life.lies[:3]
         if not failed:
             break
-        with pytest.raises(StoreFailed):
+        with pytest.raises(StoreFailedError):
             life.commit(store)
         files.fail = lambda op, name: None
         store.repair()
@@ -358,18 +358,18 @@
 def test_a_store_past_its_bound_fails_rather_than_fills_the_disk():
     store = Store(ModelFiles(), StoreLimits(most=5_000))
     store.begin()
-    with pytest.raises(StoreFailed, match="5000 bytes"):
+    with pytest.raises(StoreFailedError, match="5000 bytes"):
         for n in range(100):
             store.commit([Change(b"k%d" % n, Entry(1, bytes(200)))])
 
 
 def test_one_folder_is_used_by_one_at_a_time(tmp_path):
-    first = FolderLock(tmp_path)
-    with pytest.raises(FolderBusy, match=str(os.getpid())):
-        FolderLock(tmp_path)
+    first = DirectoryLock(tmp_path)
+    with pytest.raises(DirectoryBusyError, match=str(os.getpid())):
+        DirectoryLock(tmp_path)
     place = first.place
     first.release()
-    again = FolderLock(tmp_path)
+    again = DirectoryLock(tmp_path)
     assert again.place == place  # the same folder, not a copy
     again.release()
 
