--- a/benchmarks/keeping.py
+++ b/benchmarks/keeping.py
@@ -84,7 +84,7 @@
     for part in range(megabytes):
         values = [Change(b"%d.%d" % (part, n), Entry(1, draw.randbytes(1000))) for n in range(1000)]
         store.commit(values)
-        store.work()
+        store.compact_step()
     store.close()
     began = time.monotonic()
     fresh = Store(RealFiles(folder))
--- a/saffronlane/cli/learned_state.py
+++ b/saffronlane/cli/learned_state.py
@@ -20,9 +20,9 @@
 from ..learned_state.clock import gap_between
 from ..learned_state.errors import UnreadableRecordError
 from ..learned_state.purge import PurgeCategory, purge_entries
-from ..state_directory import FORGET, boot_id
+from ..state_directory import PURGE_REQUEST_NAME, boot_id
 from ..storage import DirectoryBusyError, DirectoryLock, RealFiles, Recovery, Store, StoreFailedError, recover
-from ..storage.files import LOCK_NAME, place_of
+from ..storage.files import LOCK_NAME, directory_id_of
 
 FOLDER = click.Path(file_okay=False, exists=True, path_type=Path)
 ANSWER = 5.0  # seconds that a running gateway has to take a request
@@ -74,7 +74,7 @@
 
 def _now(folder: Path) -> Timestamp:
     try:
-        place = place_of((folder / LOCK_NAME).stat())
+        place = directory_id_of((folder / LOCK_NAME).stat())
     except OSError:
         place = ""
     return Timestamp(time.monotonic(), time.time(), boot_id(), place)
@@ -91,7 +91,7 @@
         "entries": len(found.state),
         "bytes": sum(found.sizes.values()),
         "dropped": found.dropped + problems,
-        "newer": found.newer,
+        "newer": found.newer_files,
     }
     run = values.get(k.RUN)
     if isinstance(run, k.RunRecord):
@@ -127,16 +127,26 @@
     for key, value in values.items():
         if isinstance(value, k.ClassRecord):
             since = age + (run.monotonic_s - value.updated_at if isinstance(run, k.RunRecord) else 0.0)
-            worth = weigh.effective_samples(value.effective_samples, since, 1.0)
-            click.echo(
-                f"{k.name_of(key)}: {value.effective_samples:.1f} answers, {worth:.1f} by now; "
-                f"latency {value.latency_per_cost:.4g} s, work {value.work_per_cost:.4g} s a unit of cost {value.mean_estimated_cost:.4g}"
-            )
+            click.echo(f"{k.name_of(key)}: {_describe_class(value, since)}")
         elif isinstance(value, k.EngineRecord):
-            state = "silent" if value.is_unresponsive else "ill" if value.is_ejected else "well"
-            click.echo(
-                f"{k.name_of(key)}: {state}, failures {value.failure_ratio:.2f}, {len(value.recent_dispatches)} sent while cold"
-            )
+            click.echo(f"{k.name_of(key)}: {_describe_engine(value)}")
+
+
+def _describe_class(record: k.ClassRecord, age: float) -> str:
+    """Return a line of `show` on a class whose last answer is so many seconds old."""
+    samples = weigh.effective_samples(record.effective_samples, age, 1.0)
+    return (
+        f"{record.effective_samples:.1f} answers, {samples:.1f} by now; "
+        f"latency {record.latency_per_cost:.4g} s, work {record.work_per_cost:.4g} s "
+        f"a unit of cost {record.mean_estimated_cost:.4g}"
+    )
+
+
+def _describe_engine(record: k.EngineRecord) -> str:
+    """Return a line of `show` on an engine."""
+    state = "silent" if record.is_unresponsive else "ill" if record.is_ejected else "well"
+    dispatches = len(record.recent_dispatches)
+    return f"{state}, failures {record.failure_ratio:.2f}, {dispatches} sent while cold"
 
 
 @knowledge.command()
@@ -149,7 +159,7 @@
     for text in [
         *found.dropped,
         *problems,
-        *(f"{name}: of a newer version, left alone" for name in found.newer),
+        *(f"{name}: of a newer version, left alone" for name in found.newer_files),
     ]:
         click.echo(text)
     if settings is not None:
@@ -201,8 +211,8 @@
         store.begin()
         if changes:
             store.commit(changes)
-        store.finish()  # twice: the generation before it goes too
-        store.finish()
+        store.write_final_snapshot()  # twice: the generation before it goes too
+        store.write_final_snapshot()
     except (OSError, StoreFailedError) as error:
         click.echo(f"{folder}: {error}", err=True)
         sys.exit(2)
@@ -215,8 +225,8 @@
     if PurgeCategory.ALL in chosen:
         click.echo(f"{busy}; rules stand on its ledgers, so stop it first to forget all", err=True)
         sys.exit(2)
-    request = folder / FORGET
-    fresh = folder / f"{FORGET}.new"
+    request = folder / PURGE_REQUEST_NAME
+    fresh = folder / f"{PURGE_REQUEST_NAME}.new"
     fresh.write_text(json.dumps([w.value for w in chosen]))
     os.replace(fresh, request)
     end = time.monotonic() + ANSWER
--- a/saffronlane/daemon.py
+++ b/saffronlane/daemon.py
@@ -24,7 +24,7 @@
 from .interface import PeerMessage
 from .members import FileSource, View
 from .rpc import Server
-from .state_directory import Folder
+from .state_directory import StateDirectory
 
 log = structlog.get_logger()
 LAST_WORDS = 1.0  # seconds that answers already given have to reach their clients at the end
@@ -37,8 +37,8 @@
         self.config = config
         seed = config.seed if config.seed is not None else secrets.randbits(32)
         self._loop = asyncio.get_running_loop()
-        self.folder = None if config.knowledge is None else Folder(config, self._loop)
-        memory = self.folder.memory if self.folder is not None else None
+        self.folder = None if config.knowledge is None else StateDirectory(config, self._loop)
+        memory = self.folder.restored_state if self.folder is not None else None
         self._record: BinaryIO | None = None
         recording = None
         if config.record is not None:
@@ -67,7 +67,7 @@
             self.dispatcher,
             self.links,
             self.peers.send if self.peers is not None else None,
-            self.folder.keep if self.folder is not None else None,
+            self.folder.persist if self.folder is not None else None,
         )
         self.front = FlightFront(config, self.executor, self.links)
         self.server = Server(self.front.handlers, http, config.max_connections, config.max_message)
@@ -93,9 +93,9 @@
     def start(self, sockets: list[socket.socket] | None = None) -> None:
         """Listen. OSError where the address cannot be had."""
         if self.folder is not None:
-            self.folder.unsaved = lambda: self.executor.unsaved
+            self.folder.unsaved_count = lambda: self.executor.unsaved
             self.folder.on_attach = lambda memory: self.executor.feed(d.AttachLearnedState(memory))
-            self.folder.on_forget = lambda what: self.executor.feed(d.PurgeLearnedState(what))
+            self.folder.on_purge = lambda what: self.executor.feed(d.PurgeLearnedState(what))
             self.folder.start(self.dispatcher)
         if not self.source.look():
             log.warning("no engine list yet", file=str(self.config.engine_file))
--- a/saffronlane/learned_state/checkpointer.py
+++ b/saffronlane/learned_state/checkpointer.py
@@ -17,16 +17,15 @@
 from .ledger import IdempotencyLedger
 from .persisted_state import PersistedState, RestoreSummary
 from .purge import PurgeCategory, purge_gateway
+from .record_collector import RecordCollector
 from .restore import StateRestorer
-from .validation import EstimateValidator, LogDeviation
+from .validation import EstimateValidator
 from .written_entries import WrittenEntries
 
 CHECKPOINT_INTERVAL = 0.5  # seconds
 DURABILITY_TIMEOUT = (
     0.25  # seconds that an attempt waits for a disk that hangs, before it leaves all the same
 )
-LAST_LISTED_RESOLUTION = 60.0  # seconds
-MIN_TIME = 1e-6  # seconds
 RESTART_NAME = "here"  # stands for boot and directory where a gateway restarts within its process
 
 
@@ -51,11 +50,10 @@
         self._written = WrittenEntries()
         if state is not None and is_enabled:
             self._written = WrittenEntries.of_state(state)
-        self._log_deviations = [LogDeviation() for _ in settings.classes]
+        self._collector = RecordCollector(settings, self.ledger)
         self._protected_keys: frozenset[bytes] = frozenset()
         if self._restorer is not None:
             self._protected_keys = self._restorer.newer_version_keys
-        self._written_answer_counts: dict[str, int] = {}  # by settings digest
         self._next_checkpoint_at = -math.inf
         self._has_changes = False
         self._purged_keys: list[bytes] = []
@@ -104,7 +102,7 @@
         self._written = WrittenEntries.of_state(state)
         restorer.attach(gateway, self.ledger)
         self._begin_validation(restorer)
-        self._written_answer_counts.clear()
+        self._collector.reset_classes()
         self.ledger.changed.update(dict.fromkeys(self.ledger.identities()))
         return self._update_written({**restorer.rebased_records, **self._current_records(gateway)})
 
@@ -121,7 +119,7 @@
         purge_gateway(gateway, categories)
         if PurgeCategory.CLASSES in categories:
             self.validator = EstimateValidator()
-            self._written_answer_counts = {}
+            self._collector.reset_classes()
             if self._restorer is not None:
                 self._restorer.sample_sizes.clear()
             self._purged_keys = self._written.keys_of(records.CLASS)
@@ -166,8 +164,7 @@
         Returns:
             A line for the log if it made a restored estimate invalid, else an empty string.
         """
-        measured = work if work > 0.0 else elapsed
-        self._log_deviations[class_index].add(math.log(max(MIN_TIME, measured) / (cost or 1.0)))
+        self._collector.record_answer(class_index, cost, elapsed, work)
         if not self.validator.active_count:
             return ""
         estimator = gateway.workload_estimates.estimators[class_index]
@@ -204,7 +201,7 @@
 
     def write_ahead_changes(self, gateway: Gateway, keys: Iterable[bytes]) -> list[Change]:
         """Return the changes for the keys that `write_ahead_keys` returned."""
-        return self._update_written({key: self._write_ahead_record(gateway, key) for key in keys})
+        return self._update_written({key: self._collector.write_ahead_record(gateway, key) for key in keys})
 
     def mark_changed(self) -> None:
         """Note that the next checkpoint may find changes."""
@@ -248,39 +245,9 @@
         """Return the records that may have changed; None for those to be removed."""
         found: dict[bytes, records.Record | None] = dict.fromkeys(self._purged_keys)
         self._purged_keys = []
-        found |= self._class_records(gateway, with_unchanged_classes)
-        found |= self._engine_records(gateway)
-        found[records.RETRY_BUDGET] = export.retry_budget_record(gateway)
-        found[records.FLEET] = export.fleet_record(gateway)
-        found[records.PEER_LOAD] = export.peer_load_record(gateway)
-        for ordering_key, ordering in export.ordering_records(gateway).items():
-            found[records.ORDERING + ordering_key] = ordering
-        for identity in self.ledger.changed:
-            found[records.IDEMPOTENCY + identity] = self.ledger.get(identity)
-        self.ledger.changed.clear()
+        found |= self._collector.collect(gateway, self._restorer, with_unchanged_classes)
         return found | dict.fromkeys(self._obsolete_keys(found))
 
-    def _class_records(self, gateway: Gateway, with_unchanged: bool) -> dict[bytes, records.ClassRecord]:
-        restored_samples = self._restorer.sample_sizes if self._restorer is not None else {}
-        found = {}
-        for name, record in export.class_records(gateway, restored_samples, self._deviations()).items():
-            digest = record.settings_digest
-            if with_unchanged or self._written_answer_counts.get(digest) != record.answer_count:
-                self._written_answer_counts[digest] = record.answer_count
-                found[records.CLASS + name] = record
-        return found
-
-    def _engine_records(self, gateway: Gateway) -> dict[bytes, records.EngineRecord]:
-        found = {}
-        last_listed_at = _last_listed_at(gateway)
-        for engine in gateway.fleet.engines.values():
-            if engine.state is not api.EngineState.REMOVED:
-                found[records.ENGINE + engine.id] = export.engine_record(gateway, engine, last_listed_at)
-        if self._restorer is not None:
-            for identity, record in self._restorer.unlisted_engines().items():
-                found[records.ENGINE + identity] = record
-        return found
-
     def _obsolete_keys(self, found: dict[bytes, records.Record | None]) -> list[bytes]:
         """Return transient keys without a record. Before the first endpoint list, engines stay."""
         return [
@@ -288,30 +255,3 @@
             for key in self._written.transient_keys()
             if key not in found and (self._has_endpoints or records.kind_of(key) == records.ORDERING)
         ]
-
-    def _deviations(self) -> list[float]:
-        """Return the log deviation of each class; the restored one until enough is known."""
-        found = []
-        for class_settings, tracker in zip(self.settings.classes, self._log_deviations, strict=True):
-            restored = (
-                self._restorer.class_record(class_settings.name) if self._restorer is not None else None
-            )
-            default = restored.log_deviation if restored is not None else 0.0
-            found.append(tracker.deviation or default)
-        return found
-
-    def _write_ahead_record(self, gateway: Gateway, key: bytes) -> records.Record | None:
-        kind = records.kind_of(key)
-        identity = records.identity_of(key)
-        if kind == records.IDEMPOTENCY:
-            return self.ledger.get(identity)
-        if kind == records.ORDERING:
-            return records.OrderingRecord(True, 0.0)
-        if kind == records.ENGINE:
-            return export.engine_record(gateway, gateway.fleet.engines[identity], _last_listed_at(gateway))
-        return export.retry_budget_record(gateway)
-
-
-def _last_listed_at(gateway: Gateway) -> float:
-    """Return now, rounded down so that engine records don't change all the time."""
-    return math.floor(gateway.batch.now / LAST_LISTED_RESOLUTION) * LAST_LISTED_RESOLUTION
--- a/saffronlane/state_directory.py
+++ b/saffronlane/state_directory.py
@@ -32,23 +32,23 @@
 )
 
 log = structlog.get_logger()
-AGAIN = 1.0  # seconds between tries of a folder that is not free
-SIGN = 1.0  # seconds between two signs of life
-REPORT = 60.0  # seconds between two reports in the log
-LAST_COMMIT = 2.0  # seconds that the end of the process waits for its last commit
-FORGET = "forget"  # file by which an operator asks a running gateway
-BOOT_ID = Path("/proc/sys/kernel/random/boot_id")  # random(4)
+RETRY_INTERVAL = 1.0  # seconds between tries of a folder that is not free
+HEARTBEAT_INTERVAL = 1.0  # seconds between two signs of life
+REPORT_INTERVAL = 60.0  # seconds between two reports in the log
+STOP_TIMEOUT = 2.0  # seconds that the end of the process waits for its last commit
+PURGE_REQUEST_NAME = "forget"  # file by which an operator asks a running gateway
+BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")  # random(4)
 
 
 def boot_id() -> str:
     """Names this boot of the machine; empty where the system does not tell."""
     try:
-        return BOOT_ID.read_text().strip()
+        return BOOT_ID_PATH.read_text().strip()
     except OSError:
         return ""
 
 
-class Folder:
+class StateDirectory:
     """One folder of one gateway. Whatever is wrong with it, the gateway goes on without, and says so.
 
     Attributes:
@@ -68,20 +68,20 @@
         self._files: RealFiles | None = None
         self._writer: Writer | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self.on_forget: Callable[[tuple[PurgeCategory, ...]], None] | None = None
+        self.on_purge: Callable[[tuple[PurgeCategory, ...]], None] | None = None
         self.on_attach: Callable[[PersistedState], None] | None = None
-        self.unsaved: Callable[[], int] = lambda: 0
-        self.memory: PersistedState | None = None
+        self.unsaved_count: Callable[[], int] = lambda: 0
+        self.restored_state: PersistedState | None = None
         self._settled: deque[tuple[asyncio.Future[bool], bool]] = deque()
         self._settling = False
         self._begun = False  # the first commit has been given to the writer
-        self._report_at = loop.time() + REPORT
+        self._report_at = loop.time() + REPORT_INTERVAL
         self._try()
 
     def _try(self) -> None:
         """Take the folder in use if it is free."""
         try:
-            self.memory = PersistedState(self._open(), self._moment())
+            self.restored_state = PersistedState(self._open(), self._moment())
         except (OSError, DirectoryBusyError) as error:
             if str(error) != self._why:
                 log.error("knowledge is not kept", folder=str(self.path), **told(error))
@@ -91,21 +91,21 @@
     def _try_again(self) -> None:
         """Another process had the folder, as in a restart that overlaps, or it could not be read."""
         self._try()
-        if self.memory is None:
-            self._timer = self._loop.call_later(AGAIN, self._try_again)
+        if self.restored_state is None:
+            self._timer = self._loop.call_later(RETRY_INTERVAL, self._try_again)
         elif self.on_attach is not None:
-            self.on_attach(self.memory)
+            self.on_attach(self.restored_state)
 
     def _open(self) -> tuple[tuple[bytes, Entry], ...]:
         began = time.monotonic()
         self._lock = DirectoryLock(self.path)
         self._files = RealFiles(self.path)
-        store = Store(self._files, StoreLimits(most=self._config.knowledge_most))
+        store = Store(self._files, StoreLimits(max_total_bytes=self._config.knowledge_most))
         found = store.load()
         for text in found.dropped:
             log.warning("knowledge left out", folder=str(self.path), what=text)
-        if found.newer:
-            log.warning("knowledge of a newer version is left alone", files=found.newer)
+        if found.newer_files:
+            log.warning("knowledge of a newer version is left alone", files=found.newer_files)
         self._writer = Writer(store, self._tell, before_repair=self._reopen, each_turn=self._look)
         log.info(
             "knowledge read",
@@ -130,9 +130,9 @@
 
     def _look(self) -> None:
         """Whether the folder is still there, and an operator left a request. On the writer's thread."""
-        if self._files is not None and self._files.moved():
+        if self._files is not None and self._files.has_moved():
             raise FileNotFoundError(errno.ENOENT, "the folder has vanished")
-        request = self.path / FORGET
+        request = self.path / PURGE_REQUEST_NAME
         with contextlib.suppress(OSError):
             if request.exists():
                 self._take(request)
@@ -146,16 +146,16 @@
         request.unlink()
         if PurgeCategory.ALL in what:
             log.error("ledgers of a running gateway are not forgotten", file=str(request))
-        elif what and self.on_forget is not None:
+        elif what and self.on_purge is not None:
             log.warning("an operator has knowledge forgotten", what=[w.value for w in what])
             with contextlib.suppress(RuntimeError):
-                self._loop.call_soon_threadsafe(self.on_forget, what)
+                self._loop.call_soon_threadsafe(self.on_purge, what)
 
     def _tell(self, text: str) -> None:
         log.error(text, folder=str(self.path))
 
     def _moment(self) -> Timestamp:
-        place = self._lock.place if self._lock is not None else ""
+        place = self._lock.directory_id if self._lock is not None else ""
         return Timestamp(self._loop.time(), time.time(), self._boot, place)
 
     def _sign(self, clean: bool = False) -> Change:
@@ -175,16 +175,18 @@
     @property
     def status(self) -> WriterStatus:
         return (
-            self._writer.status if self._writer is not None else WriterStatus(why="the folder is not in use")
+            self._writer.status
+            if self._writer is not None
+            else WriterStatus(failure_reason="the folder is not in use")
         )
 
     def start(self, dispatcher: Dispatcher) -> None:
         """Begin to write: all that was recalled, on this run's clock, in one commit with its first sign."""
         summary = dispatcher.checkpointer.summary
-        if self.memory is None:
-            self._timer = self._loop.call_later(AGAIN, self._try_again)
+        if self.restored_state is None:
+            self._timer = self._loop.call_later(RETRY_INTERVAL, self._try_again)
             return
-        if self.memory.entries:
+        if self.restored_state.entries:
             log.info(
                 "knowledge recalled",
                 age_s=round(summary.age, 3),
@@ -194,14 +196,14 @@
             )
         for note in summary.notes:
             log.warning("knowledge", note=note)
-        self.keep(tuple(dispatcher.first_changes), ahead=False)
+        self.persist(tuple(dispatcher.first_changes), ahead=False)
 
     def _beat(self) -> None:
         assert self._writer is not None
         self._writer.put([self._sign()])
-        self._timer = self._loop.call_later(SIGN, self._beat)
+        self._timer = self._loop.call_later(HEARTBEAT_INTERVAL, self._beat)
         if self._loop.time() >= self._report_at:
-            self._report_at = self._loop.time() + REPORT
+            self._report_at = self._loop.time() + REPORT_INTERVAL
             self.report()
 
     def report(self) -> None:
@@ -209,19 +211,19 @@
         status = self.status
         log.info(
             "knowledge kept",
-            working=status.working,
-            why=status.why,
-            since_sync_s=round(self._loop.time() - status.last_sync, 3),
-            sync_ms=round(status.sync_time * 1000.0, 2),
+            working=status.is_working,
+            why=status.failure_reason,
+            since_sync_s=round(self._loop.time() - status.last_sync_at, 3),
+            sync_ms=round(status.sync_duration * 1000.0, 2),
             commits=status.commits,
             failures=status.failures,
-            lost=status.lost,
-            unsaved=self.unsaved(),
+            lost=status.lost_changes,
+            unsaved=self.unsaved_count(),
             bytes=status.bytes,
             entries=status.entries,
         )
 
-    def keep(self, changes: tuple[Change, ...], ahead: bool) -> asyncio.Future[bool] | None:
+    def persist(self, changes: tuple[Change, ...], ahead: bool) -> asyncio.Future[bool] | None:
         """Write these; with `ahead`, at once, and the future tells whether they are durable."""
         if self._writer is None:
             return None
@@ -229,7 +231,7 @@
             self._begun = True
             self._writer.put([*changes, self._sign()])
             self._writer.start()
-            self._timer = self._loop.call_later(SIGN, self._beat)
+            self._timer = self._loop.call_later(HEARTBEAT_INTERVAL, self._beat)
             changes = ()
         if not ahead:
             self._writer.put(changes)
@@ -260,7 +262,7 @@
             self._timer.cancel()
         if self._writer is not None and self._begun:
             self._writer.put([*dispatcher.unwritten_changes(), self._sign(clean=True)])
-            if not self._writer.stop(LAST_COMMIT):
+            if not self._writer.stop(STOP_TIMEOUT):
                 log.error("the last of what was known is not kept: the disk hangs", folder=str(self.path))
             self.report()
             self._writer = None
--- a/saffronlane/storage/errors.py
+++ b/saffronlane/storage/errors.py
@@ -11,7 +11,7 @@
     remedy = "End the process that has the folder, or give this gateway a folder of its own."
 
 
-class Damaged(SaffronlaneError):
+class DamagedFileError(SaffronlaneError):
     """The bytes are not what the format says; the text names the place."""
 
     remedy = (
--- a/saffronlane/storage/files.py
+++ b/saffronlane/storage/files.py
@@ -77,7 +77,7 @@
     def _open(self) -> int:
         return os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
 
-    def moved(self) -> bool:
+    def has_moved(self) -> bool:
         """Whether the path does not name this folder any more: what is written now, nobody would find."""
         try:
             return not os.path.samestat(os.stat(self.folder), os.fstat(self._fd))
@@ -125,7 +125,7 @@
             os.close(fd)
 
 
-def place_of(lock: os.stat_result) -> str:
+def directory_id_of(lock: os.stat_result) -> str:
     """Names a folder by its lock's own file: one that was copied or restored has another."""
     return f"{lock.st_dev:x}.{lock.st_ino:x}"
 
@@ -152,7 +152,7 @@
             os.pwrite(self._fd, f"{os.getpid()}\n".encode(), 0)
         except OSError:
             pass  # a full disk: the lock holds all the same, only its holder is not named
-        self.place = place_of(os.fstat(self._fd))
+        self.directory_id = directory_id_of(os.fstat(self._fd))
 
     def release(self) -> None:
         if self._fd >= 0:
--- a/saffronlane/storage/format.py
+++ b/saffronlane/storage/format.py
@@ -16,14 +16,14 @@
 import google_crc32c
 from rpds import HashTrieMap
 
-from .errors import Damaged
+from .errors import DamagedFileError
 
 MAGIC = b"SFLKEEP\n"
 FORMAT = 1
 LOG, SNAPSHOT = 1, 2  # kinds of file
 BATCH, ENTRIES, END = 1, 2, 3  # types of record
-MOST_PAYLOAD = 16_777_216  # bytes; a length beyond it is damage, not data
-GONE = 0xFFFF_FFFF  # in place of a value's length: the key was removed
+MAX_PAYLOAD = 16_777_216  # bytes; a length beyond it is damage, not data
+REMOVED = 0xFFFF_FFFF  # in place of a value's length: the key was removed
 
 _HEADER = struct.Struct(">8sHHQI")  # magic, format, kind, sequence, CRC of what is before it
 _RECORD = struct.Struct(">IIQHH")  # length of the payload, CRC, sequence, type, version of the record
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Name:
+class FileName:
     """What a file's name says of it."""
 
     kind: int
@@ -61,11 +61,11 @@
         return f"{'log' if self.kind == LOG else 'snap'}-v{self.format}-{self.sequence:016x}"
 
     @staticmethod
-    def parse(text: str) -> Name | None:
+    def parse(text: str) -> FileName | None:
         found = _NAME.fullmatch(text)
         if found is None:
             return None
-        return Name(LOG if found[1] == "log" else SNAPSHOT, int(found[2]), int(found[3], 16))
+        return FileName(LOG if found[1] == "log" else SNAPSHOT, int(found[2]), int(found[3], 16))
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,18 +77,18 @@
 
 
 @dataclass(slots=True)
-class Parsed:
+class ParsedFile:
     """A file as far as it is good: its records, the bytes that they take, and why reading stopped."""
 
     format: int
     kind: int
     sequence: int
     records: list[Record] = field(default_factory=list)
-    good: int = 0
+    valid_bytes: int = 0
     problem: str = ""
 
 
-def header(kind: int, sequence: int) -> bytes:
+def encode_header(kind: int, sequence: int) -> bytes:
     start = _HEADER.pack(MAGIC, FORMAT, kind, sequence, 0)[:-4]
     return start + struct.pack(">I", google_crc32c.value(start))
 
@@ -98,24 +98,24 @@
     return int(google_crc32c.extend(google_crc32c.value(head), payload))
 
 
-def record(sequence: int, type_: int, payload: bytes, version: int = 1) -> bytes:
+def encode_record(sequence: int, type_: int, payload: bytes, version: int = 1) -> bytes:
     """ValueError if the payload is longer than MOST_PAYLOAD."""
-    if len(payload) > MOST_PAYLOAD:
-        raise ValueError(f"{len(payload)} bytes in one record, {MOST_PAYLOAD} at most")
+    if len(payload) > MAX_PAYLOAD:
+        raise ValueError(f"{len(payload)} bytes in one record, {MAX_PAYLOAD} at most")
     crc = _checksum(payload, sequence, type_, version)
     return _RECORD.pack(len(payload), crc, sequence, type_, version) + payload
 
 
-def parse(data: bytes) -> Parsed:
+def parse_file(data: bytes) -> ParsedFile:
     """Read a file up to the first byte that is not good. Damaged if not even the header is."""
     if len(data) < HEADER_SIZE:
-        raise Damaged(f"{len(data)} bytes, fewer than a header has")
+        raise DamagedFileError(f"{len(data)} bytes, fewer than a header has")
     magic, version, kind, sequence, crc = _HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise Damaged("not a file of this store")
+        raise DamagedFileError("not a file of this store")
     if crc != google_crc32c.value(data[: HEADER_SIZE - 4]):
-        raise Damaged("the header's checksum is wrong")
-    found = Parsed(version, kind, sequence, good=HEADER_SIZE)
+        raise DamagedFileError("the header's checksum is wrong")
+    found = ParsedFile(version, kind, sequence, valid_bytes=HEADER_SIZE)
     if version > FORMAT:
         found.problem = f"format {version} is newer than {FORMAT}"
         return found
@@ -126,7 +126,7 @@
             break
         length, crc, number, type_, layout = _RECORD.unpack_from(data, at)
         end = at + RECORD_SIZE + length
-        if length > MOST_PAYLOAD or end > len(data):
+        if length > MAX_PAYLOAD or end > len(data):
             found.problem = f"byte {at}: a record of {length} bytes passes the end of the file"
             break
         payload = data[at + RECORD_SIZE : end]
@@ -134,7 +134,7 @@
             found.problem = f"byte {at}: a record's checksum is wrong"
             break
         found.records.append(Record(number, type_, layout, payload))
-        at = found.good = end
+        at = found.valid_bytes = end
     return found
 
 
@@ -144,7 +144,7 @@
     for key, entry in changes:
         if not 0 < len(key) < 65_536:
             raise ValueError(f"a key of {len(key)} bytes")
-        version, length = (0, GONE) if entry is None else (entry.version, len(entry.value))
+        version, length = (0, REMOVED) if entry is None else (entry.version, len(entry.value))
         parts += (_CHANGE.pack(len(key), version, length), key, b"" if entry is None else entry.value)
     return b"".join(parts)
 
@@ -154,19 +154,19 @@
     at = 0
     while at < len(payload):
         if at + _CHANGE.size > len(payload):
-            raise Damaged(f"a change's head breaks off at byte {at} of its record")
+            raise DamagedFileError(f"a change's head breaks off at byte {at} of its record")
         key_size, version, size = _CHANGE.unpack_from(payload, at)
         at += _CHANGE.size
-        value_size = 0 if size == GONE else size
+        value_size = 0 if size == REMOVED else size
         end = at + key_size + value_size
         if end > len(payload):
-            raise Damaged(f"a change at byte {at} passes the end of its record")
+            raise DamagedFileError(f"a change at byte {at} passes the end of its record")
         key = payload[at : at + key_size]
-        yield Change(key, None if size == GONE else Entry(version, payload[at + key_size : end]))
+        yield Change(key, None if size == REMOVED else Entry(version, payload[at + key_size : end]))
         at = end
 
 
-def applied(state: StoredMap, changes: Iterable[Change]) -> StoredMap:
+def apply_changes(state: StoredMap, changes: Iterable[Change]) -> StoredMap:
     for key, entry in changes:
         state = state.discard(key) if entry is None else state.insert(key, entry)
     return state
--- a/saffronlane/storage/recovery.py
+++ b/saffronlane/storage/recovery.py
@@ -11,10 +11,10 @@
 from rpds import HashTrieMap
 
 from . import format as fmt
-from .errors import Damaged
+from .errors import DamagedFileError
 from .files import Files
 
-TRIES = 4  # a live folder may be compacted while it is read
+MAX_ATTEMPTS = 4  # a live folder may be compacted while it is read
 
 
 @dataclass(slots=True)
@@ -33,16 +33,16 @@
 
     state: fmt.StoredMap = field(default_factory=HashTrieMap)
     sequence: int = 0
-    highest: int = 0
+    highest_sequence: int = 0
     dropped: list[str] = field(default_factory=list)
-    newer: list[str] = field(default_factory=list)
-    sizes: dict[fmt.Name, int] = field(default_factory=dict)
-    found: bool = False
+    newer_files: list[str] = field(default_factory=list)
+    sizes: dict[fmt.FileName, int] = field(default_factory=dict)
+    has_snapshot: bool = False
 
 
 def recover(files: Files) -> Recovery:
     """Read what is there. OSError where the folder itself cannot be read; a bad file is only dropped."""
-    for _ in range(TRIES):
+    for _ in range(MAX_ATTEMPTS):
         try:
             return _Reader(files).read()
         except FileNotFoundError:
@@ -57,9 +57,9 @@
 
     def read(self) -> Recovery:
         out = self._out
-        names = [n for text in self._files.names() if (n := fmt.Name.parse(text)) is not None]
-        out.highest = max((n.sequence for n in names), default=0)
-        out.newer = sorted(str(n) for n in names if n.format > fmt.FORMAT)
+        names = [n for text in self._files.names() if (n := fmt.FileName.parse(text)) is not None]
+        out.highest_sequence = max((n.sequence for n in names), default=0)
+        out.newer_files = sorted(str(n) for n in names if n.format > fmt.FORMAT)
         ours = [n for n in names if n.format <= fmt.FORMAT]
         snapshots = sorted((n for n in ours if n.kind == fmt.SNAPSHOT), key=lambda n: -n.sequence)
         for name in snapshots:
@@ -67,7 +67,7 @@
                 break
         logs = sorted((n for n in ours if n.kind == fmt.LOG), key=lambda n: n.sequence)
         for name in logs:
-            if not out.found:
+            if not out.has_snapshot:
                 out.dropped.append(f"{name}: no whole snapshot to build on")
             elif name.sequence > out.sequence + 1:
                 out.dropped.append(f"{name}: begins at {name.sequence}, {out.sequence + 1} is missing")
@@ -76,7 +76,7 @@
                 self._take_log(name)
         return out
 
-    def _parse(self, name: fmt.Name) -> fmt.Parsed | None:
+    def _parse(self, name: fmt.FileName) -> fmt.ParsedFile | None:
         try:
             data = self._files.read(str(name))
         except FileNotFoundError:
@@ -88,22 +88,22 @@
             return None
         self._out.sizes[name] = len(data)
         try:
-            parsed = fmt.parse(data)
-        except Damaged as error:
+            parsed = fmt.parse_file(data)
+        except DamagedFileError as error:
             self._out.dropped.append(f"{name}: {error}")
             return None
         if parsed.format > fmt.FORMAT:
-            self._out.newer.append(str(name))
+            self._out.newer_files.append(str(name))
             return None
         if (parsed.kind, parsed.sequence) != (name.kind, name.sequence):
             self._out.dropped.append(f"{name}: the header tells of another file")
             return None
         if parsed.problem:
-            left = len(data) - parsed.good
+            left = len(data) - parsed.valid_bytes
             self._out.dropped.append(f"{name}: {parsed.problem}; {left} bytes left out")
         return parsed
 
-    def _take_snapshot(self, name: fmt.Name) -> bool:
+    def _take_snapshot(self, name: fmt.FileName) -> bool:
         parsed = self._parse(name)
         if parsed is None:
             return False
@@ -114,17 +114,17 @@
         state: fmt.StoredMap = HashTrieMap()
         try:
             for one in entries:
-                state = fmt.applied(state, fmt.unpack_changes(one.payload))
-        except Damaged as error:
+                state = fmt.apply_changes(state, fmt.unpack_changes(one.payload))
+        except DamagedFileError as error:
             self._out.dropped.append(f"{name}: {error}")
             return False
         if end.payload != len(state).to_bytes(8, "big"):
             self._out.dropped.append(f"{name}: holds {len(state)} entries, its end says otherwise")
             return False
-        self._out.state, self._out.sequence, self._out.found = state, name.sequence, True
+        self._out.state, self._out.sequence, self._out.has_snapshot = state, name.sequence, True
         return True
 
-    def _take_log(self, name: fmt.Name) -> None:
+    def _take_log(self, name: fmt.FileName) -> None:
         parsed, out = self._parse(name), self._out
         for one in parsed.records if parsed is not None else ():
             if one.sequence != out.sequence + 1:
@@ -133,8 +133,8 @@
             if one.type == fmt.BATCH:  # types of a later minor version are passed over
                 try:
                     changes = list(fmt.unpack_changes(one.payload))
-                except Damaged as error:
+                except DamagedFileError as error:
                     out.dropped.append(f"{name}: record {one.sequence}: {error}")
                     return
-                out.state = fmt.applied(out.state, changes)
+                out.state = fmt.apply_changes(out.state, changes)
             out.sequence = one.sequence
--- a/saffronlane/storage/writer.py
+++ b/saffronlane/storage/writer.py
@@ -15,32 +15,34 @@
 from .format import Change, Entry
 from .store import Store
 
-Done = Callable[[bool], None]
-Tell = Callable[[str], None]
+DurabilityCallback = Callable[[bool], None]
+MessageCallback = Callable[[str], None]
 
 
 @dataclass(frozen=True, slots=True)
 class WriterLimits:
     """Seconds and entries."""
 
-    lag: float = 0.5  # that a change nobody waits for may wait
-    repair_after: float = 1.0  # from a failure to the first try with fresh files; doubled while tries fail
-    repair_most: float = 60.0
-    idle: float = 5.0
-    most_waiting: int = 200_000  # keys that wait; more are not kept, which is told
+    max_delay: float = 0.5  # that a change nobody waits for may wait
+    min_repair_interval: float = (
+        1.0  # from a failure to the first try with fresh files; doubled while tries fail
+    )
+    max_repair_interval: float = 60.0
+    idle_interval: float = 5.0
+    max_pending: int = 200_000  # keys that wait; more are not kept, which is told
 
 
 @dataclass(frozen=True, slots=True)
 class WriterStatus:
     """For metrics and logs; times are monotonic seconds."""
 
-    working: bool = False
-    why: str = "not started"
-    last_sync: float = 0.0
-    sync_time: float = 0.0  # seconds, of the last commit
+    is_working: bool = False
+    failure_reason: str = "not started"
+    last_sync_at: float = 0.0
+    sync_duration: float = 0.0  # seconds, of the last commit
     commits: int = 0
     failures: int = 0
-    lost: int = 0  # changes that found no room to wait
+    lost_changes: int = 0  # changes that found no room to wait
     bytes: int = 0
     entries: int = 0
 
@@ -59,7 +61,7 @@
     def __init__(
         self,
         store: Store,
-        tell: Tell,
+        tell: MessageCallback,
         limits: WriterLimits | None = None,
         before_repair: Callable[[], None] | None = None,
         each_turn: Callable[[], None] | None = None,
@@ -71,20 +73,20 @@
         self._wake = threading.Condition()
         self._waiting: dict[bytes, Entry | None] = {}
         self._since = 0.0  # when the oldest of them came
-        self._askers: list[Done] = []
+        self._askers: list[DurabilityCallback] = []
         self._stopping, self._lost = False, 0
         self._status = WriterStatus()
-        self._repair_at, self._repair_gap = 0.0, self._limits.repair_after
+        self._repair_at, self._repair_gap = 0.0, self._limits.min_repair_interval
         self._thread = threading.Thread(target=self._run, name="storage", daemon=True)
 
     @property
     def status(self) -> WriterStatus:
-        return replace(self._status, lost=self._lost)
+        return replace(self._status, lost_changes=self._lost)
 
     def start(self) -> None:
         self._thread.start()
 
-    def put(self, changes: Iterable[Change], done: Done | None = None) -> None:
+    def put(self, changes: Iterable[Change], done: DurabilityCallback | None = None) -> None:
         """Keep these. With `done`: at once, and it hears whether they are durable, mostly on the thread here.
 
         A disk that hangs holds up nothing but what waits for it, and that is bounded.
@@ -95,13 +97,13 @@
                 self._since = self._clock()
                 self._wake.notify()
             for key, entry in changes:
-                if key in self._waiting or len(self._waiting) < self._limits.most_waiting:
+                if key in self._waiting or len(self._waiting) < self._limits.max_pending:
                     self._waiting[key] = entry
                 else:
                     lost += 1
             if lost:
                 self._lost += lost
-            if done is not None and not lost and len(self._askers) < self._limits.most_waiting:
+            if done is not None and not lost and len(self._askers) < self._limits.max_pending:
                 self._askers.append(done)
                 self._wake.notify()
                 return
@@ -125,7 +127,7 @@
                 if not self._askers and not self._stopping:
                     self._wake.wait(self._patience())
                 stopping = self._stopping
-                due = self._waiting and self._clock() >= self._since + self._limits.lag
+                due = self._waiting and self._clock() >= self._since + self._limits.max_delay
                 changes, askers = [], self._askers
                 if askers or stopping or due:
                     changes = [Change(key, entry) for key, entry in self._waiting.items()]
@@ -135,39 +137,39 @@
                 if self._each_turn is not None:
                     self._each_turn()
             except OSError as error:
-                if not self._store.failed:
+                if not self._store.has_failed:
                     self._store.close()
                     self._fell(error)
             if stopping:
                 break
         try:
-            if not self._store.failed:
-                self._store.finish()
+            if not self._store.has_failed:
+                self._store.write_final_snapshot()
         except StoreFailedError as error:
             self._fell(error)
         self._store.close()
 
     def _patience(self) -> float:
         """Seconds until there is something to do though nobody asks. Holds the lock."""
-        now, waits = self._clock(), [self._limits.idle]
+        now, waits = self._clock(), [self._limits.idle_interval]
         if self._waiting:
-            waits.append(self._since + self._limits.lag - now)
-        if self._store.failed:
+            waits.append(self._since + self._limits.max_delay - now)
+        if self._store.has_failed:
             waits.append(self._repair_at - now)
-        elif self._store.compacting:
+        elif self._store.is_compacting:
             return 0.0
         return max(0.0, min(waits))
 
-    def _turn(self, changes: list[Change], askers: list[Done]) -> None:
-        if self._store.failed and self._clock() >= self._repair_at:
+    def _turn(self, changes: list[Change], askers: list[DurabilityCallback]) -> None:
+        if self._store.has_failed and self._clock() >= self._repair_at:
             self._begin()
-        kept = not self._store.failed
+        kept = not self._store.has_failed
         began = self._clock()
         try:
             if changes:
                 self._store.commit(changes)
             elif not askers:
-                self._store.work()
+                self._store.compact_step()
         except StoreFailedError as error:
             if kept:
                 self._fell(error)
@@ -182,8 +184,8 @@
             now = self._clock()
             self._status = replace(
                 self._status,
-                last_sync=now,
-                sync_time=now - began,
+                last_sync_at=now,
+                sync_duration=now - began,
                 commits=self._status.commits + 1,
                 bytes=self._store.bytes,
                 entries=len(self._store.state),
@@ -201,14 +203,16 @@
         else:
             if self._status.failures:
                 self._tell("knowledge is kept again")
-            self._repair_gap = self._limits.repair_after
-            self._status = replace(self._status, working=True, why="", last_sync=self._clock())
+            self._repair_gap = self._limits.min_repair_interval
+            self._status = replace(
+                self._status, is_working=True, failure_reason="", last_sync_at=self._clock()
+            )
 
     def _fell(self, error: Exception) -> None:
-        if self._status.working or not self._status.failures:
+        if self._status.is_working or not self._status.failures:
             self._tell(f"knowledge is not kept any more: {error}")
         self._status = replace(
-            self._status, working=False, why=str(error), failures=self._status.failures + 1
+            self._status, is_working=False, failure_reason=str(error), failures=self._status.failures + 1
         )
         self._repair_at = self._clock() + self._repair_gap
-        self._repair_gap = min(self._limits.repair_most, 2.0 * self._repair_gap)
+        self._repair_gap = min(self._limits.max_repair_interval, 2.0 * self._repair_gap)
--- a/tests/test_folder.py
+++ b/tests/test_folder.py
@@ -70,7 +70,7 @@
 
 
 def working(house: House, yes: bool = True) -> None:
-    house.until(lambda: house.daemon.folder is not None and house.daemon.folder.status.working is yes)
+    house.until(lambda: house.daemon.folder is not None and house.daemon.folder.status.is_working is yes)
 
 
 def test_a_daemon_that_comes_back_knows_what_it_knew(house: House, folder: Path) -> None:
@@ -98,7 +98,10 @@
             change(house, f"key {code}")
             working(house, False)
             ask(house, 3)
-            assert house.daemon.folder is not None and os.strerror(code) in house.daemon.folder.status.why
+            assert (
+                house.daemon.folder is not None
+                and os.strerror(code) in house.daemon.folder.status.failure_reason
+            )
         working(house)
     change(house, "after")
     end(house)
@@ -113,7 +116,7 @@
     try:
         change(house, "x")
         ask(house, 3)
-        assert not house.daemon.folder.status.working  # type: ignore[union-attr]
+        assert not house.daemon.folder.status.is_working  # type: ignore[union-attr]
     finally:
         house.close()
     assert (tmp_path / "kept").read_text() == "a file"
@@ -126,7 +129,7 @@
     working(house)
     shutil.rmtree(folder)
     change(house, "after")
-    house.until(lambda: folder.exists() and read(folder).found)
+    house.until(lambda: folder.exists() and read(folder).has_snapshot)
     working(house)
     names = {k.kind_of(key) for key in dict(read(folder).state.items())}
     assert {k.CLASS, k.ENGINE, k.IDEMPOTENCY, k.RUN} <= names
@@ -154,7 +157,7 @@
     change(house, "mine")
     working(house)
     second, first = begin(house), house.daemon
-    assert second.folder is not None and not second.folder.status.working
+    assert second.folder is not None and not second.folder.status.is_working
     assert "in use by process" in second.folder._why
     end(house)
     house.daemon = second
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -33,7 +33,9 @@
 from saffronlane.storage import store as store_module
 from saffronlane.storage.writer import WriterLimits
 
-SMALL = StoreLimits(segment=220, log=400, slice=90)  # bytes: a few commits go through all that a store does
+SMALL = StoreLimits(
+    segment_bytes=220, log_bytes=400, slice_bytes=90
+)  # bytes: a few commits go through all that a store does
 Snapshot = dict[bytes, Entry]
 
 
@@ -69,7 +71,7 @@
 
     def commit(self, store: Store) -> None:
         changes = [self.change() for _ in range(self.draw.randrange(1, 4))]
-        after = plain(fmt.applied(store.state, changes))
+        after = plain(fmt.apply_changes(store.state, changes))
         self.history.append(after)
         store.commit(changes)
         self.promised = len(self.history) - 1
@@ -81,8 +83,8 @@
         for _ in range(commits):
             self.commit(store)
             if self.draw.random() < 0.6:
-                store.work()
-        store.finish()
+                store.compact_step()
+        store.write_final_snapshot()
         store.close()
 
 
@@ -163,25 +165,25 @@
     """Old files removed before the new snapshot has its name for good; the name given before the data."""
 
     def early_name(self, state, sequence):
-        name = fmt.Name(fmt.SNAPSHOT, fmt.FORMAT, sequence)
+        name = fmt.FileName(fmt.SNAPSHOT, fmt.FORMAT, sequence)
         handle = self.files.create(f"{name}.new")
         self.files.rename(f"{name}.new", str(name))
         self.files.sync_folder()
         for text in self.files.names():
-            other = fmt.Name.parse(text)
+            other = fmt.FileName.parse(text)
             if other is not None and other.sequence < sequence:
                 self.files.remove(text)
         yield
-        handle.write(fmt.header(fmt.SNAPSHOT, sequence))
+        handle.write(fmt.encode_header(fmt.SNAPSHOT, sequence))
         batch = [Change(k, e) for k, e in state.items()]
-        data = fmt.record(1, fmt.ENTRIES, fmt.pack_changes(batch)) if batch else b""
-        handle.write(data + fmt.record(2, fmt.END, len(state).to_bytes(8, "big")))
+        data = fmt.encode_record(1, fmt.ENTRIES, fmt.pack_changes(batch)) if batch else b""
+        handle.write(data + fmt.encode_record(2, fmt.END, len(state).to_bytes(8, "big")))
         handle.sync()
         self._snapshots[sequence] = 1
 
     def removes_first(self, state, sequence):
         for text in self.files.names():
-            other = fmt.Name.parse(text)
+            other = fmt.FileName.parse(text)
             if other is not None and other.sequence < sequence + 1:
                 self.files.remove(text)
         yield from original(self, state, sequence)
@@ -229,7 +231,7 @@
         for _ in range(20):
             try:
                 life.commit(store)
-                store.work()
+                store.compact_step()
             except StoreFailedError:
                 failed = True
                 break
@@ -257,7 +259,7 @@
     store.begin()
     for _ in range(12):
         life.commit(store)
-        store.work()
+        store.compact_step()
     whole = files.crash(random.Random(0), "all")
     draw = random.Random(7)
     for name, data in whole.items():
@@ -287,11 +289,11 @@
     files = ModelFiles(dict(newer))
     store = Store(files, SMALL)
     found = store.load()
-    assert sorted(found.newer) == sorted(newer) and not found.found
+    assert sorted(found.newer_files) == sorted(newer) and not found.has_snapshot
     store.begin()
     for n in range(60):
         store.commit([Change(b"a", Entry(1, b"%d" % n))])
-        store.work()
+        store.compact_step()
     assert store.sequence > 0x100
     for name, data in newer.items():
         assert files.read(name) == data
@@ -301,7 +303,7 @@
     start = struct.pack(">8sHHQ", fmt.MAGIC, 9, fmt.SNAPSHOT, 5)
     data = start + struct.pack(">I", google_crc32c.value(start)) + b"of the future"
     found = recover(ModelFiles({"snap-v1-0000000000000005": data}))
-    assert not found.found and found.newer == ["snap-v1-0000000000000005"]
+    assert not found.has_snapshot and found.newer_files == ["snap-v1-0000000000000005"]
 
 
 def test_an_unreadable_newest_snapshot_costs_nothing_while_the_one_before_and_its_log_are_there():
@@ -310,7 +312,7 @@
     store.begin()
     for n in range(200):
         store.commit([Change(b"k%d" % (n % 9), Entry(1, b"%03d" % n))])
-        store.work()
+        store.compact_step()
     whole = {n: files.read(n) for n in files.names()}
     newest = max(n for n in whole if n.startswith("snap") and not n.endswith("new"))
     found = recover(ModelFiles(whole | {newest: b"rotten"}))
@@ -321,7 +323,7 @@
 def test_sequences_behind_damage_are_never_mixed_with_new_ones():
     """Guards against an old log that lies behind a gap being taken for the continuation of a new one."""
     files = ModelFiles()
-    store = Store(files, StoreLimits(segment=220))
+    store = Store(files, StoreLimits(segment_bytes=220))
     store.begin()
     for n in range(40):
         store.commit([Change(b"k", Entry(1, b"old %d" % n))])
@@ -343,20 +345,20 @@
 
 def test_disk_use_is_bounded_in_a_flood_of_changes():
     files = ModelFiles()
-    store = Store(files, StoreLimits(segment=20_000, log=50_000, slice=4_000))
+    store = Store(files, StoreLimits(segment_bytes=20_000, log_bytes=50_000, slice_bytes=4_000))
     store.begin()
     draw = random.Random(3)
     most = 0
     for _ in range(1500):
         store.commit([Change(b"k%d" % draw.randrange(50), Entry(1, draw.randbytes(400)))])
-        store.work()
+        store.compact_step()
         most = max(most, sum(len(i.content()) for i in files.now.values()))
     assert most < 6 * 50_000, most
     assert store.bytes == sum(len(files.read(n)) for n in files.names() if not n.endswith("new"))
 
 
 def test_a_store_past_its_bound_fails_rather_than_fills_the_disk():
-    store = Store(ModelFiles(), StoreLimits(most=5_000))
+    store = Store(ModelFiles(), StoreLimits(max_total_bytes=5_000))
     store.begin()
     with pytest.raises(StoreFailedError, match="5000 bytes"):
         for n in range(100):
@@ -367,10 +369,10 @@
     first = DirectoryLock(tmp_path)
     with pytest.raises(DirectoryBusyError, match=str(os.getpid())):
         DirectoryLock(tmp_path)
-    place = first.place
+    place = first.directory_id
     first.release()
     again = DirectoryLock(tmp_path)
-    assert again.place == place  # the same folder, not a copy
+    assert again.directory_id == place  # the same folder, not a copy
     again.release()
 
 
@@ -381,9 +383,9 @@
     life = Life(ModelFiles(), 11)
     for _ in range(50):
         life.commit(store)
-        store.work()
+        store.compact_step()
     assert plain(recover(files).state) == life.history[-1]
-    store.finish()
+    store.write_final_snapshot()
     assert plain(recover(RealFiles(tmp_path)).state) == life.history[-1]
 
 
@@ -413,7 +415,7 @@
     files = Slow()
     writer = Writer(Store(files, SMALL), lambda text: None)
     writer.start()
-    until(lambda: writer.status.working)
+    until(lambda: writer.status.is_working)
     files.gate.clear()
     heard: list[bool] = []
     writer.put([Change(b"first", Entry(1, b"1"))], heard.append)
@@ -431,18 +433,20 @@
 def test_a_store_that_fails_says_no_at_once_and_is_repaired_with_fresh_files():
     files, said = ModelFiles(), []
     writer = Writer(
-        Store(files, SMALL), said.append, WriterLimits(lag=0.01, repair_after=0.01, repair_most=0.02)
+        Store(files, SMALL),
+        said.append,
+        WriterLimits(max_delay=0.01, min_repair_interval=0.01, max_repair_interval=0.02),
     )
     writer.start()
-    until(lambda: writer.status.working)
+    until(lambda: writer.status.is_working)
     files.fail = full("write sync create")
     heard: list[bool] = []
     writer.put([Change(b"a", Entry(1, b"1"))], heard.append)
     until(lambda: heard == [False])
-    assert not writer.status.working and "input/output" in writer.status.why
+    assert not writer.status.is_working and "input/output" in writer.status.failure_reason
     writer.put([Change(b"b", Entry(1, b"2"))])
     files.fail = lambda operation, name: None
-    until(lambda: writer.status.working)
+    until(lambda: writer.status.is_working)
     writer.put([Change(b"c", Entry(1, b"3"))], heard.append)
     until(lambda: heard == [False, True])
     assert set(recover(files).state) == {b"a", b"b", b"c"}  # what nobody was promised is kept all the same
@@ -452,15 +456,15 @@
 
 def test_what_waits_for_a_disk_that_hangs_is_bounded():
     files = Slow()
-    writer = Writer(Store(files, SMALL), lambda text: None, WriterLimits(lag=0.0, most_waiting=10))
+    writer = Writer(Store(files, SMALL), lambda text: None, WriterLimits(max_delay=0.0, max_pending=10))
     writer.start()
-    until(lambda: writer.status.working)
+    until(lambda: writer.status.is_working)
     files.gate.clear()
     writer.put([Change(b"x", Entry(1, b"1"))], lambda kept: None)
     heard: list[bool] = []
     for n in range(100):
         writer.put([Change(b"k%d" % n, Entry(1, b"1"))], heard.append)
-    assert heard.count(False) >= 80 and writer.status.lost >= 80
+    assert heard.count(False) >= 80 and writer.status.lost_changes >= 80
     files.gate.set()
     assert writer.stop(10.0)
 
@@ -470,7 +474,7 @@
 from pathlib import Path
 from saffronlane.storage import Change, Entry, RealFiles, Store, StoreLimits
 files = RealFiles(Path(sys.argv[1]))
-store = Store(files, StoreLimits(segment=3000, log=9000, slice=500))
+store = Store(files, StoreLimits(segment_bytes=3000, log_bytes=9000, slice_bytes=500))
 found = store.load()
 store.begin()
 n = int.from_bytes(found.state[b"n"].value, "big") if b"n" in found.state else 0
@@ -480,7 +484,7 @@
     store.commit([Change(b"n", value), Change(b"k%d" % (n % 40), Entry(1, bytes(60))), Change(b"m", value)])
     sys.stdout.write("%d\\n" % n)
     sys.stdout.flush()
-    store.work()
+    store.compact_step()
 """
 
 
