--- a/saffronlane/dispatch/core.py
+++ b/saffronlane/dispatch/core.py
@@ -87,7 +87,7 @@
     @property
     def next_timer(self) -> float:
         """When `step` is to be called even if nothing happens; infinity: never."""
-        return min(self._timers.next_deadline, self.checkpointer.next_look)
+        return min(self._timers.next_deadline, self.checkpointer.next_checkpoint_at)
 
     @property
     def pending_count(self) -> int:
@@ -134,7 +134,7 @@
         events = self._collect_events(inputs)
         if events:
             self._decide(events)
-            self.checkpointer.touch()
+            self.checkpointer.mark_changed()
         self._policy.persist_changes(self._now)
         effects = list(self._effects)
         self._effects.clear()
--- a/saffronlane/dispatch/errors.py
+++ b/saffronlane/dispatch/errors.py
@@ -5,8 +5,10 @@
 from ..errors import SaffronlaneError
 
 
-class DuplicateRequestError(ValueError):
-    """A request was submitted under a number that is in use; each number must come from `new_request`."""
+class DuplicateRequestError(SaffronlaneError, ValueError):
+    """A request was submitted under a number that is in use."""
+
+    remedy = "Take each request's number from `Dispatcher.new_request`."
 
 
 class RecordingError(SaffronlaneError):
--- a/saffronlane/dispatch/policy_host.py
+++ b/saffronlane/dispatch/policy_host.py
@@ -39,7 +39,7 @@
         self.gateway = Gateway(settings, seed)
         self.checkpointer = Checkpointer(settings, persisted_state, is_persistent)
         self.checkpointer.begin(self.gateway)
-        self.first_changes = self.checkpointer.first(self.gateway) if is_persistent else []
+        self.first_changes = self.checkpointer.initial_changes(self.gateway) if is_persistent else []
 
     # --- deciding ---
 
@@ -47,12 +47,12 @@
         """Return the policy's decisions on events. The first list with engines restores learned state."""
         entries = self._first_engines(events)
         if entries:
-            self.checkpointer.before_list(self.gateway, entries)
+            self.checkpointer.before_endpoint_list(self.gateway, entries)
         actions = self.gateway.step(now, events)
         if entries:
             self._has_engines = True
-            self.checkpointer.after_list(self.gateway)
-            self._log(self.checkpointer.recalled)
+            self.checkpointer.after_endpoint_list(self.gateway)
+            self._log(self.checkpointer.restored_description)
         return actions
 
     def _first_engines(self, events: list[api.Event]) -> tuple[api.EngineEntry, ...]:
@@ -79,7 +79,9 @@
             What the new policy decides on the present list of engines.
         """
         try:
-            return self._replace_policy(now, engines, self.checkpointer.anew(self.gateway, now))
+            return self._replace_policy(
+                now, engines, self.checkpointer.snapshot_for_restart(self.gateway, now)
+            )
         except Exception as error:  # the failed step may have left the learned state in any condition
             self._log(f"learned state discarded: {error!r}")
             return self._replace_policy(now, engines, None)
@@ -95,16 +97,16 @@
     ) -> list[api.Action]:
         self.gateway = Gateway(self._settings, self._seed + self.fault_count)
         previous = self.checkpointer
-        self.checkpointer = Checkpointer(self._settings, learned_state, previous.keeping)
-        self.checkpointer.succeed(previous)
+        self.checkpointer = Checkpointer(self._settings, learned_state, previous.is_enabled)
+        self.checkpointer.take_over(previous)
         self.checkpointer.begin(self.gateway)
         self._has_engines = len(engines) > 0
         if not self._has_engines:
             return []
         update = engines.full_update()
-        self.checkpointer.before_list(self.gateway, update.entries)
+        self.checkpointer.before_endpoint_list(self.gateway, update.entries)
         actions = self.gateway.step(now, [update])
-        self.checkpointer.after_list(self.gateway)
+        self.checkpointer.after_endpoint_list(self.gateway)
         return actions
 
     # --- learned state ---
@@ -113,11 +115,11 @@
         """Test restored estimates against the answers of this step, and against their absence."""
         for event in events:
             if isinstance(event, api.Arrival):
-                self.checkpointer.asked(self.gateway, event.class_index)
+                self.checkpointer.record_request(self.gateway, event.class_index)
             elif isinstance(event, api.AttemptEnded) and event.outcome is api.Outcome.OK:
                 request = requests[event.request]
                 self._log(
-                    self.checkpointer.answered(
+                    self.checkpointer.record_answer(
                         self.gateway,
                         request.class_index,
                         request.estimated_cost,
@@ -125,19 +127,19 @@
                         event.work,
                     )
                 )
-        for text in self.checkpointer.unheard(self.gateway):
+        for text in self.checkpointer.drop_unconfirmed_estimates(self.gateway):
             self._effects.append(api.Log(text))
 
     def previous_attempt(self, idempotency_key: bytes, now: float) -> api.PreviousAttempt | None:
         """Return what is known of an earlier request with the same idempotency key."""
         if not idempotency_key:
             return None
-        return self.checkpointer.ledger.earlier(idempotency_key, now)
+        return self.checkpointer.ledger.previous_attempt(idempotency_key, now)
 
     def record_attempt_end(self, idempotency_key: bytes, never_ran: bool) -> None:
         """Record in the idempotency ledger that an attempt of a request with this key has ended."""
         if idempotency_key:
-            self.checkpointer.ledger.ended(idempotency_key, never_ran)
+            self.checkpointer.ledger.record_attempt_end(idempotency_key, never_ran)
 
     def write_ahead(self, request: Request, attempt: Attempt) -> float:
         """Note which entries must be durable before an attempt starts.
@@ -145,8 +147,10 @@
         Returns:
             Seconds that the attempt may wait for them; 0 if there are none.
         """
-        keys = self.checkpointer.ahead(self.gateway, request.id, attempt.number, request.idempotency_key)
-        if not keys or not self.checkpointer.keeping:
+        keys = self.checkpointer.write_ahead_keys(
+            self.gateway, request.id, attempt.number, request.idempotency_key
+        )
+        if not keys or not self.checkpointer.is_enabled:
             return 0.0
         self._write_ahead_keys.update(dict.fromkeys(keys))
         return DURABILITY_TIMEOUT
@@ -154,10 +158,10 @@
     def persist_changes(self, now: float) -> None:
         """Emit what this step's attempts wait for, ahead of them, and all other changes if it is time."""
         if self._write_ahead_keys:
-            changes = self.checkpointer.changes_ahead(self.gateway, self._write_ahead_keys)
+            changes = self.checkpointer.write_ahead_changes(self.gateway, self._write_ahead_keys)
             self._write_ahead_keys.clear()
             self._effects.insert(0, fx.Persist(tuple(changes), is_write_ahead=True))
-        if now < self.checkpointer.next_look:
+        if now < self.checkpointer.next_checkpoint_at:
             return
         changes = self.take_unpersisted_changes()
         if changes:
@@ -174,4 +178,4 @@
 
     def purge(self, categories: tuple[PurgeCategory, ...]) -> None:
         """Discard what was learned of these categories, here and in the state directory."""
-        self.checkpointer.forget(self.gateway, categories)
+        self.checkpointer.purge(self.gateway, categories)
--- a/saffronlane/storage/files.py
+++ b/saffronlane/storage/files.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Protocol
 
-from .errors import FolderBusy
+from .errors import DirectoryBusyError
 
 LOCK_NAME = "lock"
 
@@ -77,7 +77,7 @@
     def _open(self) -> int:
         return os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
 
-    def moved(self) -> bool:
+    def has_moved(self) -> bool:
         """Whether the path does not name this folder any more: what is written now, nobody would find."""
         try:
             return not os.path.samestat(os.stat(self.folder), os.fstat(self._fd))
@@ -125,12 +125,12 @@
             os.close(fd)
 
 
-def place_of(lock: os.stat_result) -> str:
+def directory_id_of(lock: os.stat_result) -> str:
     """Names a folder by its lock's own file: one that was copied or restored has another."""
     return f"{lock.st_dev:x}.{lock.st_ino:x}"
 
 
-class FolderLock:
+class DirectoryLock:
     """The exclusive use of a folder, for as long as this process lives (flock(2)). OSError, FolderBusy.
 
     `place`: see `place_of`.
@@ -146,13 +146,13 @@
             os.close(self._fd)
             if not isinstance(error, BlockingIOError):
                 raise
-            raise FolderBusy(f"{folder} is in use by process {holder or 'unknown'}") from None
+            raise DirectoryBusyError(f"{folder} is in use by process {holder or 'unknown'}") from None
         try:
             os.ftruncate(self._fd, 0)
             os.pwrite(self._fd, f"{os.getpid()}\n".encode(), 0)
         except OSError:
             pass  # a full disk: the lock holds all the same, only its holder is not named
-        self.place = place_of(os.fstat(self._fd))
+        self.directory_id = directory_id_of(os.fstat(self._fd))
 
     def release(self) -> None:
         if self._fd >= 0:
