--- a/saffronlane/platform/downstream/server.py
+++ b/saffronlane/platform/downstream/server.py
@@ -167,7 +167,7 @@
     def cancel(self, number: int, request_id: bytes) -> None:
         """Cancel a request for which no client waits any more."""
         self.open_request_ids.discard(request_id)
-        self._executor.client_gone(number)
+        self._executor.disconnect_client(number)
 
     def on_connection_closed(self, client: ClientConnection) -> None:
         """Remove a closed connection."""
--- a/saffronlane/platform/shutdown.py
+++ b/saffronlane/platform/shutdown.py
@@ -90,7 +90,7 @@
     def _outstanding_work(self) -> Debts:
         downstream = self._downstream
         is_pending = bool(
-            self._dispatcher.pending_count or self._executor.pending or downstream.has_unsent_replies
+            self._dispatcher.pending_count or self._executor.has_unprocessed_input or downstream.has_unsent_replies
         )
         is_drained = self._process.phase is Phase.DRAINING and not is_pending
         has_unread = is_drained and downstream.has_unread_input()
--- a/tests/test_folder.py
+++ b/tests/test_folder.py
@@ -70,17 +70,17 @@
 
 
 def working(house: House, yes: bool = True) -> None:
-    house.until(lambda: house.daemon.folder is not None and house.daemon.folder.status.working is yes)
+    house.until(lambda: house.daemon.folder is not None and house.daemon.folder.status.is_working is yes)
 
 
 def test_a_daemon_that_comes_back_knows_what_it_knew(house: House, folder: Path) -> None:
     ask(house, 30)
     end(house)
     kept = k.decode(k.CLASS + b"lookup", read(folder).state[k.CLASS + b"lookup"])
-    assert isinstance(kept, k.ClassRecord) and kept.count == 30
+    assert isinstance(kept, k.ClassRecord) and kept.answer_count == 30
     house.daemon = begin(house)
     summary = house.daemon.dispatcher.checkpointer.summary
-    assert summary.exact and summary.classes["lookup"] > 10.0 and summary.engines == 2
+    assert summary.has_complete_ledgers and summary.classes["lookup"] > 10.0 and summary.engines == 2
     ask(house)
 
 
@@ -98,12 +98,15 @@
             change(house, f"key {code}")
             working(house, False)
             ask(house, 3)
-            assert house.daemon.folder is not None and os.strerror(code) in house.daemon.folder.status.why
+            assert (
+                house.daemon.folder is not None
+                and os.strerror(code) in house.daemon.folder.status.failure_reason
+            )
         working(house)
     change(house, "after")
     end(house)
     # What nobody could write at the time was written once it could be.
-    assert sum(key.startswith(k.SENT) for key in dict(read(folder).state.items())) == 3
+    assert sum(key.startswith(k.IDEMPOTENCY) for key in dict(read(folder).state.items())) == 3
     house.daemon = begin(house)
 
 
@@ -113,7 +116,7 @@
     try:
         change(house, "x")
         ask(house, 3)
-        assert not house.daemon.folder.status.working  # type: ignore[union-attr]
+        assert not house.daemon.folder.status.is_working  # type: ignore[union-attr]
     finally:
         house.close()
     assert (tmp_path / "kept").read_text() == "a file"
@@ -126,10 +129,10 @@
     working(house)
     shutil.rmtree(folder)
     change(house, "after")
-    house.until(lambda: folder.exists() and read(folder).found)
+    house.until(lambda: folder.exists() and read(folder).has_snapshot)
     working(house)
     names = {k.kind_of(key) for key in dict(read(folder).state.items())}
-    assert {k.CLASS, k.ENGINE, k.SENT, k.RUN} <= names
+    assert {k.CLASS, k.ENGINE, k.IDEMPOTENCY, k.RUN} <= names
     ask(house, 3)
 
 
@@ -142,7 +145,7 @@
         hangs.setattr(files_module._RealHandle, "sync", lambda self: gate.wait(30.0))
         change(house, "hangs")
         ask(house, 3)
-        assert house.daemon.executor.unsaved == 1
+        assert house.daemon.executor.non_durable_count == 1
         gate.set()
     working(house)
 
@@ -154,7 +157,7 @@
     change(house, "mine")
     working(house)
     second, first = begin(house), house.daemon
-    assert second.folder is not None and not second.folder.status.working
+    assert second.folder is not None and not second.folder.status.is_working
     assert "in use by process" in second.folder._why
     end(house)
     house.daemon = second
@@ -232,7 +235,7 @@
     assert run("forget", folder, "classes")[0] == 0
     state = dict(read(folder).state.items())
     assert not [key for key in state if key.startswith(k.CLASS)] and [
-        key for key in state if key.startswith(k.SENT)
+        key for key in state if key.startswith(k.IDEMPOTENCY)
     ]
     assert run("forget", folder, "all")[0] == 0
     assert not len(read(folder).state)
