--- a/saffronlane/platform/downstream/client_connection.py
+++ b/saffronlane/platform/downstream/client_connection.py
@@ -10,8 +10,8 @@
 
 from ... import msgpackrpc as rpc
 from ..errors import BadRequestError
-from ..lifecycle import Bounds, Connection, Event
-from ..managed_connection import Endpoint
+from ..lifecycle import ConnectionLimits, ConnectionLifecycle, Event
+from ..managed_connection import ManagedConnection
 from ..stream import Stream
 from .fault_replies import DelayedFaultReplies
 from .reply_channel import FAULT_ERROR, ReplyChannel
@@ -34,7 +34,7 @@
 MESSAGE_TIMEOUT = 10.0  # seconds for the whole of a message
 IDLE_TIMEOUT = 5.0  # seconds without an open request; clients close theirs after 4
 MAX_FAULTS = 8  # invalid messages until the connection is closed
-BOUNDS = Bounds(stall=IDLE_TIMEOUT)
+BOUNDS = ConnectionLimits(stall_timeout=IDLE_TIMEOUT)
 
 
 class OpenRequest(NamedTuple):
@@ -44,7 +44,7 @@
     request_id: bytes
 
 
-class ClientConnection(Endpoint):
+class ClientConnection(ManagedConnection):
     """Reads a client's requests and writes its replies.
 
     It reads at all times, so that the client's disconnection and its cancellations are known at once and
@@ -59,7 +59,7 @@
         now = asyncio.get_running_loop().time()
         stream = Stream(connection, 2 * MAX_MESSAGE_BYTES, MAX_UNREAD_BYTES)
         stream.set_nodelay(True)
-        super().__init__(stream, Connection(BOUNDS, now))
+        super().__init__(stream, ConnectionLifecycle(BOUNDS, now))
         self.server = server
         self.open_requests: dict[int, OpenRequest] = {}  # by message id
         self.opened_at = now
@@ -76,7 +76,7 @@
 
     # --- reading ---
 
-    def take(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         """Parse received bytes and act on the messages that are complete."""
         if not self._is_readable:
             return
@@ -86,7 +86,7 @@
         if was_between_messages or messages:
             self.message_started_at = self.last_received_at
         for message in messages:
-            if not self.life.acts:
+            if not self.lifecycle.processes_input:
                 return
             try:
                 self._on_message(message)
@@ -110,7 +110,7 @@
             self._update_idle()
         if isinstance(message, rpc.Notification):
             self._on_notice(message)
-        elif not self.life.takes:
+        elif not self.lifecycle.accepts_work:
             return  # the connection closes: only open requests are answered
         elif message.method == HEALTH_CHECK_METHOD:
             self.write(rpc.encode_reply(rpc.Reply(message.id, None, {}, self.server.is_healthy())))
@@ -162,7 +162,7 @@
     # --- writing ---
 
     @property
-    def owed(self) -> bool:
+    def has_pending_work(self) -> bool:
         """Whether a request or a delayed reply is pending."""
         return bool(self.open_requests or self._fault_replies)
 
@@ -174,7 +174,7 @@
             self._update_idle()
 
     def _update_idle(self) -> None:
-        if not self.owed:
+        if not self.has_pending_work:
             self.idle_since = self.loop.time()
             self.server.eviction.mark_idle(self)
         self.settle()
@@ -182,17 +182,17 @@
     def write(self, data: bytes) -> None:
         """Queue bytes, which are sent together at the end of this turn of the event loop."""
         self._output.append(data)
-        self.pour_soon()
+        self.schedule_flush()
 
-    def pour(self) -> None:
+    def flush(self) -> None:
         """Hand the queued bytes to the stream."""
         if self._output and not self.stream.closed():
             data = b"".join(self._output)
             self._output = []
-            self.hand_over(data)
+            self.write_to_stream(data)
 
     @property
-    def queued(self) -> bool:
+    def has_queued_output(self) -> bool:
         """Whether bytes wait to be handed to the stream."""
         return bool(self._output) and not self.stream.closed()
 
@@ -205,31 +205,31 @@
 
     def move(self, event: Event, why: str) -> None:
         """Apply a lifecycle event."""
-        super().move(event, why)
-        if not (self.life.takes or self.life.closed):
+        super().handle_event(event, why)
+        if not (self.lifecycle.accepts_work or self.lifecycle.is_closed):
             self.server.eviction.mark_closing(self)
 
     @property
     def is_idle(self) -> bool:
         """Whether nothing is open, partially received, unsent or unprocessed."""
-        is_busy = self.owed or self.scanner.pending or self.unwritten or self.unheard
-        return self.life.takes and not is_busy
+        is_busy = self.has_pending_work or self.scanner.pending or self.has_pending_output or self.has_unprocessed_input
+        return self.lifecycle.accepts_work and not is_busy
 
     def check_timeouts(self, now: float) -> None:
         """Close the connection where the client is slow to read or to send, or idle."""
-        if self.unwritten:
-            if self.unmoved() > BOUNDS.stall:
+        if self.has_pending_output:
+            if self.stalled_for() > BOUNDS.stall_timeout:
                 self.abort("replies not read")
-        elif not self.life.takes:
+        elif not self.lifecycle.accepts_work:
             return  # closing has timeouts of its own
         elif self.scanner.pending:
             if self._message_timed_out(now):
-                self.once_read(self._drain_unfinished)
-        elif not self.has_sent_message and not self.owed:
+                self.call_after_pending_input(self._drain_unfinished)
+        elif not self.has_sent_message and not self.has_pending_work:
             if now > self.opened_at + RECEIVE_TIMEOUT:
-                self.once_read(self._drain_idle)
+                self.call_after_pending_input(self._drain_idle)
         elif now > self.idle_since + IDLE_TIMEOUT:
-            self.once_read(self._drain_idle)
+            self.call_after_pending_input(self._drain_idle)
 
     def _message_timed_out(self, now: float) -> bool:
         """Return whether the rest of a message is overdue."""
@@ -238,7 +238,7 @@
         return bool(self.scanner.pending) and (has_stalled or is_overdue)
 
     def _drain_unfinished(self) -> None:
-        if self._message_timed_out(self.loop.time()) and not self.unheard:
+        if self._message_timed_out(self.loop.time()) and not self.has_unprocessed_input:
             self._is_readable = False
             self.drain("message incomplete")
 
--- a/saffronlane/platform/downstream/connection_eviction.py
+++ b/saffronlane/platform/downstream/connection_eviction.py
@@ -49,14 +49,14 @@
     def mark_idle(self, client: ClientConnection) -> None:
         """Add a connection that has sent a message and has had nothing open since now."""
         self.mark_busy(client)
-        if client.life.takes:
+        if client.lifecycle.accepts_work:
             clients = self._reused if client.request_count > 1 else self._used_once
             clients[client] = None
 
     def mark_closing(self, client: ClientConnection) -> None:
         """Note that a connection accepts no more requests."""
         self.mark_busy(client)
-        if client.life.closing:
+        if client.lifecycle.is_closing:
             self._closing[client] = None
 
     def remove(self, client: ClientConnection) -> None:
@@ -75,7 +75,7 @@
         closed, since its peer may never close; the longest idle. Where no connection is idle at all, one with
         an unfinished first message.
         """
-        half_closed = (client for client in self._closing if client.life.state is State.HALF_CLOSED)
+        half_closed = (client for client in self._closing if client.lifecycle.state is State.HALF_CLOSED)
         client = self._oldest_without_message(now) or next(half_closed, None) or self._longest_idle(now)
         has_idle = bool(self._used_once or self._reused)
         if client is None and not has_idle:
@@ -91,7 +91,7 @@
             if client.opened_at >= now - NEW_CONNECTION_PROTECTION:
                 return None
             has_partial = bool(client.scanner.pending)
-            if client.life.takes and has_partial is is_partial and not client.unheard:
+            if client.lifecycle.accepts_work and has_partial is is_partial and not client.has_unprocessed_input:
                 return client
         return None
 
--- a/saffronlane/platform/downstream/reply_channel.py
+++ b/saffronlane/platform/downstream/reply_channel.py
@@ -36,7 +36,7 @@
     @property
     def unread(self) -> bool:
         """Whether the client has sent something that was not acted on."""
-        return self.client.unheard
+        return self.client.has_unprocessed_input
 
     def served(self, body: bytes) -> None:
         """Reply with a result."""
--- a/saffronlane/platform/downstream/server.py
+++ b/saffronlane/platform/downstream/server.py
@@ -115,7 +115,7 @@
             return
         client = self.eviction.graceful_candidate(self._loop.time())
         if client is not None:
-            client.once_read(functools.partial(self._evict_if_idle, client))
+            client.call_after_pending_input(functools.partial(self._evict_if_idle, client))
 
     def _evict_if_idle(self, client: ClientConnection) -> None:
         if client.is_idle:
@@ -127,7 +127,7 @@
         client = self.eviction.abort_candidate(self._loop.time())
         if client is None:
             return False
-        self.evicted_count += client.life.takes
+        self.evicted_count += client.lifecycle.accepts_work
         client.abort("evicted")
         return True
 
@@ -193,8 +193,8 @@
         partial_bytes = 0
         unread_bytes = 0.0
         for client in list(self.clients):
-            client.guarded(functools.partial(client.check_timeouts, now))
-            if client.life.closed:
+            client.run_isolated(functools.partial(client.check_timeouts, now))
+            if client.lifecycle.is_closed:
                 continue
             partial_bytes += client.scanner.pending
             unread_bytes += client.backlog
@@ -208,18 +208,18 @@
     @property
     def has_unsent_replies(self) -> bool:
         """Whether a request is open or a reply is not fully sent."""
-        return any(client.owed or client.unwritten for client in self.clients)
+        return any(client.has_pending_work or client.has_pending_output for client in self.clients)
 
     def has_unread_input(self) -> bool:
         """Accept pending connections; return whether there were any, or input that was not acted on."""
         has_accepted = self.listener.accept_pending()
-        return has_accepted or any(client.stream.handed_over for client in self.clients)
+        return has_accepted or any(client.stream.has_undelivered_data for client in self.clients)
 
     def drain(self) -> None:
         """Stop listening and close every connection gracefully."""
         self.listener.close()
         for client in list(self.clients):
-            client.guarded(functools.partial(client.drain, "process ends"))
+            client.run_isolated(functools.partial(client.drain, "process ends"))
 
     def close(self) -> None:
         """Close everything at once."""
--- a/saffronlane/platform/server.py
+++ b/saffronlane/platform/server.py
@@ -20,12 +20,12 @@
 from .discovery.endpoints import EndpointTable
 from .discovery.watch import DiscoveryWatch
 from .downstream import DownstreamServer
-from .lifecycle import Bounds, Phase, Process
-from .lifecycle.process import patience
+from .lifecycle import ConnectionLimits, Phase, ProcessLifecycle
+from .lifecycle.process import shutdown_grace_period
 from .reload import reload_config
 from .shutdown import GracefulShutdown
 from .stats import StatsReporter
-from .upstream import LinkLimits, Links
+from .upstream import UpstreamLimits, UpstreamPool
 
 log = structlog.get_logger()
 DEFAULT_CONNECT_TIMEOUT = 0.25  # seconds
@@ -50,7 +50,7 @@
         exhaustion = DescriptorExhaustion()
         self.endpoints = EndpointTable(settings, self._loop.time, time.time)
         self.dispatcher = dispatch.Dispatcher(settings, config.seed)
-        self.links = Links(_link_limits(config, allocation.engines), self.endpoints.address, exhaustion)
+        self.links = UpstreamPool(_link_limits(config, allocation.engines), self.endpoints.address, exhaustion)
         self.peers = self._gossip_transport()
         self.executor = Executor(self.dispatcher, self.links, self.peers.send if self.peers else None)
         self.downstream = DownstreamServer(
@@ -65,7 +65,7 @@
             config.feed, config.last_sequence, self._on_endpoints, Random(config.seed), exhaustion
         )
         max_deadline = max((entry.deadline for entry in settings.classes), default=0.0)
-        self.process = Process(Bounds().linger, patience(max_deadline))
+        self.process = ProcessLifecycle(ConnectionLimits().linger_timeout, shutdown_grace_period(max_deadline))
         self._shutdown = GracefulShutdown(self.process, self.dispatcher, self.executor, self.downstream)
         self._stats = StatsReporter(self.dispatcher, self.downstream)
 
@@ -88,7 +88,7 @@
         update, removed_engines = self.endpoints.apply(endpoints)
         self.executor.feed(update)
         for engine in removed_engines:
-            self.links.forget_engine(engine)
+            self.links.remove_engine(engine)
         changed = []
         if not endpoints.is_complete:
             changed = [f"{one.engine} {one.state} {one.started_at_ms:.0f}" for one in endpoints.endpoints]
@@ -154,13 +154,13 @@
         self.executor.close()
 
 
-def _link_limits(config: DispatcherConfig, max_connections: int) -> LinkLimits:
+def _link_limits(config: DispatcherConfig, max_connections: int) -> UpstreamLimits:
     limits = config.settings.limits
-    return LinkLimits(
+    return UpstreamLimits(
         max_streams=limits.max_concurrent_streams,
         connect_timeout=limits.connect_timeout or DEFAULT_CONNECT_TIMEOUT,
-        idle_close=config.engine_idle_timeout or DEFAULT_ENGINE_IDLE_TIMEOUT,
-        most_links=max_connections,
+        idle_timeout=config.engine_idle_timeout or DEFAULT_ENGINE_IDLE_TIMEOUT,
+        max_connections=max_connections,
     )
 
 
--- a/saffronlane/platform/shutdown.py
+++ b/saffronlane/platform/shutdown.py
@@ -9,8 +9,8 @@
 from .. import dispatch
 from ..engines import Executor
 from .downstream import DownstreamServer
-from .lifecycle import Phase, Process
-from .lifecycle.process import Debts
+from .lifecycle import Phase, ProcessLifecycle
+from .lifecycle.process import OutstandingWork
 
 log = structlog.get_logger()
 CHECK_INTERVAL = 0.02  # seconds
@@ -28,7 +28,7 @@
 
     def __init__(
         self,
-        process: Process,
+        process: ProcessLifecycle,
         dispatcher: dispatch.Dispatcher,
         executor: Executor,
         downstream: DownstreamServer,
@@ -48,7 +48,7 @@
         log.info(
             "shutdown requested",
             pending=self._dispatcher.pending_count,
-            expedited=self._process.hurried,
+            expedited=self._process.is_expedited,
         )
         if self._task is None:
             self._task = self._loop.create_task(self._run())
@@ -61,7 +61,7 @@
 
     def _expedite_if_due(self) -> None:
         """Answer all pending requests, once, when there is no more time for them."""
-        if self._process.hurried and not self._is_expediting:
+        if self._process.is_expedited and not self._is_expediting:
             self._is_expediting = True
             log.warning("shutdown expedited", pending=self._dispatcher.pending_count)
             self._executor.feed(dispatch.FinishDrain())
@@ -82,12 +82,12 @@
     def _advance(self) -> None:
         """Go on to the next phase where it is due, without a turn of the loop between check and drain."""
         phase_before = self._process.phase
-        phase = self._process.look(self._loop.time(), self._outstanding_work())
+        phase = self._process.advance(self._loop.time(), self._outstanding_work())
         if phase is Phase.CLOSING and phase_before is not Phase.CLOSING:
             self._downstream.drain()
         self._expedite_if_due()
 
-    def _outstanding_work(self) -> Debts:
+    def _outstanding_work(self) -> OutstandingWork:
         downstream = self._downstream
         is_pending = bool(
             self._dispatcher.pending_count or self._executor.has_unprocessed_input or downstream.has_unsent_replies
@@ -95,8 +95,8 @@
         is_drained = self._process.phase is Phase.DRAINING and not is_pending
         has_unread = is_drained and downstream.has_unread_input()
         # Connections in the system's backlog were accepted by it, and their requests are to be answered.
-        awaits_capacity = downstream.listener.is_paused and not self._process.hurried
-        return Debts(
+        awaits_capacity = downstream.listener.is_paused and not self._process.is_expedited
+        return OutstandingWork(
             downstream.last_request_at,
             is_pending,
             has_unread or awaits_capacity,
--- a/tests/node/test_answers.py
+++ b/tests/node/test_answers.py
@@ -7,7 +7,7 @@
 from platform_world import ROWS, Peer, World, member
 
 from saffronlane.interface import Outcome
-from saffronlane.resp import command
+from saffronlane.resp import encode_command
 
 from .support import holding, once, outcomes, play, rid
 
@@ -91,7 +91,7 @@
         await built.until(lambda: built.node.discovery.last_sequence == 2)
         held[0][0].done(held[0][1])
         assert await client.answer(msgid) == (None, [ROWS, {}])
-        await built.until(lambda: not built.node.links.by_node)
+        await built.until(lambda: not built.node.links.connections_by_engine)
 
     play(work, holding(held))
 
@@ -107,7 +107,7 @@
         await built.until(lambda: built.computes[0].words(b"fetch"))
         built.feed.event(2, [member("node-0", built.computes[0].port, "removed")])
         assert (await client.answer(msgid))[0][0] == "Fault"
-        await built.until(lambda: not any(built.tables().values()) and not built.node.links.by_node, 1.0)
+        await built.until(lambda: not any(built.tables().values()) and not built.node.links.connections_by_engine, 1.0)
 
     play(work, nothing)
 
@@ -122,16 +122,16 @@
         msgid = client.call("frail", rid(1))
         await built.until(lambda: held)
         peer, name = held[0]
-        data = command(name, b"DONE", b"sheets=1,toil=5,room=7", ROWS)
-        (link,) = built.node.links.by_node[b"node-0"]
+        data = encode_command(name, b"DONE", b"sheets=1,toil=5,room=7", ROWS)
+        (link,) = built.node.links.connections_by_engine[b"node-0"]
         peer.raw(data[:20])
-        await built.until(lambda: link._parser.pending)
+        await built.until(lambda: link._parser.has_partial_array)
         peer.raw(data[20:])  # leaves at once, in this turn of the loop
-        link.look(link.loop.time() + 1.5, 30.0)
+        link.check_timeouts(link.loop.time() + 1.5, 30.0)
         assert await client.answer(msgid) == (None, [ROWS, {}])
         assert told == [Outcome.OK]
         link._parser.feed(b"*4")  # and one whose rest is not there has
-        link.look(link.loop.time() + 1.5, 30.0)
-        assert link.life.closed
+        link.check_timeouts(link.loop.time() + 1.5, 30.0)
+        assert link.lifecycle.is_closed
 
     play(work, holding(held))
--- a/tests/node/test_bad_clients.py
+++ b/tests/node/test_bad_clients.py
@@ -189,7 +189,7 @@
         assert (await client.answer(client.call("ask", rid(1))))[0] is None
         idle = next(iter(front.clients))
         await built.until(lambda: loop.time() > idle.idle_since + 0.15)
-        assert front.evict_now() and idle.life.closed and front.evicted_count == 1
+        assert front.evict_now() and idle.lifecycle.is_closed and front.evicted_count == 1
         client = await built.client()
         assert (await client.answer(client.call("ask", rid(2))))[0] is None
         assert not front.evict_now()  # a moment ago it was in use
@@ -306,7 +306,7 @@
         rests.idle_since = now()
         assert not front.evict_now()  # one was in use a moment ago, and makes way in another
         rests.idle_since -= 1.0
-        assert front.evict_now() and rests.life.closed and len(front.clients) == 1
+        assert front.evict_now() and rests.lifecycle.is_closed and len(front.clients) == 1
         assert front.evict_now() and await half.closed()  # nobody else is left
 
     play(work)
--- a/tests/node/test_ends.py
+++ b/tests/node/test_ends.py
@@ -19,7 +19,7 @@
     member,
 )
 
-from saffronlane.platform.errors import Spoilt
+from saffronlane.platform.errors import InvalidResponse
 from saffronlane.platform.upstream import attempt as sending_module
 from saffronlane.policy.gateway import MAX_REMOVED_ENGINES
 
@@ -46,7 +46,7 @@
         await built.until(lambda: not any(built.tables().values()) and not built.node.downstream.clients)
         node = built.node
         assert len(node.endpoints) == len(node.dispatcher._engines) == 1
-        assert len(node.links.by_node) <= 1
+        assert len(node.links.connections_by_engine) <= 1
         assert len(gateway.fleet.engines) == len(gateway.fleet.engine_by_digest) <= MAX_REMOVED_ENGINES + 1
         assert len(gateway.engine_selector.eligibility.rendezvous_order.cached_orders) <= 2
 
@@ -140,7 +140,7 @@
 def test_a_page_is_whole_rows_of_three_columns(page: bytes, good: bool) -> None:
     try:
         sending_module.check_page(page)
-    except Spoilt:
+    except InvalidResponse:
         assert not good
     else:
         assert good
--- a/tests/node/test_interleavings.py
+++ b/tests/node/test_interleavings.py
@@ -14,7 +14,7 @@
 import structlog
 from platform_world import ROWS, SETTINGS, Client, Peer, World, member
 
-from saffronlane.resp import command
+from saffronlane.resp import encode_command
 
 from .support import SyncClient, call, play, rid
 
@@ -36,7 +36,7 @@
             return
         name, loop = words[1], asyncio.get_running_loop()
         self.fetched[name] = self.fetched.get(name, 0) + 1
-        done = command(name, b"DONE", b"sheets=1,toil=5,room=7", ROWS)
+        done = encode_command(name, b"DONE", b"sheets=1,toil=5,room=7", ROWS)
         drawn = self.random.random()
         if drawn < 0.45:
             loop.call_later(self.random.choice((0.0, 0.0, 0.02, 0.3)), peer.done, name)
