--- a/saffronlane/platform/downstream/client_connection.py
+++ b/saffronlane/platform/downstream/client_connection.py
@@ -10,8 +10,8 @@
 
 from ... import msgpackrpc as rpc
 from ..errors import BadRequest
-from ..lifecycle import Bounds, Connection, Event
-from ..managed_connection import Endpoint
+from ..lifecycle import ConnectionLimits, ConnectionLifecycle, Event
+from ..managed_connection import ManagedConnection
 from ..stream import Stream
 
 if TYPE_CHECKING:
@@ -29,7 +29,7 @@
 FAULTS_MOST = 8  # messages that are wrong until the connection is closed
 PENALTY = 0.25  # seconds that the answer to one waits, so that its sender does not send the next at once
 SHED, FAULT = "Shed", "Fault"
-BOUNDS = Bounds(stall=IDLE)
+BOUNDS = ConnectionLimits(stall_timeout=IDLE)
 
 
 class Reply:
@@ -42,7 +42,7 @@
 
     @property
     def unread(self) -> bool:
-        return self.client.unheard
+        return self.client.has_unprocessed_input
 
     def served(self, body: bytes) -> None:
         self.client.answer(self, rpc.Reply(self.msgid, None, {}, body))
@@ -55,7 +55,7 @@
         self.client.answer(self, rpc.Reply(self.msgid, FAULT, {}))
 
 
-class ClientConnection(Endpoint):
+class ClientConnection(ManagedConnection):
     """Reads a client's requests and writes its answers.
 
     It is read all the time, whatever else is the matter with it: only so its client's going, and what the
@@ -66,7 +66,7 @@
         loop = asyncio.get_running_loop()
         stream = Stream(connection, 2 * MOST_MESSAGE, MOST_UNREAD)
         stream.set_nodelay(True)
-        super().__init__(stream, Connection(BOUNDS, loop.time()))
+        super().__init__(stream, ConnectionLifecycle(BOUNDS, loop.time()))
         self.front = front
         self.open: dict[int, tuple[int, bytes]] = {}  # request and its id by message id
         self.since = self.quiet_since = self.partial_since = self.heard_at = loop.time()
@@ -80,7 +80,7 @@
 
     # --- reading ---
 
-    def take(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         if not self._readable:
             return
         self.heard_at = self.loop.time()
@@ -89,7 +89,7 @@
         if began or messages:
             self.partial_since = self.heard_at
         for message in messages:
-            if not self.life.acts:
+            if not self.lifecycle.processes_input:
                 return
             try:
                 self._on_message(message)
@@ -114,7 +114,7 @@
         if isinstance(called, rpc.Notice):
             for msgid in called.ids if called.method == "forget" else ():
                 self._forget(msgid)
-        elif not self.life.takes:
+        elif not self.lifecycle.accepts_work:
             return  # it has sent too much that is wrong; what it has open is answered
         elif called.method == "isWell":
             self.write(rpc.reply(rpc.Reply(called.id, None, {}, self.front.well())))
@@ -176,7 +176,7 @@
     # --- answering ---
 
     @property
-    def owed(self) -> bool:
+    def has_pending_work(self) -> bool:
         return bool(self.open or self._late)
 
     def answer(self, reply: Reply, answer: rpc.Reply) -> None:
@@ -186,7 +186,7 @@
             self._at_rest()
 
     def _at_rest(self) -> None:
-        if not self.owed:
+        if not self.has_pending_work:
             self.quiet_since = self.loop.time()
             self.front.room.rests(self)
         self.settle()
@@ -194,15 +194,15 @@
     def write(self, data: bytes) -> None:
         """Leaves at the end of this turn of the loop with all else that does, in one piece."""
         self._out.append(data)
-        self.pour_soon()
+        self.schedule_flush()
 
-    def pour(self) -> None:
+    def flush(self) -> None:
         if self._out and not self.stream.closed():
             out, self._out = self._out, []
-            self.hand_over(b"".join(out))
+            self.write_to_stream(b"".join(out))
 
     @property
-    def queued(self) -> bool:
+    def has_queued_output(self) -> bool:
         return bool(self._out) and not self.stream.closed()
 
     # --- ending ---
@@ -212,31 +212,36 @@
         super().drain(why)
 
     def move(self, event: Event, why: str) -> None:
-        super().move(event, why)
-        if not (self.life.takes or self.life.closed):
+        super().handle_event(event, why)
+        if not (self.lifecycle.accepts_work or self.lifecycle.is_closed):
             self.front.room.closes(self)
 
     @property
     def at_rest(self) -> bool:
         """Nothing is open, under way, unwritten or unheard."""
-        under_way = self.owed or self.scanner.pending or self.unwritten or self.unheard
-        return self.life.takes and not under_way
+        under_way = (
+            self.has_pending_work
+            or self.scanner.pending
+            or self.has_pending_output
+            or self.has_unprocessed_input
+        )
+        return self.lifecycle.accepts_work and not under_way
 
     def look(self, now: float) -> None:
         """What only the absence of bytes can tell."""
-        if self.unwritten:
-            if self.unmoved() > BOUNDS.stall:
+        if self.has_pending_output:
+            if self.stalled_for() > BOUNDS.stall_timeout:
                 self.abort("its answers are not read")
-        elif not self.life.takes:
+        elif not self.lifecycle.accepts_work:
             return  # on its way out, within bounds of its own
         elif self.scanner.pending:
             if self._unfinished(now):
-                self.once_read(self._leave_unfinished)
-        elif not self.spoke and not self.owed:
+                self.call_after_pending_input(self._leave_unfinished)
+        elif not self.spoke and not self.has_pending_work:
             if now > self.since + FIRST_WAIT:
-                self.once_read(self._leave_idle)
+                self.call_after_pending_input(self._leave_idle)
         elif now > self.quiet_since + IDLE:
-            self.once_read(self._leave_idle)
+            self.call_after_pending_input(self._leave_idle)
 
     def _unfinished(self, now: float) -> bool:
         """Whether the rest of a message has had its time."""
@@ -245,7 +250,7 @@
 
     def _leave_unfinished(self) -> None:
         """A message whose rest does not come: what is open is answered, and nothing more is read."""
-        if self._unfinished(self.loop.time()) and not self.unheard:
+        if self._unfinished(self.loop.time()) and not self.has_unprocessed_input:
             self._readable = False
             self.drain("a message stopped short")
 
--- a/saffronlane/platform/downstream/connection_eviction.py
+++ b/saffronlane/platform/downstream/connection_eviction.py
@@ -47,14 +47,14 @@
     def rests(self, client: ClientConnection) -> None:
         """It has spoken, and nothing is open on it since now."""
         self.busy(client)
-        if client.life.takes:
+        if client.lifecycle.accepts_work:
             kind = self._used_again if client.asked > 1 else self._used_once
             kind[client] = None
 
     def closes(self, client: ClientConnection) -> None:
         """Nothing is taken from it any more."""
         self.busy(client)
-        if client.life.closing:
+        if client.lifecycle.is_closing:
             self._closing[client] = None
 
     def left(self, client: ClientConnection) -> None:
@@ -72,7 +72,7 @@
         never close its side; the longest idle. Where there is none of these, and not only for the moment, one
         that has sent half of its first message, which it may yet end.
         """
-        half_closed = (client for client in self._closing if client.life.state is State.HALF_CLOSED)
+        half_closed = (client for client in self._closing if client.lifecycle.state is State.HALF_CLOSED)
         client = self._oldest_silent(now) or next(half_closed, None) or self._longest_idle(now)
         if client is None and not (self._used_once or self._used_again):
             client = self._oldest_silent(now, unfinished=True)
@@ -84,7 +84,7 @@
             if client.since >= now - FRESH:
                 return None
             begun = bool(client.scanner.pending)
-            if client.life.takes and begun is unfinished and not client.unheard:
+            if client.lifecycle.accepts_work and begun is unfinished and not client.has_unprocessed_input:
                 return client
         return None
 
--- a/saffronlane/platform/downstream/server.py
+++ b/saffronlane/platform/downstream/server.py
@@ -105,7 +105,7 @@
             return
         client = self.room.to_displace(self._loop.time())
         if client is not None:
-            client.once_read(functools.partial(self._displace, client))
+            client.call_after_pending_input(functools.partial(self._displace, client))
 
     def _displace(self, client: ClientConnection) -> None:
         if client.at_rest:
@@ -117,7 +117,7 @@
         client = self.room.to_abort(self._loop.time())
         if client is None:
             return False
-        self.displaced += client.life.takes
+        self.displaced += client.lifecycle.accepts_work
         client.abort("room for another")
         return True
 
@@ -160,8 +160,8 @@
         now = self._loop.time()
         partial, unread = 0, 0.0
         for client in list(self.clients):
-            client.guarded(functools.partial(client.look, now))
-            if not client.life.closed:
+            client.run_isolated(functools.partial(client.look, now))
+            if not client.lifecycle.is_closed:
                 partial += client.scanner.pending
                 unread += client.backlog
                 if partial > MOST_PARTIAL:
@@ -175,18 +175,18 @@
     @property
     def owed(self) -> bool:
         """Whether an answer has not left."""
-        return any(client.owed or client.unwritten for client in self.clients)
+        return any(client.has_pending_work or client.has_pending_output for client in self.clients)
 
     def unread(self) -> bool:
         """Whether something waits to be accepted, or to be acted on. What can be accepted is."""
         waiting = self.listener.accept_waiting()
-        return waiting or any(client.stream.handed_over for client in self.clients)
+        return waiting or any(client.stream.has_undelivered_data for client in self.clients)
 
     def drain(self) -> None:
         """Listen no more, and end every connection gracefully."""
         self.listener.close()
         for client in list(self.clients):
-            client.guarded(functools.partial(client.drain, "the process ends"))
+            client.run_isolated(functools.partial(client.drain, "the process ends"))
 
     def close(self) -> None:
         """End at once."""
--- a/saffronlane/platform/lifecycle/__init__.py
+++ b/saffronlane/platform/lifecycle/__init__.py
@@ -1,6 +1,6 @@
 """When a connection, and when the process, may end: what is read, acted on and owed. No I/O, no clock."""
 
-from .connection import Bounds, Connection, Event, State
-from .process import Phase, Process
+from .connection import ConnectionLimits, ConnectionLifecycle, Event, State
+from .process import Phase, ProcessLifecycle
 
-__all__ = ["Bounds", "Connection", "Event", "Phase", "Process", "State"]
+__all__ = ["ConnectionLimits", "ConnectionLifecycle", "Event", "Phase", "ProcessLifecycle", "State"]
--- a/saffronlane/platform/lifecycle/connection.py
+++ b/saffronlane/platform/lifecycle/connection.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class ConnectionLimits:
     """Seconds, and bytes, that the states which wait for the peer may last.
 
     Attributes:
@@ -55,13 +55,13 @@
         linger_bytes: that are read and dropped meanwhile.
     """
 
-    connect: float = math.inf
-    stall: float = 5.0
-    linger: float = 0.5
-    linger_bytes: int = 1_048_576
+    connect_timeout: float = math.inf
+    stall_timeout: float = 5.0
+    linger_timeout: float = 0.5
+    max_linger_bytes: int = 1_048_576
 
 
-class Connection:
+class ConnectionLifecycle:
     """Where one connection is in its life.
 
     Args:
@@ -70,56 +70,58 @@
         outgoing: it has yet to come up.
     """
 
-    def __init__(self, bounds: Bounds, now: float, outgoing: bool = False) -> None:
+    def __init__(self, bounds: ConnectionLimits, now: float, outgoing: bool = False) -> None:
         self._bounds = bounds
         self.state = State.CONNECTING if outgoing else State.OPEN
-        self.until = now + bounds.connect if outgoing else math.inf  # when EXPIRED is due
+        self.deadline = now + bounds.connect_timeout if outgoing else math.inf  # when EXPIRED is due
         self._dropped = 0
 
-    def on(self, event: Event, now: float) -> State:
+    def handle(self, event: Event, now: float) -> State:
         """The state after an event. What has no meaning in a state changes nothing; nothing leaves CLOSED."""
         if self.state is State.CLOSED:
             return self.state
         after = State.CLOSED if event in _FINAL else _GRACEFUL.get((self.state, event), self.state)
         if after is not self.state:
-            self.state, self.until = after, now + self._bound(after)
+            self.state, self.deadline = after, now + self._bound(after)
         return after
 
     def _bound(self, state: State) -> float:
         if state is State.FLUSHING:
-            return self._bounds.stall
-        return self._bounds.linger if state is State.HALF_CLOSED else math.inf
+            return self._bounds.stall_timeout
+        return self._bounds.linger_timeout if state is State.HALF_CLOSED else math.inf
 
-    def wrote(self, now: float) -> None:
+    def record_write_progress(self, now: float) -> None:
         """Some bytes of ours have left: a slow peer is no stalled one."""
         if self.state is State.FLUSHING:
-            self.until = now + self._bounds.stall
+            self.deadline = now + self._bounds.stall_timeout
 
-    def drop(self, count: int, now: float) -> State:
+    def discard(self, count: int, now: float) -> State:
         """Bytes came that are not acted on; too many, and their sender is not waited for."""
         self._dropped += count
-        return self.on(Event.EXPIRED, now) if self._dropped > self._bounds.linger_bytes else self.state
+        return (
+            self.handle(Event.EXPIRED, now) if self._dropped > self._bounds.max_linger_bytes else self.state
+        )
 
     @property
-    def takes(self) -> bool:
+    def accepts_work(self) -> bool:
         """Whether new work may begin on it."""
         return self.state in (State.CONNECTING, State.OPEN)
 
     @property
-    def acts(self) -> bool:
+    def processes_input(self) -> bool:
         """Whether what is read is still acted on."""
         return self.state in (State.OPEN, State.DRAINING)
 
     @property
-    def writes(self) -> bool:
+    def allows_writes(self) -> bool:
         """Whether bytes may be handed to the socket."""
         return self.state in (State.OPEN, State.DRAINING, State.FLUSHING)
 
     @property
-    def closing(self) -> bool:
+    def is_closing(self) -> bool:
         """Nothing is open on it, and it waits for its peer alone."""
         return self.state in (State.FLUSHING, State.HALF_CLOSED)
 
     @property
-    def closed(self) -> bool:
+    def is_closed(self) -> bool:
         return self.state is State.CLOSED
--- a/saffronlane/platform/lifecycle/process.py
+++ b/saffronlane/platform/lifecycle/process.py
@@ -11,16 +11,16 @@
 from dataclasses import dataclass
 from enum import Enum
 
-STILL_COMING = 1.0  # seconds after SIGTERM in which requests may come, with a margin for a slow loop
-QUIET = 0.3  # seconds without a new one until the end
-DEADLINE_MOST = 3.0  # seconds that the longest deadline counts for, as the platform has it
+NEW_REQUEST_WINDOW = 1.0  # seconds after SIGTERM in which requests may come, with a margin for a slow loop
+QUIET_PERIOD = 0.3  # seconds without a new one until the end
+MAX_DEADLINE = 3.0  # seconds that the longest deadline counts for, as the platform has it
 KILL_AFTER = 0.7  # seconds from then to SIGKILL
-ANSWER_WITHIN = 0.25  # seconds before SIGKILL in which what is still owed is answered, and has to arrive
+ANSWER_MARGIN = 0.25  # seconds before SIGKILL in which what is still owed is answered, and has to arrive
 
 
-def patience(longest_deadline: float) -> float:
+def shutdown_grace_period(longest_deadline: float) -> float:
     """Seconds after SIGTERM for which answers are waited for."""
-    return min(longest_deadline, DEADLINE_MOST) + KILL_AFTER - ANSWER_WITHIN
+    return min(longest_deadline, MAX_DEADLINE) + KILL_AFTER - ANSWER_MARGIN
 
 
 class Phase(Enum):
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Debts:
+class OutstandingWork:
     """What the driver sees.
 
     Attributes:
@@ -41,13 +41,13 @@
         connections: of clients, those that linger among them.
     """
 
-    last_taken: float
-    owed: bool
-    unread: bool
-    connections: int
+    last_request_at: float
+    has_unanswered: bool
+    has_unread: bool
+    connection_count: int
 
 
-class Process:
+class ProcessLifecycle:
     """Where the process is.
 
     Args:
@@ -55,11 +55,11 @@
         patience: seconds after SIGTERM for which answers are waited for.
     """
 
-    def __init__(self, linger: float, patience: float) -> None:
-        self._linger, self._patience = linger, patience
+    def __init__(self, linger_timeout: float, grace_period: float) -> None:
+        self._linger, self._patience = linger_timeout, grace_period
         self.phase = Phase.SERVING
         # Asked twice, or SIGKILL is near: what is owed is answered at once, nothing more is waited for.
-        self.hurried = False
+        self.is_expedited = False
         self._since = -math.inf
 
     def terminate(self, now: float) -> None:
@@ -67,16 +67,20 @@
         if self.phase is Phase.SERVING:
             self.phase, self._since = Phase.DRAINING, now
         else:
-            self.hurried = True
+            self.is_expedited = True
 
-    def look(self, now: float, debts: Debts) -> Phase:
+    def advance(self, now: float, outstanding: OutstandingWork) -> Phase:
         """The phase now that this is so."""
         if self.phase is Phase.DRAINING and now >= self._since + self._patience:
-            self.hurried = True
-        if self.phase is Phase.DRAINING and not (debts.owed or debts.unread):
-            coming = now < self._since + STILL_COMING or now < debts.last_taken + QUIET
-            if self.hurried or not coming:
+            self.is_expedited = True
+        if self.phase is Phase.DRAINING and not (outstanding.has_unanswered or outstanding.has_unread):
+            coming = (
+                now < self._since + NEW_REQUEST_WINDOW or now < outstanding.last_request_at + QUIET_PERIOD
+            )
+            if self.is_expedited or not coming:
                 self.phase, self._since = Phase.CLOSING, now
-        elif self.phase is Phase.CLOSING and (not debts.connections or now >= self._since + self._linger):
+        elif self.phase is Phase.CLOSING and (
+            not outstanding.connection_count or now >= self._since + self._linger
+        ):
             self.phase = Phase.ENDED
         return self.phase
--- a/saffronlane/platform/server.py
+++ b/saffronlane/platform/server.py
@@ -22,9 +22,9 @@
 from .discovery.watch import Feed
 from .downstream import Front
 from .errors import ConfigError
-from .lifecycle import Bounds, Phase, Process
-from .lifecycle.process import Debts, patience
-from .upstream import LinkLimits, Links
+from .lifecycle import ConnectionLimits, Phase, ProcessLifecycle
+from .lifecycle.process import OutstandingWork, shutdown_grace_period
+from .upstream import UpstreamLimits, UpstreamPool
 
 log = structlog.get_logger()
 LOOK_EVERY = 0.02  # seconds between looks at what is owed, once the process ends
@@ -43,13 +43,13 @@
         self.fleet = Fleet(settings, self._loop.time, time.time)
         self.dispatcher = d.Dispatcher(settings, config.seed)
         shares, shortage = allot(config.sockets), Shortage()
-        limits = LinkLimits(
+        limits = UpstreamLimits(
             max_streams=settings.limits.max_concurrent_streams,
             connect_timeout=settings.limits.connect_timeout or CONNECT_TIMEOUT,
             idle_close=config.idle_close or IDLE_CLOSE,
-            most_links=shares.nodes,
+            max_connections=shares.nodes,
         )
-        self.links = Links(limits, self.fleet.address, shortage)
+        self.links = UpstreamPool(limits, self.fleet.address, shortage)
         self.peers: Peers | None = None
         if settings.limits.gossip and config.peer_listen is not None:
             self.peers = Peers(
@@ -60,7 +60,7 @@
         self.front = Front(self.executor, settings, shares.clients, self._well, shortage, memory)
         self.feed = Feed(config.feed, config.last, self._on_members, Random(config.seed), shortage)
         longest = max((cls.deadline for cls in settings.classes), default=0.0)
-        self.process = Process(Bounds().linger, patience(longest))
+        self.process = ProcessLifecycle(ConnectionLimits().linger_timeout, shutdown_grace_period(longest))
         self._hurrying = False
         self._ending: asyncio.Task[None] | None = None
         self._report_at = self._lag = 0.0
@@ -74,7 +74,7 @@
         update, gone = self.fleet.take(members)
         self.executor.feed(update)
         for engine in gone:
-            self.links.forget_engine(engine)
+            self.links.remove_engine(engine)
         changed = [f"{m.id} {m.phase} {m.up_since_ms:.0f}" for m in members.members if not members.complete]
         log.info("list", revision=members.revision, nodes=len(self.fleet), changed=changed)
 
@@ -125,14 +125,14 @@
     def stop(self) -> None:
         """Take what still comes, give every answer, end. A second call answers what is owed at once."""
         self.process.terminate(self._loop.time())
-        log.info("stopping", owed=self.dispatcher.pending_count, hurried=self.process.hurried)
+        log.info("stopping", owed=self.dispatcher.pending_count, hurried=self.process.is_expedited)
         if self._ending is None:
             self._ending = self._loop.create_task(self._finish())
         self._hurry()
 
     def _hurry(self) -> None:
         """Answer all that is owed, once, when there is no more time for it."""
-        if self.process.hurried and not self._hurrying:
+        if self.process.is_expedited and not self._hurrying:
             self._hurrying = True
             log.warning("answering what is owed", owed=self.dispatcher.pending_count)
             self.executor.feed(d.FinishDrain())
@@ -146,7 +146,7 @@
                 await asyncio.sleep(0)
                 # From here to `drain` nothing else runs: what is not there now crosses the close.
                 before = self.process.phase
-                if self.process.look(self._loop.time(), self._debts()) is Phase.CLOSING is not before:
+                if self.process.advance(self._loop.time(), self._debts()) is Phase.CLOSING is not before:
                     self.front.drain()
                 self._hurry()
         except Exception:
@@ -154,14 +154,14 @@
         finally:  # guards against a process that was told to end and never does
             self.ended.set()
 
-    def _debts(self) -> Debts:
+    def _debts(self) -> OutstandingWork:
         front = self.front
         owed = bool(self.dispatcher.pending_count or self.executor.pending or front.owed)
         unread = self.process.phase is Phase.DRAINING and not owed and front.unread()
         # Guards against an end while connections are full: the system has taken those that wait outside,
         # and what they sent is owed. Room is made in some hundredths of a second, if the end can wait.
-        unread = unread or (front.listener.paused and not self.process.hurried)
-        return Debts(front.last_taken, owed, unread, len(front.clients))
+        unread = unread or (front.listener.paused and not self.process.is_expedited)
+        return OutstandingWork(front.last_taken, owed, unread, len(front.clients))
 
     async def run(self) -> None:
         await self.ended.wait()
--- a/saffronlane/platform/stream.py
+++ b/saffronlane/platform/stream.py
@@ -7,27 +7,27 @@
 
 from tornado.iostream import IOStream
 
-CHUNK = 65_536
+READ_CHUNK_BYTES = 65_536
 
 
 class Stream(IOStream):
     """A TCP connection whose bytes are counted exactly."""
 
-    def __init__(self, connection: socket.socket, most_unread: int, most_unwritten: int) -> None:
+    def __init__(self, connection: socket.socket, max_unread_bytes: int, max_unwritten_bytes: int) -> None:
         super().__init__(
             connection,
-            max_buffer_size=most_unread,
-            read_chunk_size=CHUNK,
-            max_write_buffer_size=most_unwritten,
+            max_buffer_size=max_unread_bytes,
+            read_chunk_size=READ_CHUNK_BYTES,
+            max_write_buffer_size=max_unwritten_bytes,
         )
 
     @property
-    def written(self) -> int:
+    def bytes_written(self) -> int:
         """Bytes that the system has taken. No other can have reached the peer."""
         return self._total_write_done_index
 
     @property
-    def accepted(self) -> int:
+    def bytes_accepted(self) -> int:
         """Bytes that were handed to `write`."""
         return self._total_write_index
 
@@ -47,13 +47,13 @@
         """
         with contextlib.suppress(OSError):
             while self._read_buffer_size < (self.max_buffer_size or 0):
-                data = self.socket.recv(CHUNK)
+                data = self.socket.recv(READ_CHUNK_BYTES)
                 if not data:
                     return
                 self._read_buffer += data
                 self._read_buffer_size += len(data)
 
-    def shut_write(self) -> None:
+    def shutdown_write(self) -> None:
         """Half-close: the peer reads our end, and what it has sent is not reset."""
         if self.closed():  # the system told of the peer's end, and the reader's turn is yet to come
             return
@@ -73,6 +73,6 @@
             return b""
 
     @property
-    def handed_over(self) -> bool:
+    def has_undelivered_data(self) -> bool:
         """Whether bytes that were read wait for the reader's turn of the loop."""
         return not self.closed() and not self.reading()
--- a/saffronlane/platform/upstream/__init__.py
+++ b/saffronlane/platform/upstream/__init__.py
@@ -4,7 +4,7 @@
 byte goes to the client, so that a spoilt page is the end of an attempt and never the client's.
 """
 
-from .limits import LinkLimits
-from .pool import Links
+from .limits import UpstreamLimits
+from .pool import UpstreamPool
 
-__all__ = ["LinkLimits", "Links"]
+__all__ = ["UpstreamLimits", "UpstreamPool"]
--- a/saffronlane/platform/upstream/attempt.py
+++ b/saffronlane/platform/upstream/attempt.py
@@ -46,7 +46,7 @@
     @property
     def may_have_run(self) -> bool:
         """Whether its node can have it whole: only then can it have run there."""
-        return bool(self.left_at) and self.link is not None and self.link.stream.written >= self.ends_at
+        return bool(self.left_at) and self.link is not None and self.link.stream.bytes_written >= self.ends_at
 
     @property
     def whole(self) -> bool:
--- a/saffronlane/platform/upstream/connection.py
+++ b/saffronlane/platform/upstream/connection.py
@@ -12,14 +12,14 @@
 from ...interface import Outcome
 from ...resp import Parser
 from ..config import Address
-from ..lifecycle import Bounds, Connection, Event
-from ..managed_connection import Endpoint
-from ..stream import CHUNK, Stream
+from ..lifecycle import ConnectionLimits, ConnectionLifecycle, Event
+from ..managed_connection import ManagedConnection
+from ..stream import READ_CHUNK_BYTES, Stream
 from .attempt import Sending
 from .client import client_of
 
 if TYPE_CHECKING:
-    from .pool import Links
+    from .pool import UpstreamPool
 
 log = structlog.get_logger()
 MOST_WORD = 8_192  # bytes of a word: a page has 6,000 at most
@@ -29,18 +29,18 @@
 MOST_PUT_OFF = 3  # times that an attempt waits for its client to be read
 STALL = 0.5  # seconds without a byte for an answer that has begun: nodes write one at once
 TRICKLE = 1.0  # seconds for the whole of an answer that has begun, however it trickles
-BOUNDS = Bounds(stall=0.5, linger=0.25)
+BOUNDS = ConnectionLimits(stall_timeout=0.5, linger_timeout=0.25)
 
 
-class NodeConnection(Endpoint):
+class NodeConnection(ManagedConnection):
     """Writes commands and reads answers. What has not been handed over can still be taken back."""
 
-    def __init__(self, owner: Links, engine: bytes, address: Address) -> None:
+    def __init__(self, owner: UpstreamPool, engine: bytes, address: Address) -> None:
         """OSError where the system gives no socket."""
         loop = asyncio.get_running_loop()
         stream = Stream(socket.socket(), MOST_UNREAD, MOST_UNWRITTEN)
-        bounds = Bounds(owner.limits.connect_timeout, BOUNDS.stall, BOUNDS.linger)
-        super().__init__(stream, Connection(bounds, loop.time(), outgoing=True))
+        bounds = ConnectionLimits(owner.limits.connect_timeout, BOUNDS.stall_timeout, BOUNDS.linger_timeout)
+        super().__init__(stream, ConnectionLifecycle(bounds, loop.time(), outgoing=True))
         self.owner, self.engine, self.address = owner, engine, address
         self.open: dict[bytes, Sending] = {}
         self.spent: set[bytes] = set()  # a late answer to one must not pass for another attempt's
@@ -52,13 +52,13 @@
         self._parser = Parser(4, MOST_WORD)
 
     @property
-    def owed(self) -> bool:
+    def has_pending_work(self) -> bool:
         return bool(self.open or self.probes)
 
     def takes(self, request_id: bytes, most: int) -> bool:
         # The stream knows of a break before the reader's turn comes: its write buffer is gone by then.
         return (
-            self.life.takes
+            self.lifecycle.accepts_work
             and not self.stream.closed()
             and len(self.open) < most
             and request_id not in self.open
@@ -71,17 +71,17 @@
     def write(self, data: bytes, sending: Sending | None = None) -> None:
         """Leaves at the end of this turn of the loop with all else that does, in one piece."""
         self._out.append((sending, data))
-        self.pour_soon()
+        self.schedule_flush()
 
     def take_back(self, sending: Sending) -> None:
         self._out = [(other, data) for other, data in self._out if other is not sending]
         self._put_off = [(other, data) for other, data in self._put_off if other is not sending]
 
     @property
-    def queued(self) -> bool:
+    def has_queued_output(self) -> bool:
         return bool(self._out or self._put_off) and not self.stream.closed()
 
-    def pour(self) -> None:
+    def flush(self) -> None:
         """Hand over what waits, unless the node leaves unread what went before.
 
         Guards against attempts that a client takes back while the node does not read: what waits here can
@@ -93,10 +93,10 @@
             if self.stream.peek() == b"":
                 # Guards against a fetch into a connection that its node has closed, of which only the loop
                 # does not know yet: it would count as one that may have run.
-                self.move(Event.EOF, "it had closed")
+                self.handle_event(Event.EOF, "it had closed")
                 return
             size = count = 0
-            while count < len(self._out) and (not count or size < CHUNK):
+            while count < len(self._out) and (not count or size < READ_CHUNK_BYTES):
                 size += len(self._out[count][1])
                 count += 1
             out, self._out = self._out[:count], self._out[count:]
@@ -116,7 +116,7 @@
             self._put_off += [one for one in self._out if one[0] in unheard]
             self._out = [one for one in self._out if one[0] not in unheard]
             # Read in the second turn, told to the decisions, and acted on by the fourth.
-            self.once_read(functools.partial(self.once_read, self._on_heard))
+            self.call_after_pending_input(functools.partial(self.call_after_pending_input, self._on_heard))
 
     @staticmethod
     def _unheard_of(sending: Sending) -> bool:
@@ -126,16 +126,16 @@
 
     def _on_heard(self) -> None:
         self._out, self._put_off = self._out + self._put_off, []
-        self._pour()
+        self._flush_and_settle()
 
     def _hand_over_all(self, out: list[tuple[Sending | None, bytes]]) -> bool:
         """Some commands, in one write; false: the connection has broken."""
-        before, now = self.stream.accepted, self.loop.time()
+        before, now = self.stream.bytes_accepted, self.loop.time()
         for sending, data in out:
             before += len(data)
             if sending is not None and not sending.left_at:
                 sending.left_at, sending.ends_at = now, before
-        if self.hand_over(b"".join(data for _, data in out)) and not self.stream.closed():
+        if self.write_to_stream(b"".join(data for _, data in out)) and not self.stream.closed():
             return True
         # It broke at this write, or unseen before it. What did not leave whole ends at once; answers that
         # came before the break are still the reader's to take.
@@ -158,31 +158,31 @@
         self.came_up = True
         self.heard_at = self.loop.time()
 
-    def take(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         self.byte_at = now = self.loop.time()
         began = not self._parser.pending
         answers, error = self._parser.feed(data)
         if began or answers:
             self.partial_since = now
         for words in answers:
-            if not self.life.acts:
+            if not self.lifecycle.processes_input:
                 return
             self.heard_at = now
             self.owner.on_answer(self, words)
         if error is not None:
-            self.move(Event.BROKEN, str(error))
+            self.handle_event(Event.BROKEN, str(error))
 
     def look(self, now: float, idle_most: float) -> None:
         """What only the absence of bytes can tell."""
-        if not self.life.acts:
+        if not self.lifecycle.processes_input:
             return
         if self._parser.pending:
             # Guards against an answer that trickles: each byte would put its end off, and all others on
             # the connection wait behind it. Where the loop itself was late, its rest may be there.
             late = now > self.byte_at + STALL or now > self.partial_since + TRICKLE
-            if late and not self.unheard:
+            if late and not self.has_unprocessed_input:
                 self.abort("an answer stopped short")
-        elif not self.owed and now > self.idle_since + idle_most:
+        elif not self.has_pending_work and now > self.idle_since + idle_most:
             self.drain("idle")
 
     # --- ending ---
@@ -194,13 +194,13 @@
 
     def rest(self) -> None:
         """Something has ended here; the last one may end the connection."""
-        if not self.owed:
+        if not self.has_pending_work:
             self.idle_since = self.loop.time()
             self.settle()
 
     def on_closed(self, event: Event, why: str) -> None:
         """Tell of each attempt what its bytes prove."""
-        if self.owed:
+        if self.has_pending_work:
             name = self.engine.decode("utf-8", "replace")
             log.info("link broke", engine=name, open=len(self.open), why=why)
         self.owner.dropped(self)
--- a/saffronlane/platform/upstream/limits.py
+++ b/saffronlane/platform/upstream/limits.py
@@ -6,10 +6,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LinkLimits:
+class UpstreamLimits:
     """Counts and seconds."""
 
     max_streams: int = 32
     connect_timeout: float = 0.25
     idle_close: float = 30.0
-    most_links: int = 64  # to all nodes together
+    max_connections: int = 64  # to all nodes together
--- a/saffronlane/platform/upstream/pool.py
+++ b/saffronlane/platform/upstream/pool.py
@@ -17,7 +17,7 @@
 from .attempt import Sending
 from .client import client_of
 from .connection import MOST_SPENT, NodeConnection
-from .limits import LinkLimits
+from .limits import UpstreamLimits
 from .response_assembler import Answers
 
 log = structlog.get_logger()
@@ -26,7 +26,7 @@
 LOOK_EVERY = 0.25
 
 
-class Links:
+class UpstreamPool:
     """Runs attempts at compute nodes.
 
     Args:
@@ -36,12 +36,12 @@
     """
 
     def __init__(
-        self, limits: LinkLimits, address: Callable[[bytes], Address | None], shortage: Shortage
+        self, limits: UpstreamLimits, address: Callable[[bytes], Address | None], shortage: Shortage
     ) -> None:
         self.limits, self._address, self._shortage = limits, address, shortage
         self._loop = asyncio.get_running_loop()
         self._executor: Executor
-        self.by_node: dict[bytes, list[NodeConnection]] = {}
+        self.connections_by_engine: dict[bytes, list[NodeConnection]] = {}
         self._answers = Answers(self.ended)
         self._tag = 0
         self._look = self._loop.call_later(LOOK_EVERY, self._on_look)
@@ -121,18 +121,18 @@
         self._loop.call_later(self.limits.connect_timeout, self._on_probe_timeout, link, tag)
 
     def close_idle(self, engine: bytes) -> None:
-        for link in list(self.by_node.get(engine, ())):
-            if link.life.takes and not link.owed:
+        for link in list(self.connections_by_engine.get(engine, ())):
+            if link.lifecycle.accepts_work and not link.has_pending_work:
                 link.drain("idle")
 
     def forgotten(self, attempt: Attempt) -> None:
         if self._address(attempt.engine) is None:
-            self.forget_engine(attempt.engine)
+            self.remove_engine(attempt.engine)
 
-    def forget_engine(self, engine: bytes) -> None:
+    def remove_engine(self, engine: bytes) -> None:
         """A node has gone from the list: nothing of it stays once its last attempt has ended."""
-        for link in list(self.by_node.get(engine, ())):
-            link.guarded(functools.partial(link.drain, "its node has gone"))
+        for link in list(self.connections_by_engine.get(engine, ())):
+            link.run_isolated(functools.partial(link.drain, "its node has gone"))
 
     def close(self) -> None:
         """End at once."""
@@ -143,13 +143,13 @@
     # --- connections ---
 
     def _all(self) -> list[NodeConnection]:
-        return [link for links in self.by_node.values() for link in links]
+        return [link for links in self.connections_by_engine.values() for link in links]
 
     @property
-    def in_use(self) -> int:
+    def connections_in_use(self) -> int:
         """Connections, but for the few that only wait for their node to close."""
         links = self._all()
-        lingering = sum(link.life.closing for link in links)
+        lingering = sum(link.lifecycle.is_closing for link in links)
         return len(links) - min(lingering, LINGER_MOST)
 
     def _link(self, engine: bytes, request_id: bytes) -> NodeConnection | None:
@@ -157,14 +157,14 @@
         address = self._address(engine)
         if address is None:
             return None
-        for link in list(self.by_node.get(engine, ())):
+        for link in list(self.connections_by_engine.get(engine, ())):
             if link.address != address:
                 link.drain("its node has moved")
         most = self.limits.max_streams or 32
-        able = [link for link in self.by_node.get(engine, ()) if link.takes(request_id, most)]
+        able = [link for link in self.connections_by_engine.get(engine, ()) if link.takes(request_id, most)]
         if able:
             return min(able, key=lambda link: (not link.came_up, len(link.open)))
-        if self.in_use >= self.limits.most_links and not self._make_room():
+        if self.connections_in_use >= self.limits.max_connections and not self._make_room():
             return None
         return self._open(engine, address)
 
@@ -178,7 +178,7 @@
                 if not self._make_room():
                     return None
             else:
-                self.by_node.setdefault(engine, []).append(link)
+                self.connections_by_engine.setdefault(engine, []).append(link)
                 link.start()
                 return link
         return None
@@ -190,10 +190,10 @@
         idle for long, and an attempt at one more would find no way there.
         """
         links = self._all()
-        lingering = [link for link in links if link.life.closing]
+        lingering = [link for link in links if link.lifecycle.is_closing]
         for link in lingering[: max(0, len(lingering) + 1 - LINGER_MOST)]:  # their descriptors are needed
             link.abort("room for another")
-        idle = [link for link in links if link.life.takes and not link.owed]
+        idle = [link for link in links if link.lifecycle.accepts_work and not link.has_pending_work]
         longest = min(idle, key=lambda link: link.idle_since, default=None)
         if longest is not None:
             longest.drain("room for another")
@@ -201,17 +201,17 @@
 
     def dropped(self, link: NodeConnection) -> None:
         """A connection is closed."""
-        links = self.by_node.get(link.engine)
+        links = self.connections_by_engine.get(link.engine)
         if links is not None and link in links:
             links.remove(link)
             if not links:
-                del self.by_node[link.engine]
+                del self.connections_by_engine[link.engine]
 
     def _on_look(self) -> None:
         self._look = self._loop.call_later(LOOK_EVERY, self._on_look)  # first: no fault is its last
         now, idle_most = self._loop.time(), IDLE_SHARE * self.limits.idle_close
         for link in self._all():
-            link.guarded(functools.partial(link.look, now, idle_most))
+            link.run_isolated(functools.partial(link.look, now, idle_most))
 
     # --- answers ---
 
--- a/tests/node/test_bad_clients.py
+++ b/tests/node/test_bad_clients.py
@@ -189,7 +189,7 @@
         assert (await client.answer(client.call("ask", rid(1))))[0] is None
         idle = next(iter(front.clients))
         await built.until(lambda: loop.time() > idle.quiet_since + 0.15)
-        assert front.make_room() and idle.life.closed and front.displaced == 1
+        assert front.make_room() and idle.lifecycle.is_closed and front.displaced == 1
         client = await built.client()
         assert (await client.answer(client.call("ask", rid(2))))[0] is None
         assert not front.make_room()  # a moment ago it was in use
@@ -262,7 +262,9 @@
         __hash__, __eq__ = object.__hash__, object.__eq__  # each is itself, as connections are
 
     def one(asked: int, quiet_since: float) -> Any:
-        return Resting(asked=asked, quiet_since=quiet_since, at_rest=True, life=SimpleNamespace(takes=True))
+        return Resting(
+            asked=asked, quiet_since=quiet_since, at_rest=True, lifecycle=SimpleNamespace(accepts_work=True)
+        )
 
     room = Room(10)
     again = [one(2, 100.0 + n) for n in range(6)]
@@ -300,7 +302,7 @@
         rests.quiet_since = now()
         assert not front.make_room()  # one was in use a moment ago, and makes way in another
         rests.quiet_since -= 1.0
-        assert front.make_room() and rests.life.closed and len(front.clients) == 1
+        assert front.make_room() and rests.lifecycle.is_closed and len(front.clients) == 1
         assert front.make_room() and await half.closed()  # nobody else is left
 
     play(work)
--- a/tests/node/test_certainty.py
+++ b/tests/node/test_certainty.py
@@ -65,10 +65,10 @@
         node = RawNode()
         told = outcomes(built)
         await one_link(built, node)
-        pour = NodeConnection.pour
+        pour = NodeConnection.flush
 
         def crossed(link: NodeConnection) -> None:
-            if link.engine == b"raw" and link.queued:
+            if link.engine == b"raw" and link.has_queued_output:
                 node.reset()
                 node.listener.close()
                 from platform_world import member
@@ -76,7 +76,7 @@
                 built.feed.event(3, [member("node-0", built.computes[0].port)])
             pour(link)
 
-        monkeypatch.setattr(NodeConnection, "pour", crossed)
+        monkeypatch.setattr(NodeConnection, "flush", crossed)
         client = await built.client()
         answered = await client.answer(client.call("frail", rid(1)))
         assert set(told[:-1]) == {Outcome.CONNECT_FAILED} and answered == (None, [ROWS, {}])
@@ -173,10 +173,10 @@
 
         from saffronlane.resp import command
 
-        pour = NodeConnection.pour
+        pour = NodeConnection.flush
 
         def crossed(one: NodeConnection) -> None:
-            if one is link and link.queued:
+            if one is link and link.has_queued_output:
                 done = command(rid(1).encode(), b"DONE", b"sheets=1,toil=5,room=7", ROWS)
                 assert node.connection is not None
                 node.connection.sendall(done)
@@ -185,7 +185,7 @@
                 built.feed.event(3, [member("node-0", built.computes[0].port)])
             pour(one)
 
-        monkeypatch.setattr(NodeConnection, "pour", crossed)
+        monkeypatch.setattr(NodeConnection, "flush", crossed)
         second = client.call("frail", rid(2))
         assert await client.answer(first) == (None, [ROWS, {}])
         assert await client.answer(second) == (None, [ROWS, {}])
@@ -204,19 +204,19 @@
     """
 
     async def work(built: World) -> None:
-        told, pour, crossed = outcomes(built), NodeConnection.pour, []
+        told, pour, crossed = outcomes(built), NodeConnection.flush, []
         client = await built.client()
         assert (await client.answer(client.call("ask", rid(1))))[0] is None
-        (link,) = built.node.links.by_node[b"node-0"]
+        (link,) = built.node.links.connections_by_engine[b"node-0"]
 
         def cross(one: NodeConnection) -> None:
-            if one is link and one.queued and not crossed:
+            if one is link and one.has_queued_output and not crossed:
                 crossed.append(one)
                 peer = built.computes[0].peers[0]
                 peer.writer.transport.get_extra_info("socket").shutdown(socket.SHUT_WR)
             pour(one)
 
-        monkeypatch.setattr(NodeConnection, "pour", cross)
+        monkeypatch.setattr(NodeConnection, "flush", cross)
         assert await client.answer(client.call("frail", rid(2))) == (None, [ROWS, {}])
         assert crossed and told == [Outcome.OK, Outcome.OK]
         assert not built.node.dispatcher.gateway.fleet.engines[b"node-0"].failure_ratio
@@ -231,11 +231,13 @@
         client = await built.client()
         assert (await client.answer(client.call("ask", rid(1))))[0] is None
         links = built.node.links
-        (link,) = links.by_node[b"node-0"]
+        (link,) = links.connections_by_engine[b"node-0"]
         link.stream.close()  # as where the system told of the node's end in this turn of the loop
-        links.forget_engine(b"node-0")
+        links.remove_engine(b"node-0")
         assert await client.answer(client.call("ask", rid(2))) == (None, [ROWS, {}])
-        await built.until(lambda: link.life.closed and link not in links.by_node.get(b"node-0", ()))
+        await built.until(
+            lambda: link.lifecycle.is_closed and link not in links.connections_by_engine.get(b"node-0", ())
+        )
 
     play(work)
 
@@ -248,7 +250,7 @@
         client = await built.client()
         assert (await client.answer(client.call("ask", rid(1))))[0] is None
         links = built.node.links
-        (link,) = next(iter(links.by_node.values()))
+        (link,) = next(iter(links.connections_by_engine.values()))
         begin = links.begin
 
         def crossed(attempt: Any) -> None:
@@ -352,7 +354,7 @@
         assert (await client.answer(client.call("ask", rid(2))))[0] is None
         held[0][0].done(held[0][1])
         assert await client.answer(first) == (None, [ROWS, {}])
-        await built.until(lambda: len(built.node.links.by_node[b"node-0"]) == 1)
+        await built.until(lambda: len(built.node.links.connections_by_engine[b"node-0"]) == 1)
 
     play(work, holding(held))
 
@@ -363,10 +365,10 @@
     async def work(built: World) -> None:
         links = built.node.links
         links.probe(b"node-0")
-        (link,) = links.by_node[b"node-0"]
+        (link,) = links.connections_by_engine[b"node-0"]
         await built.until(lambda: built.computes[0].words(b"alive"))
         link.drain("its node has gone")
-        assert not link.life.closing
-        await built.until(lambda: not links.by_node, 1.5)
+        assert not link.lifecycle.is_closing
+        await built.until(lambda: not links.connections_by_engine, 1.5)
 
     play(work, silent)
--- a/tests/node/test_closing.py
+++ b/tests/node/test_closing.py
@@ -16,7 +16,7 @@
 from saffronlane.platform import managed_connection as endpoint
 from saffronlane.platform import stream
 from saffronlane.platform.downstream import client_connection as connection
-from saffronlane.platform.lifecycle import Bounds, Phase
+from saffronlane.platform.lifecycle import ConnectionLimits, Phase
 from saffronlane.platform.upstream.connection import NodeConnection
 
 from .support import SyncClient, call, hold_connections, paged, play, rid, silent, slow_client
@@ -39,7 +39,7 @@
         async def script(peer: Peer, words: list[bytes]) -> None:
             if words[0] == b"fetch":
                 # The noise is there, and more of it, before the answer comes.
-                await built.until(lambda: not any(c.life.takes for c in front.clients))
+                await built.until(lambda: not any(c.lifecycle.accepts_work for c in front.clients))
                 client.send(NOISE * 50)
                 peer.done(words[1])
 
@@ -77,13 +77,13 @@
         client = SyncClient(front.port)
         client.send(call(1))
         await built.until(lambda: front.taken == 1 and built.computes[0].words(b"fetch"))
-        shut = stream.Stream.shut_write
+        shut = stream.Stream.shutdown_write
 
         def cross(one: stream.Stream) -> None:
             client.send(call(2, rid=rid(2)))
             shut(one)
 
-        monkeypatch.setattr(stream.Stream, "shut_write", cross)
+        monkeypatch.setattr(stream.Stream, "shutdown_write", cross)
         data, reset = await client.rest()
         assert not reset and [told[1] for told in messages(data)] == [1]
         await built.until(lambda: not front.clients)
@@ -120,7 +120,7 @@
 
     async def work(built: World) -> None:
         async with slow_client(built, 10) as (client, one):
-            assert one.unwritten
+            assert one.has_pending_output
             loop, data = asyncio.get_running_loop(), b""
             began = loop.time()
             while len(data) < 10 * pages * len(page):
@@ -204,7 +204,7 @@
 
 def test_one_that_reads_nothing_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
     """Bounded: answers that nobody reads do not keep the connection, nor the process at its end."""
-    monkeypatch.setattr(connection, "BOUNDS", connection.Bounds(stall=0.4))
+    monkeypatch.setattr(connection, "BOUNDS", connection.ConnectionLimits(stall_timeout=0.4))
     page = (b"x" * 2990 + b"\ty\tz\n") * 2
 
     async def work(built: World) -> None:
@@ -222,7 +222,7 @@
         client.socket.setblocking(False)
         loop = asyncio.get_running_loop()
         await loop.sock_sendall(client.socket, NOISE)
-        await built.until(lambda: any(c.life.closing for c in front.clients))
+        await built.until(lambda: any(c.lifecycle.is_closing for c in front.clients))
         with pytest.raises(ConnectionError):
             async with asyncio.timeout(5.0):
                 while True:
@@ -356,7 +356,7 @@
     """
 
     async def work(built: World) -> None:
-        pour, crossed = NodeConnection.pour, []
+        pour, crossed = NodeConnection.flush, []
         client = SyncClient(built.node.front.port)
         if way.startswith("forget"):
             client.send(call(9, rid=rid(9)))
@@ -377,12 +377,12 @@
                     client.send(msgspec.msgpack.encode([2, "forget", [1]]))
                 (one,) = built.node.front.clients
                 if "told" in way:  # to the front, and the decisions are stepped later in this turn
-                    one.take(msgspec.msgpack.encode([2, "forget", [1]]))
+                    one.receive(msgspec.msgpack.encode([2, "forget", [1]]))
                 if "read" in way:  # and not acted on yet
                     one.stream._handle_events(one.stream.fileno(), IOLoop.READ)
             pour(link)
 
-        monkeypatch.setattr(NodeConnection, "pour", cross)
+        monkeypatch.setattr(NodeConnection, "flush", cross)
         client.send(call(1, rid=rid(1)))
         await built.until(lambda: crossed and not built.tables()["open"])
         other = await built.client()
@@ -400,7 +400,7 @@
     so long, and the connection was closed over it and all that was open there."""
 
     async def work(built: World) -> None:
-        monkeypatch.setattr(connection, "BOUNDS", Bounds(stall=0.2))
+        monkeypatch.setattr(connection, "BOUNDS", ConnectionLimits(stall_timeout=0.2))
         looked, client = [], await built.client()
         waiting = client.call("ask", rid(2))
         await built.until(lambda: held)
@@ -410,7 +410,7 @@
 
         def crossed(data: bytes) -> None:
             write(data)
-            looked.append(one.unwritten)
+            looked.append(one.has_pending_output)
             one.look(one.loop.time())
 
         monkeypatch.setattr(one, "write", crossed)
@@ -435,7 +435,7 @@
     """Its client resets it; the system has told the stream, and the reader's turn is yet to come."""
     client.reset()
     one.stream._handle_events(one.stream.fileno(), IOLoop.READ)
-    assert one.stream.closed() and not one.life.closed
+    assert one.stream.closed() and not one.lifecycle.is_closed
 
 
 def test_an_end_that_its_reader_has_not_seen_takes_no_other_connection_with_it(
@@ -500,7 +500,7 @@
         front, links = built.node.front, built.node.links
         client = await built.client()
         assert (await client.answer(client.call("ask", rid(1))))[0] is None
-        (link,) = links.by_node[b"node-0"]
+        (link,) = links.connections_by_engine[b"node-0"]
         first = SyncClient(front.port)
         await built.until(lambda: len(front.clients) == 2)
         struck = [list(front.clients)[1], link]
@@ -515,7 +515,7 @@
             monkeypatch.setattr(kind, "look", look)
         second = SyncClient(front.port)
         assert (await first.rest(), await second.rest()) == ((b"", False), (b"", False))
-        await built.until(lambda: link.life.closed)
+        await built.until(lambda: link.lifecycle.is_closed)
         assert await client.answer(client.call("ask", rid(2))) == (None, [ROWS, {}])
         third = SyncClient(front.port)
         assert await third.rest() == (b"", False)
@@ -570,15 +570,15 @@
 
     async def work(built: World) -> None:
         client, sent = SyncClient(built.node.front.port), [1]
-        pour = NodeConnection.pour
+        pour = NodeConnection.flush
 
         def cross(link: NodeConnection) -> None:
-            if link.queued and sent[-1] < 20:
+            if link.has_queued_output and sent[-1] < 20:
                 sent.append(sent[-1] + 1)
                 client.send(call(sent[-1], rid=rid(sent[-1])))
             pour(link)
 
-        monkeypatch.setattr(NodeConnection, "pour", cross)
+        monkeypatch.setattr(NodeConnection, "flush", cross)
         client.send(call(1, rid=rid(1)))
         await built.until(lambda: built.node.front.taken == 20 and not any(built.tables().values()))
         client.socket.shutdown(socket.SHUT_WR)
@@ -601,12 +601,12 @@
             turns: list[int] = []
             data = msgspec.msgpack.encode([0, 1, "isWell", [{}]])
 
-            def more(self: endpoint.Endpoint, found: bytes) -> None:
+            def more(self: endpoint.ManagedConnection, found: bytes) -> None:
                 if len(turns) < 200:
                     flood.send(data)  # the next bytes are there before these are done with
                 turns.append(len(turns))
 
-            monkeypatch.setattr(type(one), "take", more)
+            monkeypatch.setattr(type(one), "receive", more)
             others: list[int] = []
 
             def other() -> None:
--- a/tests/node/test_descriptors.py
+++ b/tests/node/test_descriptors.py
@@ -113,8 +113,8 @@
         links.probe(b"node-0")
         await built.until(lambda: built.computes[0].words(b"alive"))
         built.computes[0].peers[0].send(b"p1", b"FIT", b"-", b"")
-        (link,) = links.by_node[b"node-0"]
-        await built.until(lambda: not link.owed)
+        (link,) = links.connections_by_engine[b"node-0"]
+        await built.until(lambda: not link.has_pending_work)
         real, tries = connection_module.socket.socket, []
 
         def once(*args: Any) -> socket.socket:
@@ -124,7 +124,7 @@
             return real(*args)
 
         monkeypatch.setattr(connection_module.socket, "socket", once)
-        assert links._link(b"node-1", b"x") is not None and not link.life.takes
+        assert links._link(b"node-1", b"x") is not None and not link.lifecycle.accepts_work
         monkeypatch.setattr(connection_module.socket, "socket", real)
 
     play(work, answer, answer)
--- a/tests/node/test_ends.py
+++ b/tests/node/test_ends.py
@@ -46,7 +46,7 @@
         await built.until(lambda: not any(built.tables().values()) and not built.node.front.clients)
         node = built.node
         assert len(node.fleet) == len(node.dispatcher._engines) == 1
-        assert len(node.links.by_node) <= 1
+        assert len(node.links.connections_by_engine) <= 1
         assert len(gateway.fleet.engines) == len(gateway.fleet.engine_by_digest) <= GONE_MOST + 1
         assert len(gateway.engine_selector.eligibility.rendezvous_order.cached_orders) <= 2
 
--- a/tests/node/test_lifecycle.py
+++ b/tests/node/test_lifecycle.py
@@ -9,10 +9,22 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from saffronlane.platform.lifecycle import Bounds, Connection, Event, Phase, Process, State
-from saffronlane.platform.lifecycle.process import QUIET, STILL_COMING, Debts, patience
+from saffronlane.platform.lifecycle import (
+    ConnectionLimits,
+    ConnectionLifecycle,
+    Event,
+    Phase,
+    ProcessLifecycle,
+    State,
+)
+from saffronlane.platform.lifecycle.process import (
+    QUIET_PERIOD,
+    NEW_REQUEST_WINDOW,
+    OutstandingWork,
+    shutdown_grace_period,
+)
 
-BOUNDS = Bounds(connect=0.25, stall=5.0, linger=0.5, linger_bytes=1000)
+BOUNDS = ConnectionLimits(connect_timeout=0.25, stall_timeout=5.0, linger_timeout=0.5, max_linger_bytes=1000)
 WAYS: dict[State, tuple[Event, ...]] = {
     State.CONNECTING: (),
     State.OPEN: (Event.CONNECTED,),
@@ -33,10 +45,10 @@
 ENDS = (Event.EOF, Event.BROKEN, Event.EXPIRED, Event.ABORT)
 
 
-def reached(state: State, now: float = 100.0) -> Connection:
-    life = Connection(BOUNDS, now, outgoing=True)
+def reached(state: State, now: float = 100.0) -> ConnectionLifecycle:
+    life = ConnectionLifecycle(BOUNDS, now, outgoing=True)
     for event in WAYS[state]:
-        life.on(event, now)
+        life.handle(event, now)
     assert life.state is state
     return life
 
@@ -46,7 +58,7 @@
 def test_every_state_with_every_event(state: State, event: Event) -> None:
     life = reached(state)
     expected = State.CLOSED if event in ENDS else NEXT[state].get(event, state)
-    assert life.on(event, 101.0) is expected
+    assert life.handle(event, 101.0) is expected
 
 
 @pytest.mark.parametrize(
@@ -62,7 +74,12 @@
 )
 def test_what_each_state_allows(state: State, takes: bool, acts: bool, writes: bool, closing: bool) -> None:
     life = reached(state)
-    assert (life.takes, life.acts, life.writes, life.closing) == (takes, acts, writes, closing)
+    assert (life.accepts_work, life.processes_input, life.allows_writes, life.is_closing) == (
+        takes,
+        acts,
+        writes,
+        closing,
+    )
 
 
 @pytest.mark.parametrize(
@@ -76,19 +93,19 @@
     ],
 )
 def test_what_waits_for_the_peer_has_a_bound(state: State, until: float) -> None:
-    assert reached(state).until == until
+    assert reached(state).deadline == until
 
 
 def test_a_slow_peer_is_no_stalled_one() -> None:
     life = reached(State.FLUSHING)
-    life.wrote(104.0)
-    assert life.until == 109.0
+    life.record_write_progress(104.0)
+    assert life.deadline == 109.0
 
 
 def test_a_flood_ends_the_lingering() -> None:
     life = reached(State.HALF_CLOSED)
-    assert life.drop(1000, 100.1) is State.HALF_CLOSED
-    assert life.drop(1, 100.1) is State.CLOSED
+    assert life.discard(1000, 100.1) is State.HALF_CLOSED
+    assert life.discard(1, 100.1) is State.CLOSED
 
 
 @settings(max_examples=300, stateful_step_count=30)
@@ -98,18 +115,18 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
-        self.life = Connection(BOUNDS, self.now, outgoing=True)
+        self.life = ConnectionLifecycle(BOUNDS, self.now, outgoing=True)
         self.seen = [self.life.state]
 
     @rule(event=st.sampled_from(Event), wait=st.floats(0.0, 1.0))
     def happens(self, event: Event, wait: float) -> None:
         self.now += wait
-        self.seen.append(self.life.on(event, self.now))
+        self.seen.append(self.life.handle(event, self.now))
 
     @rule(count=st.integers(0, 600))
     def bytes_come(self, count: int) -> None:
-        if not self.life.acts and not self.life.closed:
-            self.seen.append(self.life.drop(count, self.now))
+        if not self.life.processes_input and not self.life.is_closed:
+            self.seen.append(self.life.discard(count, self.now))
 
     @invariant()
     def goes_on(self) -> None:
@@ -119,14 +136,14 @@
 
     @invariant()
     def has_a_bound(self) -> None:
-        if self.life.closing or self.life.state is State.CONNECTING:
-            assert self.life.until < math.inf
+        if self.life.is_closing or self.life.state is State.CONNECTING:
+            assert self.life.deadline < math.inf
 
     @invariant()
     def promises_hold(self) -> None:
         life = self.life
-        assert not (life.takes and life.closing)
-        assert not (life.closed and (life.takes or life.acts or life.writes))
+        assert not (life.accepts_work and life.is_closing)
+        assert not (life.is_closed and (life.accepts_work or life.processes_input or life.allows_writes))
 
 
 TestAnyOrder = AnyOrder.TestCase
@@ -134,46 +151,48 @@
 # --- the process ---
 
 
-def debts(owed: bool = False, unread: bool = False, last: float = 0.0, connections: int = 1) -> Debts:
-    return Debts(last, owed, unread, connections)
+def debts(
+    owed: bool = False, unread: bool = False, last: float = 0.0, connections: int = 1
+) -> OutstandingWork:
+    return OutstandingWork(last, owed, unread, connections)
 
 
-def ending(now: float = 100.0) -> Process:
-    process = Process(linger=0.5, patience=60.0)
+def ending(now: float = 100.0) -> ProcessLifecycle:
+    process = ProcessLifecycle(linger_timeout=0.5, grace_period=60.0)
     process.terminate(now)
     return process
 
 
 def test_nothing_ends_a_process_that_was_not_told() -> None:
-    process = Process(linger=0.5, patience=60.0)
-    assert process.look(1e6, debts(connections=0)) is Phase.SERVING
+    process = ProcessLifecycle(linger_timeout=0.5, grace_period=60.0)
+    assert process.advance(1e6, debts(connections=0)) is Phase.SERVING
 
 
 def test_requests_may_come_for_a_while() -> None:
     process = ending()
-    assert process.look(100.0 + STILL_COMING - 0.01, debts()) is Phase.DRAINING
-    assert process.look(100.0 + STILL_COMING, debts()) is Phase.CLOSING
+    assert process.advance(100.0 + NEW_REQUEST_WINDOW - 0.01, debts()) is Phase.DRAINING
+    assert process.advance(100.0 + NEW_REQUEST_WINDOW, debts()) is Phase.CLOSING
 
 
 def test_one_that_comes_late_puts_the_end_off() -> None:
     process = ending()
-    last = 100.0 + STILL_COMING - 0.05
-    assert process.look(last + QUIET - 0.01, debts(last=last)) is Phase.DRAINING
-    assert process.look(last + QUIET, debts(last=last)) is Phase.CLOSING
+    last = 100.0 + NEW_REQUEST_WINDOW - 0.05
+    assert process.advance(last + QUIET_PERIOD - 0.01, debts(last=last)) is Phase.DRAINING
+    assert process.advance(last + QUIET_PERIOD, debts(last=last)) is Phase.CLOSING
 
 
 @pytest.mark.parametrize("what", [{"owed": True}, {"unread": True}])
 def test_nothing_closes_while_something_is_owed_or_unread(what: dict[str, bool]) -> None:
     process = ending()
     process.terminate(100.1)
-    assert process.look(150.0, debts(**what)) is Phase.DRAINING
+    assert process.advance(150.0, debts(**what)) is Phase.DRAINING
 
 
 def test_asked_twice_it_waits_for_no_more_requests() -> None:
     process = ending()
-    assert process.look(100.1, debts()) is Phase.DRAINING
+    assert process.advance(100.1, debts()) is Phase.DRAINING
     process.terminate(100.1)
-    assert process.look(100.1, debts()) is Phase.CLOSING
+    assert process.advance(100.1, debts()) is Phase.CLOSING
 
 
 @pytest.mark.parametrize(
@@ -181,20 +200,20 @@
 )
 def test_what_is_owed_is_answered_before_the_kill(longest: float, until: float) -> None:
     """SIGKILL comes 0.7 s after the longest deadline, which counts as 3 s where it is longer."""
-    assert patience(longest) == pytest.approx(until)
-    process = Process(linger=0.5, patience=patience(longest))
+    assert shutdown_grace_period(longest) == pytest.approx(until)
+    process = ProcessLifecycle(linger_timeout=0.5, grace_period=shutdown_grace_period(longest))
     process.terminate(100.0)
-    process.look(100.0 + until - 0.01, debts(owed=True))
-    assert not process.hurried
-    process.look(100.0 + until, debts(owed=True))
-    assert process.hurried and process.phase is Phase.DRAINING
+    process.advance(100.0 + until - 0.01, debts(owed=True))
+    assert not process.is_expedited
+    process.advance(100.0 + until, debts(owed=True))
+    assert process.is_expedited and process.phase is Phase.DRAINING
 
 
 def test_it_ends_with_the_last_connection_or_in_time() -> None:
     process = ending()
-    assert process.look(102.0, debts()) is Phase.CLOSING
-    assert process.look(102.49, debts()) is Phase.CLOSING
-    assert process.look(102.3, debts(connections=0)) is Phase.ENDED
+    assert process.advance(102.0, debts()) is Phase.CLOSING
+    assert process.advance(102.49, debts()) is Phase.CLOSING
+    assert process.advance(102.3, debts(connections=0)) is Phase.ENDED
     process = ending()
-    process.look(102.0, debts())
-    assert process.look(102.5, debts()) is Phase.ENDED
+    process.advance(102.0, debts())
+    assert process.advance(102.5, debts()) is Phase.ENDED
--- a/tests/node/test_sigterm.py
+++ b/tests/node/test_sigterm.py
@@ -17,7 +17,7 @@
 from saffronlane.platform import server as node_module
 from saffronlane.platform import stream
 from saffronlane.platform.lifecycle import Phase
-from saffronlane.platform.lifecycle.process import STILL_COMING, Debts
+from saffronlane.platform.lifecycle.process import NEW_REQUEST_WINDOW, OutstandingWork
 
 from .support import SyncClient, call, own_process, paged, play, rid, silent, slow_client
 
@@ -39,7 +39,7 @@
     between two readings of the clock, the process's and the test's, which ended it uncrossed.
     """
     process, loop, crossed = built.node.process, asyncio.get_running_loop(), []
-    sleep, look = asyncio.sleep, process.look
+    sleep, look = asyncio.sleep, process.advance
 
     async def last(seconds: float) -> None:
         await sleep(seconds)
@@ -47,11 +47,11 @@
             crossed.append(True)
             cross()
 
-    def decide(now: float, debts: Debts) -> Phase:
-        return look(max(now, after + STILL_COMING) if crossed else min(now, before + 0.5), debts)
+    def decide(now: float, debts: OutstandingWork) -> Phase:
+        return look(max(now, after + NEW_REQUEST_WINDOW) if crossed else min(now, before + 0.5), debts)
 
     monkeypatch.setattr(node_module.asyncio, "sleep", last)
-    monkeypatch.setattr(process, "look", decide)
+    monkeypatch.setattr(process, "advance", decide)
     before = loop.time()
     built.node.stop()
     after = loop.time()
@@ -115,11 +115,11 @@
         ours, theirs = socket.socketpair()
         one = stream.Stream(ours, 1_000_000, 1_000_000)
         reading = one.read_bytes(100, partial=True)
-        assert not one.handed_over
+        assert not one.has_undelivered_data
         theirs.send(b"x")
         await asyncio.sleep(0)
         await asyncio.sleep(0)
-        assert one.handed_over and await reading == b"x"
+        assert one.has_undelivered_data and await reading == b"x"
         one.close()
         theirs.close()
 
@@ -310,14 +310,14 @@
     """Whatever its last state was, nothing of a connection stays once the node has been closed."""
 
     async def work(built: World) -> None:
-        made: list[endpoint.Endpoint] = []
-        start = endpoint.Endpoint.start
+        made: list[endpoint.ManagedConnection] = []
+        start = endpoint.ManagedConnection.start
 
-        def kept(one: endpoint.Endpoint) -> None:
+        def kept(one: endpoint.ManagedConnection) -> None:
             made.append(one)
             start(one)
 
-        endpoint.Endpoint.start = kept  # type: ignore[method-assign]
+        endpoint.ManagedConnection.start = kept  # type: ignore[method-assign]
         try:
             clients = [await built.client() for _ in range(6)]
             for n, client in enumerate(clients):
@@ -326,7 +326,7 @@
             await built.until(lambda: built.tables()["open"])
             built.node.close()
         finally:
-            endpoint.Endpoint.start = start  # type: ignore[method-assign]
-        assert made and all(one.life.closed and not one.owed for one in made)
+            endpoint.ManagedConnection.start = start  # type: ignore[method-assign]
+        assert made and all(one.lifecycle.is_closed and not one.has_pending_work for one in made)
 
     play(work, silent)
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -236,7 +236,7 @@
             "attempts": len(gateway.in_flight.attempts),
             "held": len(gateway.pending.queued),
             "ids": len(node.front.ids),
-            "open": sum(len(link.open) for links in node.links.by_node.values() for link in links),
+            "open": sum(len(link.open) for links in node.links.connections_by_engine.values() for link in links),
         }
 
     def close(self) -> None:
