--- a/saffronlane/lab/fleet/nodes.py
+++ b/saffronlane/lab/fleet/nodes.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ...resp import Parser, command
+from ...resp import RespParser, encode_command
 from ..model import EngineShape, Machine, Run
 from .addresses import Address
 from .record import Record
@@ -35,7 +35,7 @@
 
     def say(self, *words: bytes) -> None:
         if not self.dead and not self.writer.is_closing():
-            self.writer.write(command(*words))
+            self.writer.write(encode_command(*words))
 
     def reset(self) -> None:
         sock = self.writer.get_extra_info("socket")
@@ -122,7 +122,7 @@
         task = asyncio.current_task()
         assert task is not None
         self._tasks.add(task)
-        link, parser = _Link(writer), Parser(8, 1_000_000)
+        link, parser = _Link(writer), RespParser(8, 1_000_000)
         self.links.add(link)
         self.connections += 1
         try:
@@ -206,7 +206,7 @@
             return
         fields = b"sheets=1,toil=%d,room=1" % round(1e3 * query.run.work)
         if self.stalls:  # half of an answer, and then nothing more on this connection
-            whole = command(query.rid, b"DONE", fields, ROWS)
+            whole = encode_command(query.rid, b"DONE", fields, ROWS)
             link.writer.write(whole[: len(whole) // 2])
             link.dead = True
             self.record.add("lost", **named)
--- a/saffronlane/platform/downstream/client_connection.py
+++ b/saffronlane/platform/downstream/client_connection.py
@@ -10,7 +10,7 @@
 
 from ... import msgpackrpc as rpc
 from ..errors import BadRequest
-from ..lifecycle import ConnectionLimits, ConnectionLifecycle, Event
+from ..lifecycle import ConnectionLifecycle, ConnectionLimits, Event
 from ..managed_connection import ManagedConnection
 from ..stream import Stream
 
@@ -41,17 +41,17 @@
         self.client, self.msgid, self.rid = client, msgid, rid
 
     @property
-    def unread(self) -> bool:
+    def has_unprocessed_input(self) -> bool:
         return self.client.has_unprocessed_input
 
-    def served(self, body: bytes) -> None:
+    def send_result(self, body: bytes) -> None:
         self.client.answer(self, rpc.Reply(self.msgid, None, {}, body))
 
-    def refused(self, retry_after: float) -> None:
+    def send_rejection(self, retry_after: float) -> None:
         fields = {"backoff": str(max(1, round(retry_after * 1000.0)))} if retry_after > 0.0 else {}
         self.client.answer(self, rpc.Reply(self.msgid, SHED, fields))
 
-    def failed(self, why: str) -> None:
+    def send_failure(self, why: str) -> None:
         self.client.answer(self, rpc.Reply(self.msgid, FAULT, {}))
 
 
@@ -211,7 +211,7 @@
         self._end_penalties()
         super().drain(why)
 
-    def move(self, event: Event, why: str) -> None:
+    def handle_event(self, event: Event, why: str) -> None:
         super().handle_event(event, why)
         if not (self.lifecycle.accepts_work or self.lifecycle.is_closed):
             self.front.room.closes(self)
@@ -227,7 +227,7 @@
         )
         return self.lifecycle.accepts_work and not under_way
 
-    def look(self, now: float) -> None:
+    def check_timeouts(self, now: float) -> None:
         """What only the absence of bytes can tell."""
         if self.has_pending_output:
             if self.stalled_for() > BOUNDS.stall_timeout:
--- a/saffronlane/platform/downstream/server.py
+++ b/saffronlane/platform/downstream/server.py
@@ -160,7 +160,7 @@
         now = self._loop.time()
         partial, unread = 0, 0.0
         for client in list(self.clients):
-            client.run_isolated(functools.partial(client.look, now))
+            client.run_isolated(functools.partial(client.check_timeouts, now))
             if not client.lifecycle.is_closed:
                 partial += client.scanner.pending
                 unread += client.backlog
--- a/saffronlane/platform/errors.py
+++ b/saffronlane/platform/errors.py
@@ -26,7 +26,7 @@
     remedy = "Have the client correct the field that the text names; nothing is wrong here."
 
 
-class Spoilt(SaffronlaneError):
+class InvalidResponse(SaffronlaneError):
     """An answer that is not what the protocol allows."""
 
     remedy = "Look at that compute node and the network to it; the attempt has gone elsewhere."
--- a/saffronlane/platform/managed_connection.py
+++ b/saffronlane/platform/managed_connection.py
@@ -25,7 +25,7 @@
     def __init__(self, stream: Stream, life: ConnectionLifecycle) -> None:
         self.loop = asyncio.get_running_loop()
         self.stream, self.lifecycle = stream, life
-        self._pouring = False
+        self._is_flush_scheduled = False
         self._progress = (0, self.loop.time())  # bytes of ours that had left, and when that was seen
         self._expiry: asyncio.TimerHandle | None = None
         self._task: asyncio.Task[None] | None = None
@@ -99,16 +99,16 @@
 
     def schedule_flush(self) -> None:
         """What is written in one turn of the loop leaves at its end in one piece."""
-        if not self._pouring:
+        if not self._is_flush_scheduled:
             if not self.stream.writing():
                 # Guards against a close over the first answer in a long time: in the turn in which it is
                 # queued, nothing has left since the one before it, and that is no stall.
                 self._progress = self.stream.bytes_written, self.loop.time()
-            self._pouring = True
+            self._is_flush_scheduled = True
             self.loop.call_soon(self._flush_and_settle)
 
     def _flush_and_settle(self) -> None:
-        self._pouring = False
+        self._is_flush_scheduled = False
         if self.lifecycle.allows_writes:
             self.flush()
         if self.lifecycle.is_closing or self.lifecycle.state is State.DRAINING:
--- a/saffronlane/platform/server.py
+++ b/saffronlane/platform/server.py
@@ -46,7 +46,7 @@
         limits = UpstreamLimits(
             max_streams=settings.limits.max_concurrent_streams,
             connect_timeout=settings.limits.connect_timeout or CONNECT_TIMEOUT,
-            idle_close=config.idle_close or IDLE_CLOSE,
+            idle_timeout=config.idle_close or IDLE_CLOSE,
             max_connections=shares.nodes,
         )
         self.links = UpstreamPool(limits, self.fleet.address, shortage)
--- a/saffronlane/platform/upstream/client.py
+++ b/saffronlane/platform/upstream/client.py
@@ -7,20 +7,20 @@
 from ...engines.executor import Request
 
 
-class Client(Protocol):
+class ResponseSink(Protocol):
     """Where an answer goes."""
 
     @property
-    def unread(self) -> bool:
+    def has_unprocessed_input(self) -> bool:
         """Whether it has sent something, or gone, and that has not been read yet."""
 
-    def served(self, body: bytes) -> None: ...
+    def send_result(self, body: bytes) -> None: ...
 
-    def refused(self, retry_after: float) -> None: ...
+    def send_rejection(self, retry_after: float) -> None: ...
 
-    def failed(self, why: str) -> None: ...
+    def send_failure(self, why: str) -> None: ...
 
 
-def client_of(request: Request) -> Client:
-    client: Client = request.sink
+def response_sink(request: Request) -> ResponseSink:
+    client: ResponseSink = request.sink
     return client
--- a/saffronlane/platform/upstream/limits.py
+++ b/saffronlane/platform/upstream/limits.py
@@ -11,5 +11,5 @@
 
     max_streams: int = 32
     connect_timeout: float = 0.25
-    idle_close: float = 30.0
+    idle_timeout: float = 30.0
     max_connections: int = 64  # to all nodes together
--- a/saffronlane/platform/upstream/pool.py
+++ b/saffronlane/platform/upstream/pool.py
@@ -11,14 +11,14 @@
 from ... import dispatch as d
 from ...engines.executor import Attempt, Executor, Request
 from ...interface import Outcome, ProbeResult
-from ...resp import command
+from ...resp import encode_command
 from ..config import Address
 from ..descriptors import Shortage
-from .attempt import Sending
-from .client import client_of
-from .connection import MOST_SPENT, NodeConnection
+from .attempt import UpstreamAttempt
+from .client import response_sink
+from .connection import MAX_RETIRED_IDS, UpstreamConnection
 from .limits import UpstreamLimits
-from .response_assembler import Answers
+from .response_assembler import ResponseAssembler
 
 log = structlog.get_logger()
 IDLE_SHARE = 0.7  # of the time after which nodes close idle connections, when ours close
@@ -38,11 +38,11 @@
     def __init__(
         self, limits: UpstreamLimits, address: Callable[[bytes], Address | None], shortage: Shortage
     ) -> None:
-        self.limits, self._address, self._shortage = limits, address, shortage
+        self.limits, self._address_of, self._shortage = limits, address, shortage
         self._loop = asyncio.get_running_loop()
         self._executor: Executor
-        self.connections_by_engine: dict[bytes, list[NodeConnection]] = {}
-        self._answers = Answers(self.ended)
+        self.connections_by_engine: dict[bytes, list[UpstreamConnection]] = {}
+        self._answers = ResponseAssembler(self.end_attempt)
         self._tag = 0
         self._look = self._loop.call_later(LOOK_EVERY, self._on_look)
 
@@ -52,34 +52,36 @@
     # --- what the executor asks for ---
 
     def start(self, request: Request, effect: d.StartAttempt, started: float) -> Attempt:
-        return Sending(request, effect.attempt, effect.engine, effect, started)
+        return UpstreamAttempt(request, effect.attempt, effect.engine, effect, started)
 
     def begin(self, attempt: Attempt) -> None:
-        assert isinstance(attempt, Sending)
+        assert isinstance(attempt, UpstreamAttempt)
         statement, effect = attempt.statement, attempt.effect
-        link = self._link(attempt.engine, statement.id)
+        link = self._select_connection(attempt.engine, statement.id)
         if link is None:
-            self.ended(attempt, Outcome.NOT_SENT)
+            self.end_attempt(attempt, Outcome.NOT_SENT)
             return
-        attempt.link = link
-        link.open[statement.id] = attempt
-        attempt.timer = self._loop.call_at(attempt.started + effect.timeout, self._on_timeout, attempt)
+        attempt.connection = link
+        link.attempts[statement.id] = attempt
+        attempt.timeout_timer = self._loop.call_at(
+            attempt.started + effect.timeout, self._on_timeout, attempt
+        )
         told = [b"c=" + statement.cls, b"w=%d" % max(1, round(effect.timeout * 1000.0))]
         if statement.token:
             told.append(b"i=" + statement.token)
         if effect.grant_mb >= 1.0:
             told.append(b"allot=%d" % round(effect.grant_mb))
-        link.write(command(b"fetch", statement.id, b",".join(told), statement.body), attempt)
+        link.enqueue(encode_command(b"fetch", statement.id, b",".join(told), statement.body), attempt)
 
-    def relink(self, sending: Sending) -> None:
+    def reassign(self, sending: UpstreamAttempt) -> None:
         """Begin again, once, on another connection to its node: nothing of it has left."""
-        sending.relinked = True
-        if sending.timer is not None:
-            sending.timer.cancel()
+        sending.was_reassigned = True
+        if sending.timeout_timer is not None:
+            sending.timeout_timer.cancel()
         self.begin(sending)
 
     def cancel(self, attempt: Attempt) -> None:
-        assert isinstance(attempt, Sending)
+        assert isinstance(attempt, UpstreamAttempt)
         self._give_up(attempt, Outcome.CANCELLED)
 
     def discard(self, attempt: Attempt) -> None:
@@ -91,33 +93,33 @@
         self.recall(attempt)
 
     def recall(self, attempt: Attempt) -> None:
-        assert isinstance(attempt, Sending)
-        if not attempt.left_at:
+        assert isinstance(attempt, UpstreamAttempt)
+        if not attempt.sent_at:
             self._give_up(attempt, Outcome.NOT_SENT)
 
     def commit(self, attempt: Attempt) -> None:
         """Results are whole before they are told; nothing waits for this."""
 
     def serve(self, request: Request, attempt: Attempt, fault: bool) -> None:
-        assert isinstance(attempt, Sending)
-        client_of(request).served(attempt.result())
+        assert isinstance(attempt, UpstreamAttempt)
+        response_sink(request).send_result(attempt.result())
 
     def refuse(self, request: Request, retry_after: float, why: str) -> None:
-        client_of(request).refused(retry_after)
+        response_sink(request).send_rejection(retry_after)
 
     def fail(self, request: Request, why: str) -> None:
-        client_of(request).failed(why)
+        response_sink(request).send_failure(why)
 
     def probe(self, engine: bytes) -> None:
         self._tag += 1
         tag = b"p%d" % self._tag
-        link = self._link(engine, tag)
+        link = self._select_connection(engine, tag)
         if link is None:
             self._executor.feed(ProbeResult(engine, Outcome.NOT_SENT, 0.0))
             return
         link.probes[tag] = self._loop.time()
         word = b"stats" if self._executor.dispatcher.settings.report_columns else b"alive"
-        link.write(command(word, tag))
+        link.enqueue(encode_command(word, tag))
         self._loop.call_later(self.limits.connect_timeout, self._on_probe_timeout, link, tag)
 
     def close_idle(self, engine: bytes) -> None:
@@ -126,7 +128,7 @@
                 link.drain("idle")
 
     def forgotten(self, attempt: Attempt) -> None:
-        if self._address(attempt.engine) is None:
+        if self._address_of(attempt.engine) is None:
             self.remove_engine(attempt.engine)
 
     def remove_engine(self, engine: bytes) -> None:
@@ -142,7 +144,7 @@
 
     # --- connections ---
 
-    def _all(self) -> list[NodeConnection]:
+    def _all(self) -> list[UpstreamConnection]:
         return [link for links in self.connections_by_engine.values() for link in links]
 
     @property
@@ -152,26 +154,28 @@
         lingering = sum(link.lifecycle.is_closing for link in links)
         return len(links) - min(lingering, LINGER_MOST)
 
-    def _link(self, engine: bytes, request_id: bytes) -> NodeConnection | None:
+    def _select_connection(self, engine: bytes, request_id: bytes) -> UpstreamConnection | None:
         """The least busy connection that may carry it, or a new one; None: no address, or no room."""
-        address = self._address(engine)
+        address = self._address_of(engine)
         if address is None:
             return None
         for link in list(self.connections_by_engine.get(engine, ())):
             if link.address != address:
                 link.drain("its node has moved")
         most = self.limits.max_streams or 32
-        able = [link for link in self.connections_by_engine.get(engine, ()) if link.takes(request_id, most)]
+        able = [
+            link for link in self.connections_by_engine.get(engine, ()) if link.has_capacity(request_id, most)
+        ]
         if able:
-            return min(able, key=lambda link: (not link.came_up, len(link.open)))
+            return min(able, key=lambda link: (not link.is_established, len(link.attempts)))
         if self.connections_in_use >= self.limits.max_connections and not self._make_room():
             return None
         return self._open(engine, address)
 
-    def _open(self, engine: bytes, address: Address) -> NodeConnection | None:
+    def _open(self, engine: bytes, address: Address) -> UpstreamConnection | None:
         for _ in range(2):
             try:
-                link = NodeConnection(self, engine, address)
+                link = UpstreamConnection(self, engine, address)
             except OSError as error:
                 if not self._shortage.met(error, "connect"):
                     log.error("no socket", why=str(error))
@@ -199,7 +203,7 @@
             longest.drain("room for another")
         return longest is not None
 
-    def dropped(self, link: NodeConnection) -> None:
+    def remove_connection(self, link: UpstreamConnection) -> None:
         """A connection is closed."""
         links = self.connections_by_engine.get(link.engine)
         if links is not None and link in links:
@@ -209,75 +213,75 @@
 
     def _on_look(self) -> None:
         self._look = self._loop.call_later(LOOK_EVERY, self._on_look)  # first: no fault is its last
-        now, idle_most = self._loop.time(), IDLE_SHARE * self.limits.idle_close
+        now, idle_most = self._loop.time(), IDLE_SHARE * self.limits.idle_timeout
         for link in self._all():
-            link.run_isolated(functools.partial(link.look, now, idle_most))
+            link.run_isolated(functools.partial(link.check_timeouts, now, idle_most))
 
     # --- answers ---
 
-    def on_answer(self, link: NodeConnection, words: list[bytes]) -> None:
+    def on_response(self, link: UpstreamConnection, words: list[bytes]) -> None:
         """One whole answer. Under an id that is not open here it belongs to nothing, and is dropped."""
-        sending = link.open.get(words[0])
-        if sending is None or not sending.left_at:
+        sending = link.attempts.get(words[0])
+        if sending is None or not sending.sent_at:
             self._on_probe_answer(link, words)
             return
-        self._answers.take(link, sending, words)
+        self._answers.receive(link, sending, words)
 
     # --- ends ---
 
-    def _on_timeout(self, sending: Sending) -> None:
-        if not sending.left_at:
+    def _on_timeout(self, sending: UpstreamAttempt) -> None:
+        if not sending.sent_at:
             self._give_up(sending, Outcome.CONNECT_FAILED)
         else:
             self._give_up(sending, Outcome.TIMEOUT)
 
-    def _give_up(self, sending: Sending, outcome: Outcome) -> None:
+    def _give_up(self, sending: UpstreamAttempt, outcome: Outcome) -> None:
         """End an attempt from this side; what never left ends as that."""
-        link = sending.link
-        if sending.over or link is None:
+        link = sending.connection
+        if sending.is_ended or link is None:
             return
-        if not sending.left_at:
-            link.take_back(sending)
-            failed = outcome is Outcome.CONNECT_FAILED and not link.came_up
-            self.ended(sending, outcome if failed else Outcome.NOT_SENT)
+        if not sending.sent_at:
+            link.withdraw(sending)
+            failed = outcome is Outcome.CONNECT_FAILED and not link.is_established
+            self.end_attempt(sending, outcome if failed else Outcome.NOT_SENT)
             return
-        link.write(command(b"abort", sending.statement.id))
-        quiet = self._loop.time() - sending.left_at
-        self.ended(sending, outcome)
+        link.enqueue(encode_command(b"abort", sending.statement.id))
+        quiet = self._loop.time() - sending.sent_at
+        self.end_attempt(sending, outcome)
         # Guards against a machine that has vanished or a link that was cut: open connections stay open and
         # say nothing. A new connection finds out, and an answer in between proves the old one well.
-        silent = link.heard_at <= sending.left_at and quiet > self.limits.connect_timeout
-        if silent or len(link.spent) > MOST_SPENT:
+        silent = link.last_response_at <= sending.sent_at and quiet > self.limits.connect_timeout
+        if silent or len(link.retired_ids) > MAX_RETIRED_IDS:
             link.drain("silent" if silent else "left for another")
 
-    def _on_probe_answer(self, link: NodeConnection, words: list[bytes]) -> None:
+    def _on_probe_answer(self, link: UpstreamConnection, words: list[bytes]) -> None:
         if words[0] in link.probes and len(words) > 1 and words[1] in (b"FIT", b"UNFIT"):
             outcome = Outcome.OK if words[1] == b"FIT" else Outcome.ERROR
             self._end_probe(link, words[0], outcome)
 
-    def _on_probe_timeout(self, link: NodeConnection, tag: bytes) -> None:
+    def _on_probe_timeout(self, link: UpstreamConnection, tag: bytes) -> None:
         if tag in link.probes:
             self._end_probe(link, tag, Outcome.TIMEOUT)
 
-    def _end_probe(self, link: NodeConnection, tag: bytes, outcome: Outcome) -> None:
+    def _end_probe(self, link: UpstreamConnection, tag: bytes, outcome: Outcome) -> None:
         self.probed(link, tag, outcome, link.probes.pop(tag))
-        link.rest()
+        link.release_if_idle()
 
-    def probed(self, link: NodeConnection, tag: bytes, outcome: Outcome, since: float) -> None:
+    def probed(self, link: UpstreamConnection, tag: bytes, outcome: Outcome, since: float) -> None:
         self._executor.feed(ProbeResult(link.engine, outcome, self._loop.time() - since))
 
-    def ended(self, sending: Sending, outcome: Outcome) -> None:
+    def end_attempt(self, sending: UpstreamAttempt, outcome: Outcome) -> None:
         """The one place where an attempt ends."""
-        if sending.over:
+        if sending.is_ended:
             return
-        sending.over = True
-        for timer in (sending.timer, sending.pages_timer):
+        sending.is_ended = True
+        for timer in (sending.timeout_timer, sending.page_timer):
             if timer is not None:
                 timer.cancel()
-        elapsed = self._loop.time() - (sending.left_at or sending.started)
-        link = sending.link
-        if link is not None and sending.left_at and outcome is not Outcome.OK:
-            link.spent.add(sending.statement.id)
-        self._executor.done(sending, outcome, elapsed, sending.work, sending.memory_mb)
+        elapsed = self._loop.time() - (sending.sent_at or sending.started)
+        link = sending.connection
+        if link is not None and sending.sent_at and outcome is not Outcome.OK:
+            link.retired_ids.add(sending.statement.id)
+        self._executor.done(sending, outcome, elapsed, sending.work_s, sending.memory_mb)
         if link is not None:
             link.release(sending)
--- a/saffronlane/resp/__init__.py
+++ b/saffronlane/resp/__init__.py
@@ -1,6 +1,6 @@
 """RESP as bytes: arrays of bulk strings, cut from a stream within bounds, and written. No I/O."""
 
-from .arrays import Parser, command
+from .arrays import RespParser, encode_command
 from .errors import RespError
 
-__all__ = ["Parser", "RespError", "command"]
+__all__ = ["RespParser", "RespError", "encode_command"]
--- a/saffronlane/resp/arrays.py
+++ b/saffronlane/resp/arrays.py
@@ -8,16 +8,16 @@
 
 from .errors import RespError
 
-MOST_LINE = 12  # bytes of a line that says a count or a length, its end included
+MAX_LINE_BYTES = 12  # bytes of a line that says a count or a length, its end included
 
 
-def command(*words: bytes) -> bytes:
+def encode_command(*words: bytes) -> bytes:
     parts = [b"*%d\r\n" % len(words)]
     parts += [b"$%d\r\n%b\r\n" % (len(word), word) for word in words]
     return b"".join(parts)
 
 
-class Parser:
+class RespParser:
     """Cuts a stream of bytes into arrays.
 
     Args:
@@ -33,7 +33,7 @@
         self._words: list[bytes] = []
 
     @property
-    def pending(self) -> bool:
+    def has_partial_array(self) -> bool:
         """Whether an array has begun and is not whole."""
         return bool(self._left or self._at < len(self._buffer))
 
@@ -83,12 +83,12 @@
     def _line(self, mark: bytes) -> tuple[int, int] | None:
         """Where a line ends that begins here, and its number; None: it is not whole."""
         at = self._at
-        end = self._buffer.find(b"\r\n", at, at + MOST_LINE)
-        head = bytes(self._buffer[at : at + MOST_LINE])
+        end = self._buffer.find(b"\r\n", at, at + MAX_LINE_BYTES)
+        head = bytes(self._buffer[at : at + MAX_LINE_BYTES])
         if head and head[:1] != mark:
             raise RespError(f"{head[:1]!r} where {mark!r} was due")
         if end < 0:
-            if len(head) >= MOST_LINE:
+            if len(head) >= MAX_LINE_BYTES:
                 raise RespError("a line without an end")
             return None
         digits = bytes(self._buffer[at + 1 : end])
--- a/tests/node/support.py
+++ b/tests/node/support.py
@@ -22,7 +22,7 @@
 from saffronlane.interface import Outcome
 from saffronlane.platform import descriptors as descriptors_module
 from saffronlane.platform.downstream.client_connection import ClientConnection
-from saffronlane.platform.upstream.connection import NodeConnection
+from saffronlane.platform.upstream.connection import UpstreamConnection
 
 RID = "9b1f03aa5c7e2d41"
 
@@ -123,13 +123,13 @@
 def hold_connections(monkeypatch: pytest.MonkeyPatch) -> asyncio.Event:
     """No connection to a compute node comes up until the event is set."""
     free = asyncio.Event()
-    real = NodeConnection.connect
+    real = UpstreamConnection.connect
 
-    async def connect(link: NodeConnection) -> None:
+    async def connect(link: UpstreamConnection) -> None:
         await free.wait()
         await real(link)
 
-    monkeypatch.setattr(NodeConnection, "connect", connect)
+    monkeypatch.setattr(UpstreamConnection, "connect", connect)
     return free
 
 
--- a/tests/node/test_answers.py
+++ b/tests/node/test_answers.py
@@ -7,7 +7,7 @@
 from platform_world import ROWS, Peer, World, member
 
 from saffronlane.interface import Outcome
-from saffronlane.resp import command
+from saffronlane.resp import encode_command
 
 from .support import holding, once, outcomes, play, rid
 
@@ -124,16 +124,16 @@
         msgid = client.call("frail", rid(1))
         await built.until(lambda: held)
         peer, name = held[0]
-        data = command(name, b"DONE", b"sheets=1,toil=5,room=7", ROWS)
+        data = encode_command(name, b"DONE", b"sheets=1,toil=5,room=7", ROWS)
         (link,) = built.node.links.connections_by_engine[b"node-0"]
         peer.raw(data[:20])
-        await built.until(lambda: link._parser.pending)
+        await built.until(lambda: link._parser.has_partial_array)
         peer.raw(data[20:])  # leaves at once, in this turn of the loop
-        link.look(link.loop.time() + 1.5, 30.0)
+        link.check_timeouts(link.loop.time() + 1.5, 30.0)
         assert await client.answer(msgid) == (None, [ROWS, {}])
         assert told == [Outcome.OK]
         link._parser.feed(b"*4")  # and one whose rest is not there has
-        link.look(link.loop.time() + 1.5, 30.0)
+        link.check_timeouts(link.loop.time() + 1.5, 30.0)
         assert link.lifecycle.is_closed
 
     play(work, holding(held))
--- a/tests/node/test_attempt_ends.py
+++ b/tests/node/test_attempt_ends.py
@@ -164,7 +164,7 @@
         assert told[0] in (Outcome.TIMEOUT, Outcome.CANCELLED)
         # It was silent all the while: nothing new goes there, and it closes.
         links = built.node.links
-        assert not any(link.takes(b"x", 32) for link in links.connections_by_engine.get(b"node-0", ()))
+        assert not any(link.has_capacity(b"x", 32) for link in links.connections_by_engine.get(b"node-0", ()))
         await built.until(lambda: not links.connections_by_engine)
 
     play(work, silent)
@@ -248,14 +248,14 @@
         told = outcomes(built)
         await built.until(lambda: built.feed.writers)
         client = await built.client()
-        links, real = built.node.links, connection_module.NodeConnection._run
+        links, real = built.node.links, connection_module.UpstreamConnection._run
 
         async def held(link: Any) -> None:
             await draining.wait()
             await real(link)
 
         draining = asyncio.Event()
-        connection_module.NodeConnection._run = held  # type: ignore[method-assign]
+        connection_module.UpstreamConnection._run = held  # type: ignore[method-assign]
         try:
             msgid = client.call("ask", RID)
             await built.until(lambda: links.connections_by_engine)
@@ -264,7 +264,7 @@
             built.feed.event(2, [member(name, port, "draining")])
             await built.until(lambda: Outcome.NOT_SENT in told)
         finally:
-            connection_module.NodeConnection._run = real  # type: ignore[method-assign]
+            connection_module.UpstreamConnection._run = real  # type: ignore[method-assign]
             draining.set()
         assert (await client.answer(msgid))[0] is None
         assert not built.computes[int(name[-1])].words(b"fetch")
@@ -281,7 +281,7 @@
         assert (await client.answer(client.call("ask", rid(1))))[0] is None
         link = next(iter(built.node.links.connections_by_engine.values()))[0]
         link.stream.close()
-        assert not link.takes(b"x", 32)
+        assert not link.has_capacity(b"x", 32)
         assert await client.answer(client.call("ask", rid(2))) == (None, [ROWS, {}])
         assert told == [Outcome.OK, Outcome.OK]
 
@@ -387,7 +387,7 @@
     spans: list[float] = []
 
     async def work(built: World) -> None:
-        real = connection_module.NodeConnection._run
+        real = connection_module.UpstreamConnection._run
 
         async def slow(link: Any) -> None:
             await asyncio.sleep(0.15)
@@ -400,12 +400,12 @@
             done(attempt, outcome, elapsed, *rest)
 
         built.node.executor.done = spy  # type: ignore[method-assign]
-        connection_module.NodeConnection._run = slow  # type: ignore[method-assign]
+        connection_module.UpstreamConnection._run = slow  # type: ignore[method-assign]
         try:
             client = await built.client()
             await client.answer(client.call("ask", RID))
         finally:
-            connection_module.NodeConnection._run = real  # type: ignore[method-assign]
+            connection_module.UpstreamConnection._run = real  # type: ignore[method-assign]
         assert spans[0] < 0.15
 
     play(work)
--- a/tests/node/test_certainty.py
+++ b/tests/node/test_certainty.py
@@ -11,7 +11,7 @@
 from platform_world import ROWS, SETTINGS, Peer, World, answer
 
 from saffronlane.interface import Outcome
-from saffronlane.platform.upstream.connection import NodeConnection
+from saffronlane.platform.upstream.connection import UpstreamConnection
 
 from .support import hold_connections, holding, outcomes, play, rid, silent
 
@@ -44,16 +44,16 @@
             self.connection.close()
 
 
-async def one_link(built: World, node: RawNode) -> NodeConnection:
+async def one_link(built: World, node: RawNode) -> UpstreamConnection:
     """Let the node's link come up at a raw node, and give it."""
     from platform_world import member
 
     await built.until(lambda: built.feed.writers)
     built.feed.event(2, [member("raw", node.port), member("node-0", built.computes[0].port, "draining")])
     await built.until(lambda: built.node.feed.last == 2)
-    link = built.node.links._link(b"raw", b"first")
+    link = built.node.links._select_connection(b"raw", b"first")
     assert link is not None
-    await built.until(lambda: link.came_up)
+    await built.until(lambda: link.is_established)
     node.accept()
     return link
 
@@ -65,9 +65,9 @@
         node = RawNode()
         told = outcomes(built)
         await one_link(built, node)
-        pour = NodeConnection.flush
+        pour = UpstreamConnection.flush
 
-        def crossed(link: NodeConnection) -> None:
+        def crossed(link: UpstreamConnection) -> None:
             if link.engine == b"raw" and link.has_queued_output:
                 node.reset()
                 node.listener.close()
@@ -76,7 +76,7 @@
                 built.feed.event(3, [member("node-0", built.computes[0].port)])
             pour(link)
 
-        monkeypatch.setattr(NodeConnection, "flush", crossed)
+        monkeypatch.setattr(UpstreamConnection, "flush", crossed)
         client = await built.client()
         answered = await client.answer(client.call("frail", rid(1)))
         assert set(told[:-1]) == {Outcome.CONNECT_FAILED} and answered == (None, [ROWS, {}])
@@ -120,9 +120,9 @@
         first.call("ask", rid(1), b"SELECT 1 -- " + b"x" * 100_000)
         await built.until(lambda: link.stream.writing())
         second.call("ask", rid(2))
-        await built.until(lambda: len(link.open) == 2)
+        await built.until(lambda: len(link.attempts) == 2)
         second.close()
-        await built.until(lambda: len(link.open) == 1, 0.1)
+        await built.until(lambda: len(link.attempts) == 1, 0.1)
         # The node reads on: what it gets is the first alone.
         assert node.connection is not None
         node.connection.setblocking(False)
@@ -168,16 +168,16 @@
         link = await one_link(built, node)
         client = await built.client()
         first = client.call("frail", rid(1))
-        await built.until(lambda: rid(1).encode() in link.open and link.open[rid(1).encode()].left_at)
+        await built.until(lambda: rid(1).encode() in link.attempts and link.attempts[rid(1).encode()].sent_at)
         from platform_world import member
 
-        from saffronlane.resp import command
+        from saffronlane.resp import encode_command
 
-        pour = NodeConnection.flush
+        pour = UpstreamConnection.flush
 
-        def crossed(one: NodeConnection) -> None:
+        def crossed(one: UpstreamConnection) -> None:
             if one is link and link.has_queued_output:
-                done = command(rid(1).encode(), b"DONE", b"sheets=1,toil=5,room=7", ROWS)
+                done = encode_command(rid(1).encode(), b"DONE", b"sheets=1,toil=5,room=7", ROWS)
                 assert node.connection is not None
                 node.connection.sendall(done)
                 node.reset()
@@ -185,7 +185,7 @@
                 built.feed.event(3, [member("node-0", built.computes[0].port)])
             pour(one)
 
-        monkeypatch.setattr(NodeConnection, "flush", crossed)
+        monkeypatch.setattr(UpstreamConnection, "flush", crossed)
         second = client.call("frail", rid(2))
         assert await client.answer(first) == (None, [ROWS, {}])
         assert await client.answer(second) == (None, [ROWS, {}])
@@ -204,19 +204,19 @@
     """
 
     async def work(built: World) -> None:
-        told, pour, crossed = outcomes(built), NodeConnection.flush, []
+        told, pour, crossed = outcomes(built), UpstreamConnection.flush, []
         client = await built.client()
         assert (await client.answer(client.call("ask", rid(1))))[0] is None
         (link,) = built.node.links.connections_by_engine[b"node-0"]
 
-        def cross(one: NodeConnection) -> None:
+        def cross(one: UpstreamConnection) -> None:
             if one is link and one.has_queued_output and not crossed:
                 crossed.append(one)
                 peer = built.computes[0].peers[0]
                 peer.writer.transport.get_extra_info("socket").shutdown(socket.SHUT_WR)
             pour(one)
 
-        monkeypatch.setattr(NodeConnection, "flush", cross)
+        monkeypatch.setattr(UpstreamConnection, "flush", cross)
         assert await client.answer(client.call("frail", rid(2))) == (None, [ROWS, {}])
         assert crossed and told == [Outcome.OK, Outcome.OK]
         assert not built.node.dispatcher.gateway.fleet.engines[b"node-0"].failure_ratio
@@ -255,7 +255,7 @@
 
         def crossed(attempt: Any) -> None:
             begin(attempt)
-            if attempt.link is link:
+            if attempt.connection is link:
                 link.abort("spoilt answer")
 
         links.begin = crossed  # type: ignore[method-assign]
@@ -310,9 +310,9 @@
     services = [one | ({"keyTtl": 1.0} if one["name"] == "load" else {}) for one in SETTINGS["services"]]
     limits = SETTINGS["limits"] | {"connectTimeout": 0.4}
     arrived: list[float] = []
-    connect = NodeConnection.connect
+    connect = UpstreamConnection.connect
 
-    async def late(link: NodeConnection) -> None:
+    async def late(link: UpstreamConnection) -> None:
         if arrived:
             await asyncio.sleep(0.38)
         await connect(link)
@@ -326,7 +326,7 @@
                 peer.done(words[1])
 
     async def work(built: World) -> None:
-        monkeypatch.setattr(NodeConnection, "connect", late)
+        monkeypatch.setattr(UpstreamConnection, "connect", late)
         client = await built.client()
         error, _ = await client.answer(client.call("load", rid(1), token="t1", obj=rid(1)))
         assert arrived and arrived[-1] - arrived[0] <= 1.0 + 0.05
--- a/tests/node/test_closing.py
+++ b/tests/node/test_closing.py
@@ -17,7 +17,7 @@
 from saffronlane.platform import stream
 from saffronlane.platform.downstream import client_connection as connection
 from saffronlane.platform.lifecycle import ConnectionLimits, Phase
-from saffronlane.platform.upstream.connection import NodeConnection
+from saffronlane.platform.upstream.connection import UpstreamConnection
 
 from .support import SyncClient, call, hold_connections, paged, play, rid, silent, slow_client
 
@@ -102,7 +102,7 @@
         await built.until(lambda: front.taken == 1 and not front.owed)
         (one,) = front.clients
         client.send(call(2, rid=rid(2)))
-        one.look(one.quiet_since + connection.IDLE + 1.0)  # before the loop could read it
+        one.check_timeouts(one.quiet_since + connection.IDLE + 1.0)  # before the loop could read it
         one.quiet_since -= 1.0
         monkeypatch.setattr(front, "most_clients", 1)
         assert not front._room()
@@ -356,14 +356,14 @@
     """
 
     async def work(built: World) -> None:
-        pour, crossed = NodeConnection.flush, []
+        pour, crossed = UpstreamConnection.flush, []
         client = SyncClient(built.node.front.port)
         if way.startswith("forget"):
             client.send(call(9, rid=rid(9)))
             await built.until(lambda: built.computes[0].words(b"fetch"))
 
-        def cross(link: NodeConnection) -> None:
-            if rid(1).encode() in link.open and not crossed:
+        def cross(link: UpstreamConnection) -> None:
+            if rid(1).encode() in link.attempts and not crossed:
                 crossed.append(link)
                 if way == "close":
                     client.close()
@@ -382,7 +382,7 @@
                     one.stream._handle_events(one.stream.fileno(), IOLoop.READ)
             pour(link)
 
-        monkeypatch.setattr(NodeConnection, "flush", cross)
+        monkeypatch.setattr(UpstreamConnection, "flush", cross)
         client.send(call(1, rid=rid(1)))
         await built.until(lambda: crossed and not built.tables()["open"])
         other = await built.client()
@@ -411,7 +411,7 @@
         def crossed(data: bytes) -> None:
             write(data)
             looked.append(one.has_pending_output)
-            one.look(one.loop.time())
+            one.check_timeouts(one.loop.time())
 
         monkeypatch.setattr(one, "write", crossed)
         asked = client.call("ask", rid(3))
@@ -504,15 +504,15 @@
         first = SyncClient(front.port)
         await built.until(lambda: len(front.clients) == 2)
         struck = [list(front.clients)[1], link]
-        for kind in (connection.ClientConnection, NodeConnection):
-            real = kind.look
+        for kind in (connection.ClientConnection, UpstreamConnection):
+            real = kind.check_timeouts
 
             def look(one: Any, *told: Any, real: Any = real) -> None:
                 if one in struck:
                     raise RuntimeError("a fault")
                 real(one, *told)
 
-            monkeypatch.setattr(kind, "look", look)
+            monkeypatch.setattr(kind, "check_timeouts", look)
         second = SyncClient(front.port)
         assert (await first.rest(), await second.rest()) == ((b"", False), (b"", False))
         await built.until(lambda: link.lifecycle.is_closed)
@@ -570,15 +570,15 @@
 
     async def work(built: World) -> None:
         client, sent = SyncClient(built.node.front.port), [1]
-        pour = NodeConnection.flush
+        pour = UpstreamConnection.flush
 
-        def cross(link: NodeConnection) -> None:
+        def cross(link: UpstreamConnection) -> None:
             if link.has_queued_output and sent[-1] < 20:
                 sent.append(sent[-1] + 1)
                 client.send(call(sent[-1], rid=rid(sent[-1])))
             pour(link)
 
-        monkeypatch.setattr(NodeConnection, "flush", cross)
+        monkeypatch.setattr(UpstreamConnection, "flush", cross)
         client.send(call(1, rid=rid(1)))
         await built.until(lambda: built.node.front.taken == 20 and not any(built.tables().values()))
         client.socket.shutdown(socket.SHUT_WR)
--- a/tests/node/test_descriptors.py
+++ b/tests/node/test_descriptors.py
@@ -124,7 +124,7 @@
             return real(*args)
 
         monkeypatch.setattr(connection_module.socket, "socket", once)
-        assert links._link(b"node-1", b"x") is not None and not link.lifecycle.accepts_work
+        assert links._select_connection(b"node-1", b"x") is not None and not link.lifecycle.accepts_work
         monkeypatch.setattr(connection_module.socket, "socket", real)
 
     play(work, answer, answer)
--- a/tests/node/test_ends.py
+++ b/tests/node/test_ends.py
@@ -19,7 +19,7 @@
     member,
 )
 
-from saffronlane.platform.errors import Spoilt
+from saffronlane.platform.errors import InvalidResponse
 from saffronlane.platform.upstream import attempt as sending_module
 from saffronlane.policy.gateway import GONE_MOST
 
@@ -140,7 +140,7 @@
 def test_a_page_is_whole_rows_of_three_columns(page: bytes, good: bool) -> None:
     try:
         sending_module.check_page(page)
-    except Spoilt:
+    except InvalidResponse:
         assert not good
     else:
         assert good
--- a/tests/node/test_interleavings.py
+++ b/tests/node/test_interleavings.py
@@ -14,7 +14,7 @@
 import structlog
 from platform_world import ROWS, SETTINGS, Client, Peer, World, member
 
-from saffronlane.resp import command
+from saffronlane.resp import encode_command
 
 from .support import SyncClient, call, play, rid
 
@@ -36,7 +36,7 @@
             return
         name, loop = words[1], asyncio.get_running_loop()
         self.fetched[name] = self.fetched.get(name, 0) + 1
-        done = command(name, b"DONE", b"sheets=1,toil=5,room=7", ROWS)
+        done = encode_command(name, b"DONE", b"sheets=1,toil=5,room=7", ROWS)
         drawn = self.random.random()
         if drawn < 0.45:
             loop.call_later(self.random.choice((0.0, 0.0, 0.02, 0.3)), peer.done, name)
@@ -161,7 +161,7 @@
         assert not faults and not [one for one in logs if one["log_level"] in ("error", "critical")]
         assert not any(built.tables().values()) and not built.node.front.clients
         for sending in sent:  # when it left, not when it came: what reads it here may be late
-            assert sending.left_at <= clients.left.get(sending.statement.id, math.inf) + GONE_WITHIN
+            assert sending.sent_at <= clients.left.get(sending.statement.id, math.inf) + GONE_WITHIN
         for name in clients.unsafe:
             assert nodes.fetched.get(name, 0) <= 1 + nodes.turned_away.get(name, 0)
 
--- a/tests/node/test_lifecycle.py
+++ b/tests/node/test_lifecycle.py
@@ -10,16 +10,16 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from saffronlane.platform.lifecycle import (
-    ConnectionLimits,
     ConnectionLifecycle,
+    ConnectionLimits,
     Event,
     Phase,
     ProcessLifecycle,
     State,
 )
 from saffronlane.platform.lifecycle.process import (
-    QUIET_PERIOD,
     NEW_REQUEST_WINDOW,
+    QUIET_PERIOD,
     OutstandingWork,
     shutdown_grace_period,
 )
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -12,7 +12,7 @@
 
 from saffronlane.platform.config import parse
 from saffronlane.platform.server import Node
-from saffronlane.resp import Parser, command
+from saffronlane.resp import RespParser, encode_command
 
 ROWS = b"a\tb\tc\n"
 SETTINGS: dict[str, Any] = {
@@ -49,7 +49,7 @@
         self.node, self.writer = node, writer
 
     def send(self, *words: bytes) -> None:
-        self.writer.write(command(*words))
+        self.writer.write(encode_command(*words))
 
     def raw(self, data: bytes) -> None:
         self.writer.write(data)
@@ -84,7 +84,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         peer = Peer(self, writer)
         self.peers.append(peer)
-        parser = Parser(8, 1_000_000)
+        parser = RespParser(8, 1_000_000)
         with contextlib.suppress(ConnectionError, asyncio.CancelledError):
             while data := await reader.read(65_536):
                 found, error = parser.feed(data)
@@ -236,7 +236,9 @@
             "attempts": len(gateway.in_flight.attempts),
             "held": len(gateway.pending.queued),
             "ids": len(node.front.ids),
-            "open": sum(len(link.open) for links in node.links.connections_by_engine.values() for link in links),
+            "open": sum(
+                len(link.attempts) for links in node.links.connections_by_engine.values() for link in links
+            ),
         }
 
     def close(self) -> None:
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -6,22 +6,22 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from saffronlane.resp import Parser, command
+from saffronlane.resp import RespParser, encode_command
 
 
-def parser() -> Parser:
-    return Parser(4, 100)
+def parser() -> RespParser:
+    return RespParser(4, 100)
 
 
 def test_arrays_are_found_at_every_split() -> None:
     first, second = [b"id", b"DONE", b"-", b"a\tb\tc\n\r\n$5\r\n"], [b"tag", b"FIT"]
-    whole = command(*first) + command(*second)
+    whole = encode_command(*first) + encode_command(*second)
     for at in range(len(whole) + 1):
         one = parser()
         before, error = one.feed(whole[:at])
         after, later = one.feed(whole[at:])
         assert before + after == [first, second] and error is None and later is None
-        assert not one.pending
+        assert not one.has_partial_array
 
 
 @pytest.mark.parametrize(
@@ -48,19 +48,19 @@
 
 
 def test_good_arrays_before_a_bad_one_count() -> None:
-    found, error = parser().feed(command(b"id", b"WAIT") + b"!")
+    found, error = parser().feed(encode_command(b"id", b"WAIT") + b"!")
     assert found == [[b"id", b"WAIT"]] and error is not None
 
 
 def test_half_an_array_is_pending() -> None:
     one = parser()
-    one.feed(command(b"id", b"DONE")[:-3])
-    assert one.pending
+    one.feed(encode_command(b"id", b"DONE")[:-3])
+    assert one.has_partial_array
 
 
 @given(st.lists(st.lists(st.binary(max_size=100), min_size=1, max_size=4), max_size=6), st.integers(1, 50))
 def test_what_is_written_is_read(arrays: list[list[bytes]], step: int) -> None:
-    data = b"".join(command(*words) for words in arrays)
+    data = b"".join(encode_command(*words) for words in arrays)
     one, found = parser(), []
     for at in range(0, len(data), step):
         some, error = one.feed(data[at : at + step])
