--- a/saffronlane/platform/server.py
+++ b/saffronlane/platform/server.py
@@ -24,7 +24,7 @@
 from .errors import ConfigError
 from .lifecycle import ConnectionLimits, Phase, ProcessLifecycle
 from .lifecycle.process import OutstandingWork, shutdown_grace_period
-from .upstream import UpstreamLimits, UpstreamPool
+from .upstream import UpstreamLimits, UpstreamTransport
 
 log = structlog.get_logger()
 LOOK_EVERY = 0.02  # seconds between looks at what is owed, once the process ends
@@ -49,7 +49,7 @@
             idle_timeout=config.idle_close or IDLE_CLOSE,
             max_connections=shares.nodes,
         )
-        self.links = UpstreamPool(limits, self.fleet.address, shortage)
+        self.links = UpstreamTransport(limits, self.fleet.address, shortage)
         self.peers: Peers | None = None
         if settings.limits.gossip and config.peer_listen is not None:
             self.peers = Peers(
--- a/saffronlane/platform/upstream/__init__.py
+++ b/saffronlane/platform/upstream/__init__.py
@@ -1,10 +1,10 @@
-"""Connections to compute nodes: attempts in RESP, many on a connection, and how exactly each ended.
+"""Connections to compute nodes: many attempts on each, and how exactly each attempt ended.
 
-A transport of `engines.Executor`. Whole results are small here: their pages are joined and checked before a
-byte goes to the client, so that a spoilt page is the end of an attempt and never the client's.
+The platform's transport of `engines.Executor`. Results are small: their pages are joined and checked before a
+byte goes to the client, so that an invalid page ends an attempt and never the client's request.
 """
 
 from .limits import UpstreamLimits
-from .pool import UpstreamPool
+from .transport import UpstreamTransport
 
-__all__ = ["UpstreamLimits", "UpstreamPool"]
+__all__ = ["UpstreamLimits", "UpstreamTransport"]
--- a/saffronlane/platform/upstream/limits.py
+++ b/saffronlane/platform/upstream/limits.py
@@ -1,4 +1,4 @@
-"""Bounds of the connections to compute nodes."""
+"""Limits of the connections to compute nodes."""
 
 from __future__ import annotations
 
@@ -7,9 +7,16 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamLimits:
-    """Counts and seconds."""
+    """Limits of the connections to compute nodes.
+
+    Attributes:
+        max_streams: attempts under way on one connection; 0: the default of the pool.
+        connect_timeout: seconds.
+        idle_timeout: seconds after which compute nodes close idle connections.
+        max_connections: to all compute nodes together.
+    """
 
     max_streams: int = 32
     connect_timeout: float = 0.25
     idle_timeout: float = 30.0
-    max_connections: int = 64  # to all nodes together
+    max_connections: int = 64
--- a/saffronlane/platform/upstream/response_assembler.py
+++ b/saffronlane/platform/upstream/response_assembler.py
@@ -1,4 +1,4 @@
-"""Answers of compute nodes: the pages of a result, and the words that end an attempt."""
+"""Assembles the result of an attempt from the responses of its compute node."""
 
 from __future__ import annotations
 
@@ -6,84 +6,103 @@
 from collections.abc import Callable
 
 from ...interface import Outcome
-from ...resp import encode_command
 from ..errors import InvalidResponse
-from .attempt import MAX_RESULT_BYTES, UpstreamAttempt, parse_count, parse_fields
+from . import protocol
+from .attempt import UpstreamAttempt
 from .connection import UpstreamConnection
+from .paged_result import MAX_RESULT_BYTES
+from .protocol import Response
 
-PAGE_TIMEOUT = 0.1  # seconds without a page until those missing are asked for again
-MAX_PAGE_TIMEOUT = 0.8  # the same, doubled each time, at most
+PAGE_TIMEOUT = 0.1  # seconds without a page until missing ones are requested again
+MAX_PAGE_TIMEOUT = 0.8  # seconds; the timeout doubles with each repetition up to this
 
 
 class ResponseAssembler:
-    """Reads answers.
+    """Handles the responses to attempts.
 
     Args:
-        end: told an attempt's end.
+        end_attempt: called with an attempt that has ended, and its outcome.
     """
 
-    def __init__(self, end: Callable[[UpstreamAttempt, Outcome], None]) -> None:
-        self._end = end
+    def __init__(self, end_attempt: Callable[[UpstreamAttempt, Outcome], None]) -> None:
+        self._end_attempt = end_attempt
         self._loop = asyncio.get_running_loop()
 
-    def receive(self, link: UpstreamConnection, sending: UpstreamAttempt, words: list[bytes]) -> None:
-        """One whole answer to an attempt that is out."""
+    def receive(self, connection: UpstreamConnection, attempt: UpstreamAttempt, words: list[bytes]) -> None:
+        """Handle one response to an attempt that was sent."""
         try:
-            if len(words) != 4:
-                raise InvalidResponse(f"an answer of {len(words)} words")
-            self._on_word(sending, words[1], parse_fields(words[2]), words[3])
+            self._on_response(connection, attempt, Response.parse(words))
         except InvalidResponse as error:
-            # Guards against a good answer's look-alike: what comes after it on this connection cannot be
-            # trusted either, so that the others on it end now and not by their time-outs.
-            sending.request.last_error = str(error)
-            self._end(sending, Outcome.ERROR)
-            link.abort(f"spoilt answer: {error}")
+            # Nothing after an invalid response on this connection can be trusted: its other attempts end
+            # now and not by their timeouts.
+            attempt.request.last_error = str(error)
+            self._end_attempt(attempt, Outcome.ERROR)
+            connection.abort(f"invalid response: {error}")
 
-    def _on_word(self, sending: UpstreamAttempt, word: bytes, named: dict[bytes, bytes], body: bytes) -> None:
-        if word == b"DONE":
-            if not sending.page_count:
-                sending.add_first_page(named, body)
-                if sending.page_count > 1:
-                    self._expect_pages(sending, PAGE_TIMEOUT)
-                self._on_page(sending)
-        elif word == b"MORE":
-            if sending.add_page(parse_count(named.get(b"sheet"), MAX_RESULT_BYTES), body):
-                self._on_page(sending)
-        elif word in (b"WAIT", b"PAST"):
-            self._end(sending, Outcome.ERROR if sending.page_count else Outcome.REJECTED)
-        elif word == b"BROKE":
-            self._end(sending, Outcome.ERROR)
-        else:
-            raise InvalidResponse(f"unknown word {word[:20]!r}")
+    def _on_response(
+        self, connection: UpstreamConnection, attempt: UpstreamAttempt, response: Response
+    ) -> None:
+        match response.status:
+            case protocol.COMPLETED:
+                self._on_first_page(connection, attempt, response)
+            case protocol.PAGE:
+                number = protocol.parse_count(response.fields.get(protocol.PAGE_NUMBER), MAX_RESULT_BYTES)
+                if attempt.result.add_page(number, response.body):
+                    self._on_page_added(connection, attempt)
+            case protocol.REJECTED | protocol.NOT_RUN:
+                has_run = bool(attempt.result.page_count)
+                self._end_attempt(attempt, Outcome.ERROR if has_run else Outcome.REJECTED)
+            case protocol.FAILED:
+                self._end_attempt(attempt, Outcome.ERROR)
+            case unknown:
+                raise InvalidResponse(f"expected a status, found {unknown[:20]!r}")
 
-    def _on_page(self, sending: UpstreamAttempt) -> None:
-        """One more page is there: the result is whole, or further ones are asked for."""
-        link, name = sending.connection, sending.statement.id
-        assert link is not None
-        if sending.is_complete:
-            if sending.page_count > 1:
-                link.enqueue(encode_command(b"done", name))
-            self._end(sending, Outcome.OK)
+    def _on_first_page(
+        self, connection: UpstreamConnection, attempt: UpstreamAttempt, response: Response
+    ) -> None:
+        result = attempt.result
+        if result.page_count:
             return
-        while (number := sending.next_page_to_request()) is not None:
-            link.enqueue(encode_command(b"more", name, b"%d" % number))
+        page_count = protocol.parse_count(response.fields.get(protocol.PAGE_COUNT, b"1"), MAX_RESULT_BYTES)
+        result.add_first_page(page_count, response.body)
+        attempt.work_s = protocol.parse_measurement(response.fields.get(protocol.WORK_MS)) / 1000.0
+        attempt.memory_mb = protocol.parse_measurement(response.fields.get(protocol.MEMORY_MB))
+        if page_count > 1:
+            self._schedule_page_check(connection, attempt, PAGE_TIMEOUT)
+        self._on_page_added(connection, attempt)
 
-    def _expect_pages(self, sending: UpstreamAttempt, wait: float) -> None:
-        sending.page_timer = self._loop.call_later(
-            wait, self._on_pages_late, sending, len(sending.pages), wait
+    def _on_page_added(self, connection: UpstreamConnection, attempt: UpstreamAttempt) -> None:
+        """Finish a complete result, or request further pages."""
+        result = attempt.result
+        request_id = attempt.statement.id
+        if result.is_complete:
+            if result.page_count > 1:
+                connection.enqueue(protocol.release_pages_command(request_id))
+            self._end_attempt(attempt, Outcome.OK)
+            return
+        while (number := result.next_page_to_request()) is not None:
+            connection.enqueue(protocol.fetch_page_command(request_id, number))
+
+    def _schedule_page_check(
+        self, connection: UpstreamConnection, attempt: UpstreamAttempt, timeout: float
+    ) -> None:
+        received = attempt.result.received_page_count
+        attempt.page_timer = self._loop.call_later(
+            timeout, self._check_pages, connection, attempt, received, timeout
         )
 
-    def _on_pages_late(self, sending: UpstreamAttempt, had: int, wait: float) -> None:
-        """Ask again for pages that have not come: the result stands at its node, and nothing runs twice.
+    def _check_pages(
+        self, connection: UpstreamConnection, attempt: UpstreamAttempt, received_before: int, timeout: float
+    ) -> None:
+        """Request missing pages again: the result stays at its compute node, and nothing runs twice.
 
         Guards against a page that is lost while its connection lives: the attempt would wait for its own
-        limit, or the whole request would run again.
+        timeout, or the whole request would run again.
         """
-        if len(sending.pages) > max(had, 1):  # they come, only slowly
-            self._expect_pages(sending, PAGE_TIMEOUT)
+        is_progressing = attempt.result.received_page_count > max(received_before, 1)
+        if is_progressing:
+            self._schedule_page_check(connection, attempt, PAGE_TIMEOUT)
             return
-        link = sending.connection
-        assert link is not None
-        for number in sending.missing_pages():
-            link.enqueue(encode_command(b"more", sending.statement.id, b"%d" % number))
-        self._expect_pages(sending, min(MAX_PAGE_TIMEOUT, 2.0 * wait))
+        for number in attempt.result.missing_pages():
+            connection.enqueue(protocol.fetch_page_command(attempt.statement.id, number))
+        self._schedule_page_check(connection, attempt, min(MAX_PAGE_TIMEOUT, 2.0 * timeout))
--- a/tests/node/test_closing.py
+++ b/tests/node/test_closing.py
@@ -500,7 +500,7 @@
         front, links = built.node.front, built.node.links
         client = await built.client()
         assert (await client.answer(client.call("ask", rid(1))))[0] is None
-        (link,) = links.connections_by_engine[b"node-0"]
+        (link,) = links.pool.connections_by_engine[b"node-0"]
         first = SyncClient(front.port)
         await built.until(lambda: len(front.clients) == 2)
         struck = [list(front.clients)[1], link]
--- a/tests/node/test_descriptors.py
+++ b/tests/node/test_descriptors.py
@@ -113,7 +113,7 @@
         links.probe(b"node-0")
         await built.until(lambda: built.computes[0].words(b"alive"))
         built.computes[0].peers[0].send(b"p1", b"FIT", b"-", b"")
-        (link,) = links.connections_by_engine[b"node-0"]
+        (link,) = links.pool.connections_by_engine[b"node-0"]
         await built.until(lambda: not link.has_pending_work)
         real, tries = connection_module.socket.socket, []
 
@@ -124,7 +124,7 @@
             return real(*args)
 
         monkeypatch.setattr(connection_module.socket, "socket", once)
-        assert links._select_connection(b"node-1", b"x") is not None and not link.lifecycle.accepts_work
+        assert links.pool.select(b"node-1", b"x") is not None and not link.lifecycle.accepts_work
         monkeypatch.setattr(connection_module.socket, "socket", real)
 
     play(work, answer, answer)
--- a/tests/node/test_ends.py
+++ b/tests/node/test_ends.py
@@ -20,7 +20,7 @@
 )
 
 from saffronlane.platform.errors import InvalidResponse
-from saffronlane.platform.upstream import attempt as sending_module
+from saffronlane.platform.upstream import paged_result
 from saffronlane.policy.gateway import GONE_MOST
 
 from .support import RID, own_process, play, rid
@@ -46,7 +46,7 @@
         await built.until(lambda: not any(built.tables().values()) and not built.node.front.clients)
         node = built.node
         assert len(node.fleet) == len(node.dispatcher._engines) == 1
-        assert len(node.links.connections_by_engine) <= 1
+        assert len(node.links.pool.connections_by_engine) <= 1
         assert len(gateway.fleet.engines) == len(gateway.fleet.engine_by_digest) <= GONE_MOST + 1
         assert len(gateway.engine_selector.eligibility.rendezvous_order.cached_orders) <= 2
 
@@ -139,7 +139,7 @@
 )
 def test_a_page_is_whole_rows_of_three_columns(page: bytes, good: bool) -> None:
     try:
-        sending_module.check_page(page)
+        paged_result.check_page(page)
     except InvalidResponse:
         assert not good
     else:
