--- a/saffronlane/platform/lifecycle/__init__.py
+++ b/saffronlane/platform/lifecycle/__init__.py
@@ -1,6 +1,14 @@
-"""When a connection, and when the process, may end: what is read, acted on and owed. No I/O, no clock."""
+"""State machines of a connection and of the process, without I/O or a clock: when each may end."""
 
 from .connection import ConnectionLifecycle, ConnectionLimits, Event, State
-from .process import Phase, ProcessLifecycle
+from .process import OutstandingWork, Phase, ProcessLifecycle
 
-__all__ = ["ConnectionLimits", "ConnectionLifecycle", "Event", "Phase", "ProcessLifecycle", "State"]
+__all__ = [
+    "ConnectionLifecycle",
+    "ConnectionLimits",
+    "Event",
+    "OutstandingWork",
+    "Phase",
+    "ProcessLifecycle",
+    "State",
+]
--- a/saffronlane/platform/lifecycle/process.py
+++ b/saffronlane/platform/lifecycle/process.py
@@ -1,8 +1,8 @@
-"""The end of the process: requests may still come, answers are owed, connections close without a reset.
+"""Graceful shutdown of the process: all requests are answered, and connections close without a reset.
 
-The times are the platform's: new connections come for up to 0.4 s after SIGTERM, requests on open ones for
+The platform sets the times: new connections come for up to 0.4 s after SIGTERM, requests on open ones for
 0.2 s more, and SIGKILL no sooner than 0.7 s after the longest deadline, which counts as 3 s where it is
-longer. What ends by its own time within that is waited for; the rest is answered while it still can be.
+longer. What ends by itself within that is waited for; the rest is answered while there is time.
 """
 
 from __future__ import annotations
@@ -12,21 +12,23 @@
 from enum import Enum
 
 NEW_REQUEST_WINDOW = 1.0  # seconds after SIGTERM in which requests may come, with a margin for a slow loop
-QUIET_PERIOD = 0.3  # seconds without a new one until the end
-MAX_DEADLINE = 3.0  # seconds that the longest deadline counts for, as the platform has it
-KILL_AFTER = 0.7  # seconds from then to SIGKILL
-ANSWER_MARGIN = 0.25  # seconds before SIGKILL in which what is still owed is answered, and has to arrive
+QUIET_PERIOD = 0.3  # seconds without a new request until the end
+MAX_DEADLINE = 3.0  # seconds that the longest deadline counts for at most
+KILL_DELAY = 0.7  # seconds from the longest deadline to SIGKILL
+ANSWER_MARGIN = 0.25  # seconds before SIGKILL in which the remaining answers have to arrive
 
 
 def shutdown_grace_period(longest_deadline: float) -> float:
     """Seconds after SIGTERM for which answers are waited for."""
-    return min(longest_deadline, MAX_DEADLINE) + KILL_AFTER - ANSWER_MARGIN
+    return min(longest_deadline, MAX_DEADLINE) + KILL_DELAY - ANSWER_MARGIN
 
 
 class Phase(Enum):
+    """The phases of the process, in order."""
+
     SERVING = "serving"
-    DRAINING = "draining"  # not well any more; what still comes is taken, every answer is given
-    CLOSING = "closing"  # nothing is owed, nobody listens; connections are half closed and linger
+    DRAINING = "draining"  # health checks fail; requests are still accepted, and all are answered
+    CLOSING = "closing"  # nothing is pending, nobody listens; connections are half closed and linger
     ENDED = "ended"
 
 
@@ -35,10 +37,10 @@
     """What the driver sees.
 
     Attributes:
-        last_taken: when the last request came, in seconds.
-        owed: requests without an answer, or answers that have not left.
-        unread: something waits to be accepted or read.
-        connections: of clients, those that linger among them.
+        last_request_at: when the last request came, in seconds.
+        has_unanswered: whether requests have no answer, or answers are not written.
+        has_unread: whether something waits to be accepted or read.
+        connection_count: of clients, those that linger among them.
     """
 
     last_request_at: float
@@ -48,39 +50,49 @@
 
 
 class ProcessLifecycle:
-    """Where the process is.
+    """The phase of the process.
 
     Args:
-        linger: seconds that connections may take to close.
-        patience: seconds after SIGTERM for which answers are waited for.
+        linger_timeout: seconds that connections may take to close.
+        grace_period: seconds after SIGTERM for which answers are waited for.
     """
 
     def __init__(self, linger_timeout: float, grace_period: float) -> None:
-        self._linger, self._patience = linger_timeout, grace_period
+        self._linger_timeout = linger_timeout
+        self._grace_period = grace_period
+        self._phase_started_at = -math.inf
         self.phase = Phase.SERVING
-        # Asked twice, or SIGKILL is near: what is owed is answered at once, nothing more is waited for.
+        # Terminated twice, or SIGKILL is near: pending requests are answered at once, no new ones awaited.
         self.is_expedited = False
-        self._since = -math.inf
 
     def terminate(self, now: float) -> None:
-        """SIGTERM or SIGINT."""
+        """Handle SIGTERM or SIGINT."""
         if self.phase is Phase.SERVING:
-            self.phase, self._since = Phase.DRAINING, now
+            self._enter(Phase.DRAINING, now)
         else:
             self.is_expedited = True
 
     def advance(self, now: float, outstanding: OutstandingWork) -> Phase:
-        """The phase now that this is so."""
-        if self.phase is Phase.DRAINING and now >= self._since + self._patience:
-            self.is_expedited = True
-        if self.phase is Phase.DRAINING and not (outstanding.has_unanswered or outstanding.has_unread):
-            coming = (
-                now < self._since + NEW_REQUEST_WINDOW or now < outstanding.last_request_at + QUIET_PERIOD
-            )
-            if self.is_expedited or not coming:
-                self.phase, self._since = Phase.CLOSING, now
-        elif self.phase is Phase.CLOSING and (
-            not outstanding.connection_count or now >= self._since + self._linger
-        ):
+        """Enter the next phase where nothing holds it up; returns the phase after that."""
+        is_overdue = now >= self._phase_started_at + self._phase_timeout()
+        if self.phase is Phase.DRAINING:
+            self.is_expedited = self.is_expedited or is_overdue
+            if self._is_drained(now, outstanding):
+                self._enter(Phase.CLOSING, now)
+        elif self.phase is Phase.CLOSING and (is_overdue or not outstanding.connection_count):
             self.phase = Phase.ENDED
         return self.phase
+
+    def _phase_timeout(self) -> float:
+        return self._linger_timeout if self.phase is Phase.CLOSING else self._grace_period
+
+    def _is_drained(self, now: float, outstanding: OutstandingWork) -> bool:
+        if outstanding.has_unanswered or outstanding.has_unread:
+            return False
+        is_in_window = now < self._phase_started_at + NEW_REQUEST_WINDOW
+        is_recent = now < outstanding.last_request_at + QUIET_PERIOD
+        return self.is_expedited or not (is_in_window or is_recent)
+
+    def _enter(self, phase: Phase, now: float) -> None:
+        self.phase = phase
+        self._phase_started_at = now
--- a/saffronlane/platform/managed_connection.py
+++ b/saffronlane/platform/managed_connection.py
@@ -1,6 +1,6 @@
-"""One connection bound to its life: reads, writes and closes as `lifecycle.Connection` says.
+"""One connection bound to its lifecycle: reads, writes and closes as `ConnectionLifecycle` says.
 
-Both sides are made of it: `front` for clients, `links` for compute nodes.
+Both sides are made of it: `downstream` for clients, `upstream` for compute nodes.
 """
 
 from __future__ import annotations
@@ -15,30 +15,39 @@
 
 from .lifecycle import ConnectionLifecycle, Event, State
 from .stream import READ_CHUNK_BYTES, Stream
+from .write_progress import WriteProgress
 
 log = structlog.get_logger()
+EXPIRY_TOLERANCE = 1e-3  # seconds that a timer may be early
 
 
 class ManagedConnection(ABC):
-    """One connection. `start` it once its owner knows it."""
+    """One connection. `start` it once its owner knows it.
 
-    def __init__(self, stream: Stream, life: ConnectionLifecycle) -> None:
+    Args:
+        stream: of its socket.
+        lifecycle: says what is allowed; this object alone reports events to it.
+    """
+
+    def __init__(self, stream: Stream, lifecycle: ConnectionLifecycle) -> None:
         self.loop = asyncio.get_running_loop()
-        self.stream, self.lifecycle = stream, life
+        self.stream = stream
+        self.lifecycle = lifecycle
         self._is_flush_scheduled = False
-        self._progress = (0, self.loop.time())  # bytes of ours that had left, and when that was seen
-        self._expiry: asyncio.TimerHandle | None = None
+        self._progress = WriteProgress(stream, self.loop.time())
+        self._expiry_timer: asyncio.TimerHandle | None = None
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
+        """Begin to read."""
         self._task = self.loop.create_task(self._run())
 
-    # --- what each side gives ---
+    # --- what each side provides ---
 
     @property
     @abstractmethod
     def has_pending_work(self) -> bool:
-        """Something is open here whose end is still to come."""
+        """Whether something has begun here whose end is still to come."""
 
     @abstractmethod
     def receive(self, data: bytes) -> None:
@@ -46,19 +55,19 @@
 
     @abstractmethod
     def flush(self) -> None:
-        """Hand to the stream what waits for it."""
+        """Hand queued output to the stream."""
 
     @property
     @abstractmethod
     def has_queued_output(self) -> bool:
-        """Whether something waits to be handed to the stream."""
+        """Whether output waits to be handed to the stream."""
 
     @abstractmethod
     def on_closed(self, event: Event, why: str) -> None:
-        """The connection is closed by an event: settle what was open on it. Called once."""
+        """End what was pending: an event has closed the connection. Called once."""
 
     async def connect(self) -> None:
-        """Bring an outgoing connection up; raises where it does not come."""
+        """Establish an outgoing connection; raises where that fails."""
         raise NotImplementedError
 
     # --- reading ---
@@ -67,7 +76,7 @@
         try:
             if self.lifecycle.state is State.CONNECTING:
                 await self.connect()
-                self.handle_event(Event.CONNECTED, "up")
+                self.handle_event(Event.CONNECTED, "connected")
                 self._flush_and_settle()
             while not self.lifecycle.is_closed:
                 reading = self.stream.read_bytes(READ_CHUNK_BYTES, partial=True)
@@ -88,24 +97,25 @@
         if self.lifecycle.processes_input:
             self.receive(data)
         elif self.lifecycle.discard(len(data), self.loop.time()) is State.CLOSED:
-            self._close(Event.EXPIRED, "too much is sent to a connection that closes")
+            self._close(Event.EXPIRED, "too much input while closing")
 
     @property
     def has_unprocessed_input(self) -> bool:
-        """What its peer has sent, or its end, is there and has not been acted on."""
+        """Whether the peer's bytes, or its end, have arrived and have not been acted on."""
         return self.stream.has_undelivered_data or self.stream.peek() is not None
 
     # --- writing ---
 
     def schedule_flush(self) -> None:
-        """What is written in one turn of the loop leaves at its end in one piece."""
-        if not self._is_flush_scheduled:
-            if not self.stream.writing():
-                # Guards against a close over the first answer in a long time: in the turn in which it is
-                # queued, nothing has left since the one before it, and that is no stall.
-                self._progress = self.stream.bytes_written, self.loop.time()
-            self._is_flush_scheduled = True
-            self.loop.call_soon(self._flush_and_settle)
+        """Flush at the end of this turn of the loop: what is queued in one turn is written in one piece."""
+        if self._is_flush_scheduled:
+            return
+        if not self.stream.writing():
+            # In the turn in which the first output in a long time is queued, nothing was written since the
+            # output before it: that is not a stall.
+            self._progress.record(self.loop.time())
+        self._is_flush_scheduled = True
+        self.loop.call_soon(self._flush_and_settle)
 
     def _flush_and_settle(self) -> None:
         self._is_flush_scheduled = False
@@ -115,13 +125,13 @@
             self.settle()
 
     def write_to_stream(self, data: bytes) -> bool:
-        """Write now; whether the stream took it. A stream that has broken leaves the rest to its reader."""
+        """Write now; whether the stream accepted it. A broken stream is left to its reader."""
         try:
             written = self.stream.write(data)
         except StreamClosedError:
             return False
         except StreamBufferFullError:
-            self.handle_event(Event.ABORT, "too much is left unread")
+            self.handle_event(Event.ABORT, "write buffer full")
             return False
         if self.stream.writing():
             written.add_done_callback(lambda _: self._on_written())
@@ -132,90 +142,93 @@
         self._flush_and_settle()
 
     def stalled_for(self) -> float:
-        """Seconds for which none of the bytes that wait has left; a slow peer is no stalled one."""
+        """Seconds for which none of the pending output was written."""
         now = self.loop.time()
-        if self.stream.bytes_written != self._progress[0] or not self.has_pending_output:
-            self._progress = self.stream.bytes_written, now
+        if self._progress.has_progressed() or not self.has_pending_output:
+            self._progress.record(now)
             self.lifecycle.record_write_progress(now)
-        return now - self._progress[1]
+        return self._progress.stalled_for(now)
 
     @property
     def has_pending_output(self) -> bool:
+        """Whether output is queued or not yet written."""
         return self.has_queued_output or self.stream.writing()
 
     @property
     def backlog(self) -> int:
-        """Bytes that were handed over and have not left."""
+        """Bytes that were handed to the stream and are not written."""
         return 0 if self.stream.closed() else self.stream.bytes_accepted - self.stream.bytes_written
 
     # --- ending ---
 
     def drain(self, why: str) -> None:
-        """Graceful shutdown: nothing new; what is open gets its end, and the peer no reset."""
+        """Shut down gracefully: accept no new work, finish what is pending, and send the peer no reset."""
         self.handle_event(Event.DRAIN, why)
         self.settle()
 
     def settle(self) -> None:
-        """Go on towards the end as far as nothing is owed any more."""
+        """Advance a graceful shutdown as far as nothing is pending any more."""
         if self.lifecycle.state is State.DRAINING and not self.has_pending_work:
             self.handle_event(Event.SETTLED, "settled")
         if self.lifecycle.state is State.FLUSHING and not self.has_pending_output:
             self.handle_event(Event.FLUSHED, "flushed")
 
-    def call_after_pending_input(self, work: Callable[[], None]) -> None:
-        """Do it once all that the peer sent before now has been read, or handed over to be.
+    def call_after_pending_input(self, callback: Callable[[], None]) -> None:
+        """Call back once all that the peer sent before now has been read, or handed over to be.
 
-        Guards against a close that crosses nothing: what is ended has been there since before the decision,
-        and only the loop was late. The first turn's select finds it, the second finds it handed over.
+        Guards against a close over bytes that had arrived before the decision, where only the loop was late.
+        The first turn's select finds them, the second finds them handed over.
         """
-        self.loop.call_soon(self.loop.call_soon, work)
+        self.loop.call_soon(self.loop.call_soon, callback)
 
     def run_isolated(self, work: Callable[[], None]) -> None:
-        """Do one connection's part of what is done for all: a fault in it is that connection's end alone.
+        """Do this connection's part of what is done for all: an error in it ends this connection alone.
 
-        Guards against a fault that ends the looks at all connections, or the half-closes at the end.
+        Guards against an error that ends the periodic checks of all connections, or their shutdown.
         """
         try:
             work()
         except Exception:
             log.exception("connection failed")
             with contextlib.suppress(Exception):
-                self.abort("a fault")
+                self.abort("internal error")
 
     def abort(self, why: str) -> None:
-        """Close at once, whatever is open."""
+        """Close at once, whatever is pending."""
         self.handle_event(Event.ABORT, why)
 
     def handle_event(self, event: Event, why: str) -> None:
-        """Tell the connection's life of an event, and do what the state that it enters asks for."""
+        """Report an event to the lifecycle, and do what the state that it enters asks for."""
         before = self.lifecycle.state
         after = self.lifecycle.handle(event, self.loop.time())
         if after is before:
             return
-        self._expect_expiry()
+        self._schedule_expiry()
         if after is State.HALF_CLOSED:
             self.stream.shutdown_write()
         elif after is State.CLOSED:
             self._close(event, why)
 
-    def _expect_expiry(self) -> None:
-        if self._expiry is not None:
-            self._expiry.cancel()
-            self._expiry = None
+    def _schedule_expiry(self) -> None:
+        self._cancel_expiry()
         if self.lifecycle.is_closing:
-            self._expiry = self.loop.call_at(self.lifecycle.deadline, self._on_expiry)
+            self._expiry_timer = self.loop.call_at(self.lifecycle.deadline, self._on_expiry)
+
+    def _cancel_expiry(self) -> None:
+        if self._expiry_timer is not None:
+            self._expiry_timer.cancel()
+            self._expiry_timer = None
 
     def _on_expiry(self) -> None:
-        self._expiry = None
+        self._expiry_timer = None
         self.stalled_for()
-        if self.loop.time() < self.lifecycle.deadline - 1e-3:  # some bytes have left meanwhile
-            self._expect_expiry()
+        if self.loop.time() < self.lifecycle.deadline - EXPIRY_TOLERANCE:  # there was progress meanwhile
+            self._schedule_expiry()
         else:
-            self.handle_event(Event.EXPIRED, "its time to close is over")
+            self.handle_event(Event.EXPIRED, "closing timed out")
 
     def _close(self, event: Event, why: str) -> None:
-        if self._expiry is not None:
-            self._expiry.cancel()
+        self._cancel_expiry()
         self.on_closed(event, why)
         self.stream.close()
         if self._task is not None and asyncio.current_task() is not self._task:
--- a/saffronlane/platform/stream.py
+++ b/saffronlane/platform/stream.py
@@ -1,4 +1,4 @@
-"""Tornado's IOStream, and what an exact account of a connection's end needs: what left, what is unread."""
+"""Tornado's IOStream with an exact account of what was written and what is unread."""
 
 from __future__ import annotations
 
@@ -11,7 +11,13 @@
 
 
 class Stream(IOStream):
-    """A TCP connection whose bytes are counted exactly."""
+    """A TCP connection whose bytes are counted exactly.
+
+    Args:
+        connection: the socket.
+        max_unread_bytes: that may be buffered for the reader.
+        max_unwritten_bytes: that may be buffered for the socket.
+    """
 
     def __init__(self, connection: socket.socket, max_unread_bytes: int, max_unwritten_bytes: int) -> None:
         super().__init__(
@@ -32,18 +38,19 @@
         return self._total_write_index
 
     def write_to_fd(self, data: memoryview) -> int:
+        """Write what the system takes; where the connection has broken, first read what it still holds."""
         try:
             return super().write_to_fd(data) or 0
         except BlockingIOError:
             raise
         except OSError:
-            self._keep_unread()
+            self._buffer_unread()
             raise
 
-    def _keep_unread(self) -> None:
+    def _buffer_unread(self) -> None:
         """Read what the system still holds, before the failed write closes the stream over it.
 
-        Guards against losing answers that came before a reset which a write is the first to meet.
+        Guards against losing responses that came before a reset which a write is the first to meet.
         """
         with contextlib.suppress(OSError):
             while self._read_buffer_size < (self.max_buffer_size or 0):
@@ -55,14 +62,17 @@
 
     def shutdown_write(self) -> None:
         """Half-close: the peer reads our end, and what it has sent is not reset."""
-        if self.closed():  # the system told of the peer's end, and the reader's turn is yet to come
+        if self.closed():  # the system reported the peer's end, and the reader's turn is yet to come
             return
-        with contextlib.suppress(OSError):  # it has broken meanwhile, which the reader tells
+        with contextlib.suppress(OSError):  # it has broken meanwhile, which the reader reports
             self.socket.shutdown(socket.SHUT_WR)
 
     def peek(self) -> bytes | None:
-        """What the system holds that has not been read: a first byte; none where the peer has ended or
-        broken the connection. None: nothing has come."""
+        """The first byte that the system holds unread.
+
+        Returns:
+            No bytes where the peer has ended or broken the connection; None where nothing has arrived.
+        """
         if self.closed():
             return b""
         try:
--- a/saffronlane/resp/__init__.py
+++ b/saffronlane/resp/__init__.py
@@ -1,6 +1,6 @@
-"""RESP as bytes: arrays of bulk strings, cut from a stream within bounds, and written. No I/O."""
+"""RESP without I/O: arrays of bulk strings, parsed from a stream within limits, and encoded."""
 
-from .arrays import RespParser, encode_command
+from .arrays import ParsedArrays, RespParser, encode_command
 from .errors import RespError
 
-__all__ = ["RespParser", "RespError", "encode_command"]
+__all__ = ["ParsedArrays", "RespError", "RespParser", "encode_command"]
--- a/saffronlane/resp/arrays.py
+++ b/saffronlane/resp/arrays.py
@@ -1,97 +1,122 @@
 """Arrays of bulk strings, the one form of RESP that compute nodes speak.
 
-Iterative and incremental: bytes may come in any pieces. A length past the bounds is an error as soon as it is
+Iterative and incremental: bytes may come in any pieces. A length past the limits is an error as soon as it is
 read; nothing is allocated from what a peer only declared.
 """
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from .errors import RespError
 
-MAX_LINE_BYTES = 12  # bytes of a line that says a count or a length, its end included
+MAX_LINE_BYTES = 12  # of a count or a length, its marker and end included
+ARRAY_MARKER = b"*"
+BULK_STRING_MARKER = b"$"
+LINE_END = b"\r\n"
 
 
 def encode_command(*words: bytes) -> bytes:
+    """An array of bulk strings."""
     parts = [b"*%d\r\n" % len(words)]
     parts += [b"$%d\r\n%b\r\n" % (len(word), word) for word in words]
     return b"".join(parts)
 
 
+class ParsedArrays(NamedTuple):
+    """The arrays that are complete, in order, and the error in the bytes after them, if any."""
+
+    arrays: list[list[bytes]]
+    error: RespError | None
+
+
+class _Line(NamedTuple):
+    """A line with a number."""
+
+    end: int
+    number: int
+
+
 class RespParser:
-    """Cuts a stream of bytes into arrays.
+    """Parses arrays from a stream of bytes.
 
     Args:
-        most_words: of an array.
-        most_bytes: of a word.
+        max_words: of an array.
+        max_word_bytes: of a word.
     """
 
-    def __init__(self, most_words: int, most_bytes: int) -> None:
-        self._most_words, self._most_bytes = most_words, most_bytes
+    def __init__(self, max_words: int, max_word_bytes: int) -> None:
+        self._max_words = max_words
+        self._max_word_bytes = max_word_bytes
         self._buffer = bytearray()
-        self._at = 0
-        self._left = 0  # words still to come of the array; 0: between arrays
+        self._position = 0
+        self._remaining_words = 0  # of the current array; 0 between arrays
         self._words: list[bytes] = []
 
     @property
     def has_partial_array(self) -> bool:
-        """Whether an array has begun and is not whole."""
-        return bool(self._left or self._at < len(self._buffer))
+        """Whether an array has begun and is not complete."""
+        return bool(self._remaining_words or self._position < len(self._buffer))
 
-    def feed(self, data: bytes) -> tuple[list[list[bytes]], RespError | None]:
-        """The arrays that are whole now, in order, and what is wrong with the bytes after them."""
+    def feed(self, data: bytes) -> ParsedArrays:
+        """Add bytes; returns the arrays that they complete."""
         self._buffer += data
-        found: list[list[bytes]] = []
+        arrays: list[list[bytes]] = []
         try:
-            while self._step():
-                if not self._left:
-                    found.append(self._words)
+            while self._parse_word():
+                if not self._remaining_words:
+                    arrays.append(self._words)
                     self._words = []
         except RespError as error:
-            return found, error
+            return ParsedArrays(arrays, error)
         finally:
-            del self._buffer[: self._at]
-            self._at = 0
-        return found, None
-
-    def _step(self) -> bool:
-        """Take a head, or a word with its head; whether there was one."""
-        if not self._left:
-            line = self._line(b"*")
-            if line is None:
-                return False
-            self._at, count = line
-            if not 1 <= count <= self._most_words:
-                raise RespError(f"an array of {count} words")
-            self._left = count
-        line = self._line(b"$")
+            del self._buffer[: self._position]
+            self._position = 0
+        return ParsedArrays(arrays, None)
+
+    def _parse_word(self) -> bool:
+        """Parse the next word, after the head of its array if it is the first; false: it is not complete."""
+        if not self._remaining_words and not self._parse_array_head():
+            return False
+        line = self._parse_line(BULK_STRING_MARKER)
         if line is None:
             return False
-        begin, length = line
-        if not 0 <= length <= self._most_bytes:
-            raise RespError(f"a word of {length} bytes")
-        end = begin + length
-        tail = bytes(self._buffer[end : end + 2])
-        if tail != b"\r\n":
-            if not b"\r\n".startswith(tail):
-                raise RespError("a word is longer than it says")
+        if not 0 <= line.number <= self._max_word_bytes:
+            raise RespError(f"expected a word of at most {self._max_word_bytes} bytes, found {line.number}")
+        end = line.end + line.number
+        terminator = bytes(self._buffer[end : end + len(LINE_END)])
+        if terminator != LINE_END:
+            if not LINE_END.startswith(terminator):
+                raise RespError(f"expected the end of a word of {line.number} bytes, found {terminator!r}")
+            return False
+        self._words.append(bytes(self._buffer[line.end : end]))
+        self._position = end + len(LINE_END)
+        self._remaining_words -= 1
+        return True
+
+    def _parse_array_head(self) -> bool:
+        """Parse the number of an array's words; false: it is not complete."""
+        line = self._parse_line(ARRAY_MARKER)
+        if line is None:
             return False
-        self._words.append(bytes(self._buffer[begin:end]))
-        self._at = end + 2
-        self._left -= 1
+        self._position = line.end
+        if not 1 <= line.number <= self._max_words:
+            raise RespError(f"expected an array of 1 to {self._max_words} words, found {line.number}")
+        self._remaining_words = line.number
         return True
 
-    def _line(self, mark: bytes) -> tuple[int, int] | None:
-        """Where a line ends that begins here, and its number; None: it is not whole."""
-        at = self._at
-        end = self._buffer.find(b"\r\n", at, at + MAX_LINE_BYTES)
-        head = bytes(self._buffer[at : at + MAX_LINE_BYTES])
-        if head and head[:1] != mark:
-            raise RespError(f"{head[:1]!r} where {mark!r} was due")
-        if end < 0:
+    def _parse_line(self, marker: bytes) -> _Line | None:
+        """Parse the line that begins at the current position; None: it is not complete."""
+        start = self._position
+        head = bytes(self._buffer[start : start + MAX_LINE_BYTES])
+        if head and head[:1] != marker:
+            raise RespError(f"expected {marker!r}, found {head[:1]!r}")
+        length = head.find(LINE_END)
+        if length < 0:
             if len(head) >= MAX_LINE_BYTES:
-                raise RespError("a line without an end")
+                raise RespError(f"expected a line of at most {MAX_LINE_BYTES} bytes, found a longer one")
             return None
-        digits = bytes(self._buffer[at + 1 : end])
+        digits = head[1:length]
         if not digits.isdigit():
-            raise RespError(f"no number: {digits!r}")
-        return end + 2, int(digits)
+            raise RespError(f"expected a number, found {digits!r}")
+        return _Line(start + length + len(LINE_END), int(digits))
--- a/saffronlane/resp/errors.py
+++ b/saffronlane/resp/errors.py
@@ -6,6 +6,6 @@
 
 
 class RespError(SaffronlaneError):
-    """What comes is no array of bulk strings, or one past the bounds. What follows cannot be read."""
+    """Bytes that are no array of bulk strings, or one past the limits. What follows cannot be read."""
 
     remedy = "Look at the compute node that sent it; its connection was closed and attempts go elsewhere."
