--- a/saffronlane/platform/lifecycle/__init__.py
+++ b/saffronlane/platform/lifecycle/__init__.py
@@ -1,6 +1,14 @@
-"""When a connection, and when the process, may end: what is read, acted on and owed. No I/O, no clock."""
+"""State machines of a connection and of the process, without I/O or a clock: when each may end."""
 
-from .connection import Bounds, Connection, Event, State
-from .process import Phase, Process
+from .connection import ConnectionLifecycle, ConnectionLimits, Event, State
+from .process import OutstandingWork, Phase, ProcessLifecycle
 
-__all__ = ["Bounds", "Connection", "Event", "Phase", "Process", "State"]
+__all__ = [
+    "ConnectionLifecycle",
+    "ConnectionLimits",
+    "Event",
+    "OutstandingWork",
+    "Phase",
+    "ProcessLifecycle",
+    "State",
+]
--- a/saffronlane/platform/upstream/client.py
+++ b/saffronlane/platform/upstream/client.py
@@ -7,20 +7,24 @@
 from ...engines.transport import Request
 
 
-class Client(Protocol):
-    """Where an answer goes."""
+class ResponseSink(Protocol):
+    """Where the answer to a request goes."""
 
     @property
-    def unread(self) -> bool:
-        """Whether it has sent something, or gone, and that has not been read yet."""
+    def has_unprocessed_input(self) -> bool:
+        """Whether its client has sent something, or gone, and that has not been processed yet."""
 
-    def served(self, body: bytes) -> None: ...
+    def send_result(self, body: bytes) -> None:
+        """Answer with a whole result."""
 
-    def refused(self, retry_after: float) -> None: ...
+    def send_rejection(self, retry_after: float) -> None:
+        """Reject; the client should stay away for some seconds, or 0."""
 
-    def failed(self, why: str) -> None: ...
+    def send_failure(self, why: str) -> None:
+        """Answer with an error."""
 
 
-def client_of(request: Request) -> Client:
-    client: Client = request.sink
-    return client
+def response_sink(request: Request) -> ResponseSink:
+    """Where the answer to a request goes, by its type."""
+    sink: ResponseSink = request.sink
+    return sink
--- a/tests/node/test_ends.py
+++ b/tests/node/test_ends.py
@@ -19,9 +19,9 @@
     member,
 )
 
-from saffronlane.platform.errors import Spoilt
-from saffronlane.platform.upstream import attempt as sending_module
-from saffronlane.policy.gateway import MAX_REMOVED_ENGINES
+from saffronlane.platform.errors import InvalidResponse
+from saffronlane.platform.upstream import paged_result
+from saffronlane.policy.gateway import GONE_MOST
 
 from .support import RID, own_process, play, rid
 
@@ -34,7 +34,7 @@
         await built.until(lambda: feed.writers)
         number, name = 1, "node-0"
         port = built.computes[0].port
-        for turn in range(MAX_REMOVED_ENGINES + 20):
+        for turn in range(GONE_MOST + 20):
             client = await built.client()
             assert (await client.answer(client.call("ask", rid(turn))))[0] is None
             client.close()
@@ -46,8 +46,8 @@
         await built.until(lambda: not any(built.tables().values()) and not built.node.front.clients)
         node = built.node
         assert len(node.fleet) == len(node.dispatcher._engines) == 1
-        assert len(node.links.by_node) <= 1
-        assert len(gateway.fleet.engines) == len(gateway.fleet.engine_by_digest) <= MAX_REMOVED_ENGINES + 1
+        assert len(node.links.pool.connections_by_engine) <= 1
+        assert len(gateway.fleet.engines) == len(gateway.fleet.engine_by_digest) <= GONE_MOST + 1
         assert len(gateway.engine_selector.eligibility.rendezvous_order.cached_orders) <= 2
 
     play(work)
@@ -139,8 +139,8 @@
 )
 def test_a_page_is_whole_rows_of_three_columns(page: bytes, good: bool) -> None:
     try:
-        sending_module.check_page(page)
-    except Spoilt:
+        paged_result.check_page(page)
+    except InvalidResponse:
         assert not good
     else:
         assert good
