--- a/saffronlane/platform/downstream/client_connection.py
+++ b/saffronlane/platform/downstream/client_connection.py
@@ -10,7 +10,7 @@
 
 from ... import msgpackrpc as rpc
 from ..errors import BadRequestError
-from ..lifecycle import ConnectionLimits, ConnectionLifecycle, Event
+from ..lifecycle import ConnectionLifecycle, ConnectionLimits, Event
 from ..managed_connection import ManagedConnection
 from ..stream import Stream
 from .fault_replies import DelayedFaultReplies
@@ -212,7 +212,12 @@
     @property
     def is_idle(self) -> bool:
         """Whether nothing is open, partially received, unsent or unprocessed."""
-        is_busy = self.has_pending_work or self.scanner.pending or self.has_pending_output or self.has_unprocessed_input
+        is_busy = (
+            self.has_pending_work
+            or self.scanner.pending
+            or self.has_pending_output
+            or self.has_unprocessed_input
+        )
         return self.lifecycle.accepts_work and not is_busy
 
     def check_timeouts(self, now: float) -> None:
--- a/saffronlane/platform/downstream/connection_eviction.py
+++ b/saffronlane/platform/downstream/connection_eviction.py
@@ -91,7 +91,11 @@
             if client.opened_at >= now - NEW_CONNECTION_PROTECTION:
                 return None
             has_partial = bool(client.scanner.pending)
-            if client.lifecycle.accepts_work and has_partial is is_partial and not client.has_unprocessed_input:
+            if (
+                client.lifecycle.accepts_work
+                and has_partial is is_partial
+                and not client.has_unprocessed_input
+            ):
                 return client
         return None
 
--- a/saffronlane/platform/server.py
+++ b/saffronlane/platform/server.py
@@ -25,7 +25,7 @@
 from .reload import reload_config
 from .shutdown import GracefulShutdown
 from .stats import StatsReporter
-from .upstream import UpstreamLimits, UpstreamPool
+from .upstream import UpstreamLimits, UpstreamTransport
 
 log = structlog.get_logger()
 DEFAULT_CONNECT_TIMEOUT = 0.25  # seconds
@@ -50,7 +50,9 @@
         exhaustion = DescriptorExhaustion()
         self.endpoints = EndpointTable(settings, self._loop.time, time.time)
         self.dispatcher = dispatch.Dispatcher(settings, config.seed)
-        self.links = UpstreamPool(_link_limits(config, allocation.engines), self.endpoints.address, exhaustion)
+        self.links = UpstreamTransport(
+            _link_limits(config, allocation.engines), self.endpoints.address, exhaustion
+        )
         self.peers = self._gossip_transport()
         self.executor = Executor(self.dispatcher, self.links, self.peers.send if self.peers else None)
         self.downstream = DownstreamServer(
@@ -65,7 +67,9 @@
             config.feed, config.last_sequence, self._on_endpoints, Random(config.seed), exhaustion
         )
         max_deadline = max((entry.deadline for entry in settings.classes), default=0.0)
-        self.process = ProcessLifecycle(ConnectionLimits().linger_timeout, shutdown_grace_period(max_deadline))
+        self.process = ProcessLifecycle(
+            ConnectionLimits().linger_timeout, shutdown_grace_period(max_deadline)
+        )
         self._shutdown = GracefulShutdown(self.process, self.dispatcher, self.executor, self.downstream)
         self._stats = StatsReporter(self.dispatcher, self.downstream)
 
--- a/tests/node/test_certainty.py
+++ b/tests/node/test_certainty.py
@@ -50,8 +50,8 @@
 
     await built.until(lambda: built.feed.writers)
     built.feed.event(2, [member("raw", node.port), member("node-0", built.computes[0].port, "draining")])
-    await built.until(lambda: built.node.discovery.last_sequence == 2)
-    link = built.node.links._select_connection(b"raw", b"first")
+    await built.until(lambda: built.node.feed.last == 2)
+    link = built.node.links.pool.select(b"raw", b"first")
     assert link is not None
     await built.until(lambda: link.is_established)
     node.accept()
@@ -76,7 +76,7 @@
                 built.feed.event(3, [member("node-0", built.computes[0].port)])
             pour(link)
 
-        monkeypatch.setattr(UpstreamConnection, "pour", crossed)
+        monkeypatch.setattr(UpstreamConnection, "flush", crossed)
         client = await built.client()
         answered = await client.answer(client.call("frail", rid(1)))
         assert set(told[:-1]) == {Outcome.CONNECT_FAILED} and answered == (None, [ROWS, {}])
@@ -100,7 +100,7 @@
         from platform_world import member
 
         built.feed.event(3, [member("node-0", built.computes[0].port)])
-        await built.until(lambda: built.node.discovery.last_sequence == 3)
+        await built.until(lambda: built.node.feed.last == 3)
         node.reset()
         answered = await client.answer(msgid)
         assert told == [Outcome.CONNECT_FAILED, Outcome.OK] and answered == (None, [ROWS, {}])
@@ -185,7 +185,7 @@
                 built.feed.event(3, [member("node-0", built.computes[0].port)])
             pour(one)
 
-        monkeypatch.setattr(UpstreamConnection, "pour", crossed)
+        monkeypatch.setattr(UpstreamConnection, "flush", crossed)
         second = client.call("frail", rid(2))
         assert await client.answer(first) == (None, [ROWS, {}])
         assert await client.answer(second) == (None, [ROWS, {}])
@@ -207,7 +207,7 @@
         told, pour, crossed = outcomes(built), UpstreamConnection.flush, []
         client = await built.client()
         assert (await client.answer(client.call("ask", rid(1))))[0] is None
-        (link,) = built.node.links.connections_by_engine[b"node-0"]
+        (link,) = built.node.links.pool.connections_by_engine[b"node-0"]
 
         def cross(one: UpstreamConnection) -> None:
             if one is link and one.has_queued_output and not crossed:
@@ -216,7 +216,7 @@
                 peer.writer.transport.get_extra_info("socket").shutdown(socket.SHUT_WR)
             pour(one)
 
-        monkeypatch.setattr(UpstreamConnection, "pour", cross)
+        monkeypatch.setattr(UpstreamConnection, "flush", cross)
         assert await client.answer(client.call("frail", rid(2))) == (None, [ROWS, {}])
         assert crossed and told == [Outcome.OK, Outcome.OK]
         assert not built.node.dispatcher.gateway.fleet.engines[b"node-0"].failure_ratio
@@ -231,11 +231,15 @@
         client = await built.client()
         assert (await client.answer(client.call("ask", rid(1))))[0] is None
         links = built.node.links
-        (link,) = links.connections_by_engine[b"node-0"]
+        (link,) = links.pool.connections_by_engine[b"node-0"]
         link.stream.close()  # as where the system told of the node's end in this turn of the loop
         links.remove_engine(b"node-0")
         assert await client.answer(client.call("ask", rid(2))) == (None, [ROWS, {}])
-        await built.until(lambda: link.lifecycle.is_closed and link not in links.connections_by_engine.get(b"node-0", ()))
+        await built.until(
+            lambda: (
+                link.lifecycle.is_closed and link not in links.pool.connections_by_engine.get(b"node-0", ())
+            )
+        )
 
     play(work)
 
@@ -248,12 +252,12 @@
         client = await built.client()
         assert (await client.answer(client.call("ask", rid(1))))[0] is None
         links = built.node.links
-        (link,) = next(iter(links.connections_by_engine.values()))
+        (link,) = next(iter(links.pool.connections_by_engine.values()))
         begin = links.begin
 
         def crossed(attempt: Any) -> None:
             begin(attempt)
-            if attempt.link is link:
+            if attempt.connection is link:
                 link.abort("spoilt answer")
 
         links.begin = crossed  # type: ignore[method-assign]
@@ -348,11 +352,11 @@
         await other.start()
         built.computes.append(other)
         built.feed.event(2, [member("node-0", other.port)])
-        await built.until(lambda: built.node.discovery.last_sequence == 2)
+        await built.until(lambda: built.node.feed.last == 2)
         assert (await client.answer(client.call("ask", rid(2))))[0] is None
         held[0][0].done(held[0][1])
         assert await client.answer(first) == (None, [ROWS, {}])
-        await built.until(lambda: len(built.node.links.connections_by_engine[b"node-0"]) == 1)
+        await built.until(lambda: len(built.node.links.pool.connections_by_engine[b"node-0"]) == 1)
 
     play(work, holding(held))
 
@@ -363,10 +367,10 @@
     async def work(built: World) -> None:
         links = built.node.links
         links.probe(b"node-0")
-        (link,) = links.connections_by_engine[b"node-0"]
+        (link,) = links.pool.connections_by_engine[b"node-0"]
         await built.until(lambda: built.computes[0].words(b"alive"))
         link.drain("its node has gone")
         assert not link.lifecycle.is_closing
-        await built.until(lambda: not links.connections_by_engine, 1.5)
+        await built.until(lambda: not links.pool.connections_by_engine, 1.5)
 
     play(work, silent)
--- a/tests/node/test_lifecycle.py
+++ b/tests/node/test_lifecycle.py
@@ -9,8 +9,20 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from saffronlane.platform.lifecycle import ConnectionLimits, ConnectionLifecycle, Event, Phase, ProcessLifecycle, State
-from saffronlane.platform.lifecycle.process import QUIET_PERIOD, NEW_REQUEST_WINDOW, OutstandingWork, shutdown_grace_period
+from saffronlane.platform.lifecycle import (
+    ConnectionLifecycle,
+    ConnectionLimits,
+    Event,
+    Phase,
+    ProcessLifecycle,
+    State,
+)
+from saffronlane.platform.lifecycle.process import (
+    NEW_REQUEST_WINDOW,
+    QUIET_PERIOD,
+    OutstandingWork,
+    shutdown_grace_period,
+)
 
 BOUNDS = ConnectionLimits(connect_timeout=0.25, stall_timeout=5.0, linger_timeout=0.5, max_linger_bytes=1000)
 WAYS: dict[State, tuple[Event, ...]] = {
@@ -62,7 +74,12 @@
 )
 def test_what_each_state_allows(state: State, takes: bool, acts: bool, writes: bool, closing: bool) -> None:
     life = reached(state)
-    assert (life.accepts_work, life.processes_input, life.allows_writes, life.is_closing) == (takes, acts, writes, closing)
+    assert (life.accepts_work, life.processes_input, life.allows_writes, life.is_closing) == (
+        takes,
+        acts,
+        writes,
+        closing,
+    )
 
 
 @pytest.mark.parametrize(
@@ -134,7 +151,9 @@
 # --- the process ---
 
 
-def debts(owed: bool = False, unread: bool = False, last: float = 0.0, connections: int = 1) -> OutstandingWork:
+def debts(
+    owed: bool = False, unread: bool = False, last: float = 0.0, connections: int = 1
+) -> OutstandingWork:
     return OutstandingWork(last, owed, unread, connections)
 
 
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -236,7 +236,9 @@
             "attempts": len(gateway.in_flight.attempts),
             "held": len(gateway.pending.queued),
             "ids": len(node.downstream.open_request_ids),
-            "open": sum(len(link.attempts) for links in node.links.connections_by_engine.values() for link in links),
+            "open": sum(
+                len(link.attempts) for links in node.links.connections_by_engine.values() for link in links
+            ),
         }
 
     def close(self) -> None:
