--- a/saffronlane/msgpackrpc/scanner.py
+++ b/saffronlane/msgpackrpc/scanner.py
@@ -1,8 +1,8 @@
-"""Finds where a MessagePack message ends before anything of it is decoded.
+"""Finds the end of a MessagePack message before any of it is decoded.
 
-Iterative and incremental: bytes may come in any pieces, and nothing is allocated from a length that a peer
-only declared. A message that would be too long, too full or no call at all is an error at its first byte that
-says so, however much was still to come.
+The scanner is iterative and incremental: bytes may come in any pieces, and nothing is allocated by a length
+that a peer only declares. A message that is too long, has too many items or is no call is an error at the
+first byte that shows it.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class Scanner:
-    """Cuts a stream of bytes into whole messages.
+    """Splits a stream of bytes into whole messages.
 
     Args:
         max_bytes: of a message.
@@ -26,84 +26,88 @@
     """
 
     def __init__(self, max_bytes: int, max_items: int) -> None:
-        self._max_bytes, self._max_items = max_bytes, max_items
+        self._max_bytes = max_bytes
+        self._max_items = max_items
         self._buffer = bytearray()
         self._begin_message()
 
     def _begin_message(self) -> None:
-        self._position = 0  # where the next item begins, in the buffer
-        self._remaining_items = 1  # items still to come of the message
+        self._position = 0  # of the next item, in the buffer
+        self._remaining_items = 1  # of the message, as far as declared
         self._item_count = 0
 
     @property
     def pending(self) -> int:
-        """Bytes of a message that is not whole."""
+        """Number of bytes of an incomplete message."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> tuple[list[bytes], ScanError | None]:
-        """The messages that are whole now, in order, and what is wrong with the bytes after them."""
+        """Return the messages that are complete now, and the error in the bytes after them, if any."""
         self._buffer += data
-        found: list[bytes] = []
+        messages: list[bytes] = []
         try:
             while self._buffer and self._scan():
-                found.append(bytes(self._buffer[: self._position]))
+                messages.append(bytes(self._buffer[: self._position]))
                 del self._buffer[: self._position]
                 self._begin_message()
         except ScanError as error:
             self._buffer.clear()
-            return found, error
-        return found, None
+            return messages, error
+        return messages, None
 
     def _scan(self) -> bool:
-        """Go on to the message's end; whether it is reached."""
-        buffer, at = self._buffer, self._position
-        size = len(buffer)
+        """Advance towards the end of the message; return whether it is reached."""
+        position = self._position
+        size = len(self._buffer)
         while self._remaining_items:
-            if at >= size:
-                self._position = at
+            if position >= size:
+                self._position = position
                 return False
-            end, inside = self._item(at)
-            if end < 0:  # its head is not whole
-                self._position = at
+            end, nested = self._item(position)
+            if end < 0:  # its head is incomplete
+                self._position = position
                 return False
             if end > self._max_bytes:
                 raise ScanError(f"a message of more than {self._max_bytes} bytes")
-            if end > size and not inside:  # a string: what is there of it need not be looked at again
-                self._position = at
+            if end > size and not nested:  # an incomplete string, skipped once it is complete
+                self._position = position
                 return False
             self._item_count += 1
-            self._remaining_items += inside - 1
+            self._remaining_items += nested - 1
             if self._item_count + self._remaining_items > self._max_items:
                 raise ScanError(f"a message of more than {self._max_items} items")
-            at = end
-        self._position = at
+            position = end
+        self._position = position
         return True
 
-    def _item(self, at: int) -> tuple[int, int]:
-        """Where the item that begins here ends, containers after their head, and how many items it opens."""
-        tag = self._buffer[at]
-        if not at and not 0x93 <= tag <= 0x94:
-            raise ScanError(f"no call begins with byte {tag:#04x}")
+    def _item(self, position: int) -> tuple[int, int]:
+        """Return where an item ends, a container after its head, and the number of items in it.
+
+        The end is -1 where the item's head is incomplete.
+        """
+        tag = self._buffer[position]
+        if not position and not 0x93 <= tag <= 0x94:
+            raise ScanError(f"a message begins with byte {tag:#04x}, expected 0x93 or 0x94")
         if tag <= 0x7F or tag >= 0xE0:
-            return at + 1, 0
+            return position + 1, 0
         if tag <= 0x8F:
-            return at + 1, 2 * (tag & 0x0F)
+            return position + 1, 2 * (tag & 0x0F)
         if tag <= 0x9F:
-            return at + 1, tag & 0x0F
+            return position + 1, tag & 0x0F
         if tag <= 0xBF:
-            return at + 1 + (tag & 0x1F), 0
+            return position + 1 + (tag & 0x1F), 0
         if tag in _FIXED:
-            return at + 1 + _FIXED[tag], 0
+            return position + 1 + _FIXED[tag], 0
         width, extra = (_SIZED[tag], 0) if tag in _SIZED else (_EXT.get(tag, 0), 1)
         if tag in _COUNTED:
             width, times = _COUNTED[tag]
-            count = self._number(at + 1, width)
-            return (-1, 0) if count is None else (at + 1 + width, count * times)
+            count = self._number(position + 1, width)
+            return (-1, 0) if count is None else (position + 1 + width, count * times)
         if not width:
-            raise ScanError(f"byte {tag:#04x} means nothing in MessagePack")
-        length = self._number(at + 1, width)
-        return (-1, 0) if length is None else (at + 1 + width + extra + length, 0)
+            raise ScanError(f"byte {tag:#04x} is reserved in MessagePack")
+        length = self._number(position + 1, width)
+        return (-1, 0) if length is None else (position + 1 + width + extra + length, 0)
 
-    def _number(self, at: int, width: int) -> int | None:
-        data = self._buffer[at : at + width]
+    def _number(self, position: int, width: int) -> int | None:
+        data = self._buffer[position : position + width]
         return int.from_bytes(data, "big") if len(data) == width else None
