--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -52,7 +52,7 @@
     from saffronlane import dispatch as d
     from saffronlane import gossip_messages as messages
     from saffronlane import interface as api
-    from saffronlane.platform.config import ListedEngine, EndpointList, parse_config
+    from saffronlane.platform.config import EndpointList, ListedEngine, parse_config
     from saffronlane.platform.discovery.endpoints import EndpointTable
 
     base = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0
@@ -70,7 +70,9 @@
     for n in range(rounds):
         now += 0.01
         phase = ("draining", "up")[n % 2]
-        one = EndpointList([ListedEngine(f"s-{n // 2 % nodes:08x}", "10.1.0.1:4100", machine_type="std", state=phase)])
+        engine = f"s-{n // 2 % nodes:08x}"
+        listed = ListedEngine(engine, "10.1.0.1:4100", machine_type="std", state=phase)
+        one = EndpointList([listed])
         core.step(now, [fleet.apply(one)[0]])
     update = (time.process_time() - began) / rounds
 
--- a/tests/node/test_interleavings.py
+++ b/tests/node/test_interleavings.py
@@ -161,7 +161,7 @@
         assert not faults and not [one for one in logs if one["log_level"] in ("error", "critical")]
         assert not any(built.tables().values()) and not built.node.downstream.clients
         for sending in sent:  # when it left, not when it came: what reads it here may be late
-            assert sending.left_at <= clients.left.get(sending.statement.id, math.inf) + GONE_WITHIN
+            assert sending.left_at <= clients.left.get(sending.statement.request_id, math.inf) + GONE_WITHIN
         for name in clients.unsafe:
             assert nodes.fetched.get(name, 0) <= 1 + nodes.turned_away.get(name, 0)
 
