--- a/tests/node/test_interleavings.py
+++ b/tests/node/test_interleavings.py
@@ -14,7 +14,7 @@
 import structlog
 from platform_world import ROWS, SETTINGS, Client, Peer, World, member
 
-from saffronlane.resp import encode_command
+from saffronlane.resp import command
 
 from .support import SyncClient, call, play, rid
 
@@ -36,7 +36,7 @@
             return
         name, loop = words[1], asyncio.get_running_loop()
         self.fetched[name] = self.fetched.get(name, 0) + 1
-        done = encode_command(name, b"DONE", b"sheets=1,toil=5,room=7", ROWS)
+        done = command(name, b"DONE", b"sheets=1,toil=5,room=7", ROWS)
         drawn = self.random.random()
         if drawn < 0.45:
             loop.call_later(self.random.choice((0.0, 0.0, 0.02, 0.3)), peer.done, name)
@@ -139,13 +139,13 @@
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda _, context: faults.append(context))
         clients, links = Clients(built, random), built.node.links
-        start = links.create_attempt
+        start = links.start
 
         def kept(*told: Any) -> Any:
             sent.append(start(*told))
             return sent[-1]
 
-        links.create_attempt = kept  # type: ignore[method-assign]
+        links.start = kept  # type: ignore[method-assign]
         with structlog.testing.capture_logs() as logs:
             changing = asyncio.create_task(lists(built, random))
             await clients.run()
@@ -161,7 +161,7 @@
         assert not faults and not [one for one in logs if one["log_level"] in ("error", "critical")]
         assert not any(built.tables().values()) and not built.node.downstream.clients
         for sending in sent:  # when it left, not when it came: what reads it here may be late
-            assert sending.sent_at <= clients.left.get(sending.statement.id, math.inf) + GONE_WITHIN
+            assert sending.left_at <= clients.left.get(sending.statement.request_id, math.inf) + GONE_WITHIN
         for name in clients.unsafe:
             assert nodes.fetched.get(name, 0) <= 1 + nodes.turned_away.get(name, 0)
 
