--- a/saffronlane/policy/execution/completion.py
+++ b/saffronlane/policy/execution/completion.py
@@ -10,6 +10,7 @@
 
 DEADLINE_EXEC_TIMES = 10.0  # ExecTimes from arrival to deadline; the value of the paper
 EXPIRY_MARGIN = 0.03  # seconds before a client's timeout by which its answer leaves
+TIMER_TOLERANCE = 1e-6  # seconds by which a timer may fire early
 
 
 class RequestCompletion:
--- a/saffronlane/policy/execution/hedging.py
+++ b/saffronlane/policy/execution/hedging.py
@@ -5,12 +5,12 @@
 from ...state import Attempt, Engine, clamp
 from ..scheduling.concurrency_limit import CONGESTED_INFLATION
 from .attempts import AttemptManager
+from .completion import TIMER_TOLERANCE
 
 MAX_REMAINING_EXEC_TIMES = 4.0  # ExecTimes that the rest may take before a fresh run is better
 MAX_REMAINING_TIME_RATIO = 1.5  # rest over the time left, above which the request is given up
 MAX_CONCURRENT_ATTEMPTS = 2  # attempts of one request in flight
 MIN_PROGRESS = 1e-3  # lowest reported progress, of 1
-TIME_TOLERANCE = 1e-6  # seconds by which a timer may fire early
 
 
 class HedgingAndRetry:
@@ -36,7 +36,7 @@
         if attempt.outcome is not None or not self._is_supervised(attempt):
             return
         due_at = attempt.last_progress_at + self.attempt_manager.progress_timeout(request)
-        if due_at > now + TIME_TOLERANCE:
+        if due_at > now + TIMER_TOLERANCE:
             self.step_context.schedule(due_at, attempt)
             return
         attempt.engine.last_rejection_at = now
--- a/saffronlane/policy/scheduling/group_edf.py
+++ b/saffronlane/policy/scheduling/group_edf.py
@@ -5,14 +5,13 @@
 from ...state import Request
 from ..estimation.run_time_estimator import SEED_ANSWERS
 from ..execution.attempts import AttemptManager
-from ..execution.completion import EXPIRY_MARGIN
+from ..execution.completion import EXPIRY_MARGIN, TIMER_TOLERANCE
 
 GROUP_RANGE_RATIO = (
     0.4  # Gr of the paper: a group's range past the earliest deadline, in its time to deadline
 )
 MIN_LATE_PRIORITY_WEIGHT = 0.4  # while engines are full, classes below this expire at their objective
 EXPIRY_CHECK_INTERVAL = 0.05  # seconds; checking at each step would cost too much with long queues
-TIME_TOLERANCE = 1e-6  # seconds by which a timer may fire early
 
 
 class GroupEdfScheduler:
@@ -89,7 +88,7 @@
         requests = [
             request
             for request in self.pending.queued.values()
-            if request.probing_until <= now + TIME_TOLERANCE
+            if request.probing_until <= now + TIMER_TOLERANCE
             and self.pending.ordering.is_next(request, now)
             and self.retry_policy.has_retry_budget(request)
         ]
