--- a/tests/test_many_gateways.py
+++ b/tests/test_many_gateways.py
@@ -41,7 +41,7 @@
     return drivers
 
 
-def test_two_hundred_gateways_use_a_cold_fleet_and_keep_its_budget_together() -> None:
+def test_two_hundred_gateways_together_keep_the_slow_start_budget_and_use_it() -> None:
     """Guards rule 4 as the sum over all gateways; fails when the sum passes the budget or nothing is sent."""
     drivers, random = many(guarantees=COLD), Random(5)
     entries = [api.EngineEntry(engine_id(i), EngineState.READY, started_at=120.0) for i in range(ENGINES)]
@@ -63,7 +63,7 @@
         assert most * WORK <= COLD_BUDGET
 
 
-def test_large_queries_do_not_gamble_on_a_cold_engine() -> None:
+def test_large_requests_do_not_go_to_an_engine_warming_up() -> None:
     driver = many(1, engines=1, gateway_count=GATEWAYS, guarantees=COLD, classes=(LOOKUP, REPORT))[0]
     driver.list(
         [api.EngineEntry(engine_id(0), EngineState.READY, started_at=driver.now)], EndpointListMode.DELTA
@@ -80,7 +80,7 @@
     assert len(used) > 10
 
 
-def test_a_hot_group_leaves_its_first_engine_though_nothing_is_out_from_here() -> None:
+def test_hot_table_group_leaves_its_first_engine_with_nothing_in_flight() -> None:
     """Own threads are 0 at one of many gateways; what was sent of late must count as load."""
     driver = many(1)[0]
     engines = []
@@ -93,7 +93,7 @@
     assert max(hot.count(engine) for engine in set(hot)) < 0.7 * len(hot)
 
 
-def test_a_gateway_whose_part_is_below_one_query_still_holds_under_pressure() -> None:
+def test_gateway_with_a_share_below_one_request_still_queues_under_congestion() -> None:
     driver = many(1, gateway_count=GATEWAYS, classes=one_class(late_priority_weight=0.5))[0]
     for _ in range(60):
         driver.end(driver.ask(), Outcome.OK, work=WORK, elapsed=3.0)
@@ -103,7 +103,7 @@
     assert 1 <= len(sent) < len(requests)
 
 
-def test_nothing_is_held_while_answers_are_quick() -> None:
+def test_nothing_is_queued_while_responses_are_quick() -> None:
     driver = many(1)[0]
     assert all(driver.sends(driver.ask(table_group=float(i))) for i in range(300))
 
@@ -118,7 +118,7 @@
     assert driver.sends(request)[1].engine != first
 
 
-def test_a_lost_answer_is_tried_elsewhere_long_before_the_client_leaves() -> None:
+def test_lost_response_is_retried_elsewhere_long_before_the_client_timeout() -> None:
     driver = Driver(make_settings(progress_interval=1.0), engines=4)
     request = driver.ask(remaining=5.0)
     driver.pass_time(driver.now + 2.3)
@@ -127,7 +127,7 @@
     assert driver.sends(request)[0].engine != driver.sends(request)[1].engine
 
 
-def test_a_second_copy_leaves_the_first_its_chance_where_copies_are_allowed() -> None:
+def test_hedged_attempt_does_not_cancel_the_first_one() -> None:
     driver = Driver(make_settings(limits=replace(PEERS, gossip=False, hedged_requests=True)), engines=4)
     for _ in range(30):
         driver.end(driver.ask(), Outcome.OK, work=0.1, elapsed=0.1)
@@ -139,7 +139,7 @@
     assert driver.of_kind(api.Cancel, request) == [api.Cancel(request, 0)]
 
 
-def test_trials_of_many_dead_engines_do_not_take_all_queries() -> None:
+def test_probe_requests_to_many_dead_engines_do_not_take_all_requests() -> None:
     driver = many(1)[0]
     dead = list(driver.gateway.fleet.engines.values())[:15]
     for engine in dead:
@@ -167,7 +167,7 @@
     return driver
 
 
-def test_a_told_load_keeps_a_second_one_of_its_group_away_until_its_end_is_told() -> None:
+def test_reported_bulk_load_keeps_another_of_its_group_away_until_its_end_is_reported() -> None:
     sender, receiver = telling(0), telling(1)
     request = sender.ask(cls=1, table_group=4.0)
     for told in sender.of_kind(api.SendGossip):
@@ -181,14 +181,14 @@
     assert not engine.is_bulk_loading(4.0) and engine.peer_threads == 0.0
 
 
-def test_short_queries_are_not_told() -> None:
+def test_short_requests_are_not_reported() -> None:
     driver = telling(0)
     before = len(driver.of_kind(api.SendGossip))
     driver.ask()
     assert len(driver.of_kind(api.SendGossip)) == before
 
 
-def test_told_work_without_an_end_is_forgotten() -> None:
+def test_reported_work_without_an_end_expires() -> None:
     sender, receiver = telling(0), telling(1)
     sender.ask(cls=1)
     for told in sender.of_kind(api.SendGossip):
@@ -199,7 +199,7 @@
     assert receiver.gateway.load_gossip.peer_load.threads == 0.0
 
 
-def test_a_fleet_at_work_tells_every_heavy_query() -> None:
+def test_every_heavy_request_is_reported() -> None:
     """Guards against a limit on what is told that the fleet passes: the most loaded moment went untold."""
     driver = telling(1, loads=False, gateway_count=230)
     engines = list(driver.gateway.fleet.engines)
@@ -239,7 +239,7 @@
     assert not driver.sends(driver.ask(cls=1, estimated_memory_mb=16384.0))
 
 
-def test_what_one_gateway_finds_full_the_others_pass_by_for_a_while() -> None:
+def test_peers_avoid_an_engine_reported_full_for_a_while() -> None:
     """Guards against a rejection for each of many gateways, and against their all coming back at one time."""
     drivers = [telling(n) for n in range(3)]
     first = drivers[0].ask(table_group=4.0)
@@ -272,7 +272,7 @@
         (0, bytes([START[0] ^ 0xE0]) + START[1:]), (0, START[:-3] + b"\0\0\0"), (1, START),
     ],
 )  # fmt: skip
-def test_odd_messages_teach_nothing(sender: int, data: bytes) -> None:
+def test_invalid_messages_are_ignored(sender: int, data: bytes) -> None:
     driver = telling(1)
     driver.step(api.PeerMessage(sender, data))
     assert (
@@ -289,7 +289,7 @@
 
 
 @pytest.mark.parametrize("report", [(), (1.0,), (math.nan,) * 4, (1e30, -5.0, math.inf, 0.0, 7.0)])
-def test_odd_reports_are_ignored(report: tuple[float, ...]) -> None:
+def test_invalid_load_reports_are_ignored(report: tuple[float, ...]) -> None:
     columns = ("active", "waiting", "x0", "x1")
     driver = Driver(make_settings(report_columns=columns))
     for _ in range(20):
@@ -303,7 +303,7 @@
     assert driver.sends(driver.ask())
 
 
-def test_hundreds_of_engines_all_cold_in_one_cell_are_ordinary() -> None:
+def test_hundreds_of_engines_warming_up_in_one_cell_are_used() -> None:
     driver = Driver(make_settings(guarantees=COLD), engines=0)
     ids = [bytes([10, 1, i // 256, i % 256, 0, 1]) for i in range(400)]
     driver.list([api.EngineEntry(e, EngineState.READY, started_at=driver.now, cell=1) for e in ids])
@@ -366,7 +366,7 @@
 
 
 @pytest.mark.parametrize("count", [2, 54])
-def test_restarted_gateways_do_not_send_their_part_of_a_cold_engine_anew(count: int) -> None:
+def test_restarted_gateways_do_not_use_their_slow_start_share_again(count: int) -> None:
     drivers = many(count, engines=1, guarantees=FEW_WORTH)
     entry = api.EngineEntry(engine_id(0), EngineState.READY, started_at=130.0)
     for driver in drivers:
@@ -382,7 +382,7 @@
     assert max(sum(at <= t < at + 1.0 for t in times) for at in times) * WORK <= FEW_BUDGET
 
 
-def test_a_cold_engine_takes_small_queries_first_while_it_is_the_gateways_turn() -> None:
+def test_engine_warming_up_takes_small_requests_first_in_the_gateways_turn() -> None:
     """Turns are short: left to the hash order they would pass unused and the cold engine idle."""
     used = 0
     for driver in many(54, engines=20, guarantees=FEW_WORTH):
@@ -398,7 +398,7 @@
     assert used >= 15
 
 
-def test_runs_cut_short_do_not_make_a_class_look_small() -> None:
+def test_interrupted_attempts_do_not_lower_the_work_estimate() -> None:
     """Without told cost only the short ones of a class would be learned of, and a cold engine overfilled."""
     driver = Driver(make_settings(guarantees=FEW_WORTH))
     for _ in range(60):
--- a/tests/test_missing_signals.py
+++ b/tests/test_missing_signals.py
@@ -18,7 +18,7 @@
     driver.end(driver.ask(), Outcome.OK, elapsed=elapsed, load_report=(1.0, active), **fields)
 
 
-def test_a_jam_from_the_first_answer_on_shows_in_reported_queries() -> None:
+def test_congestion_from_the_first_response_shows_in_load_reports() -> None:
     """Latency has nothing calm to be compared with: only the engines' own word tells of the jam."""
     driver = Driver(make_settings(**REPORTING), engines=2)
     for _ in range(40):
@@ -30,7 +30,7 @@
     assert 0 < len(driver.sends()) - sent < 50
 
 
-def test_calm_engines_show_no_pressure_however_slow_their_answers() -> None:
+def test_engines_reporting_low_load_are_not_congested_however_slow() -> None:
     driver = Driver(make_settings(**REPORTING), engines=2)
     for _ in range(40):
         answer(driver, elapsed=3.0, active=4.0)
@@ -38,7 +38,7 @@
     assert driver.gateway.concurrency_limit.latency_inflation < CONGESTED_INFLATION / 2.0
 
 
-def test_exec_time_is_capped_against_calm_time_though_all_answers_are_late() -> None:
+def test_exec_time_is_bounded_by_uncontended_time_though_all_responses_are_late() -> None:
     """Mean latency of a jam, taken for what a query needs, would refuse all that follows."""
     driver = Driver(make_settings(**REPORTING), engines=2)
     for _ in range(100):
@@ -62,7 +62,7 @@
         )
 
 
-def test_no_advice_to_come_back_where_clients_do_not_get_it() -> None:
+def test_no_retry_after_where_clients_do_not_receive_it() -> None:
     limits = api.Limits(can_cancel=True, max_attempts=4, max_retry_after=2.0, sends_retry_after=False)
     driver = Driver(make_settings(limits=limits), engines=0)
     request = driver.ask(remaining=0.5)
@@ -74,7 +74,7 @@
     assert told.of_kind(api.Reject, request)[0].retry_after > 0.0
 
 
-def test_a_long_queue_of_further_attempts_is_not_tried_one_by_one(monkeypatch) -> None:
+def test_long_queue_of_retries_is_not_tried_one_by_one(monkeypatch) -> None:
     """A jam at full size was cut off: each release tried every held query that had been sent before."""
     driver = Driver(make_settings(), engines=4)
     requests = [driver.ask() for _ in range(60)]
@@ -107,7 +107,7 @@
     driver.actions.clear()
 
 
-def test_an_engine_that_reports_much_is_passed_by_and_the_report_ages() -> None:
+def test_engine_reporting_high_load_is_passed_over_until_the_report_ages() -> None:
     """Own threads of one of many gateways tell nothing of an engine that the others fill."""
     driver = Driver(make_settings(gateway_count=100, **REPORTING), engines=3)
     for index in range(3):
@@ -123,7 +123,7 @@
 PROBING = api.Limits(can_cancel=True, max_attempts=4, load_probes=True, load_probe_price=0.01)
 
 
-def test_a_heavy_query_asks_for_load_and_waits_but_a_moment() -> None:
+def test_heavy_request_probes_load_and_waits_briefly() -> None:
     driver = Driver(make_settings(limits=PROBING, gateway_count=100, **REPORTING), engines=6)
     learn_classes(driver)
     driver.pass_time(driver.now + 30.0)
@@ -139,7 +139,7 @@
     assert [send.engine for send in driver.sends(heavy)] == [probed[-1]]
 
 
-def test_a_heavy_query_leaves_though_no_probe_is_answered() -> None:
+def test_heavy_request_leaves_without_probe_results() -> None:
     driver = Driver(make_settings(limits=PROBING, gateway_count=100, **REPORTING), engines=6)
     learn_classes(driver)
     driver.pass_time(driver.now + 30.0)
@@ -148,7 +148,7 @@
     assert len(driver.sends(heavy)) == 1
 
 
-def test_no_probes_where_they_are_dear_or_tell_nothing() -> None:
+def test_no_probes_where_expensive_or_uninformative() -> None:
     for changes in ({"limits": replace(PROBING, load_probe_price=0.5), **REPORTING}, {"limits": PROBING}):
         driver = Driver(make_settings(gateway_count=100, **changes), engines=6)
         learn_classes(driver)
@@ -188,7 +188,7 @@
 # --- zones and tenants ---
 
 
-def test_where_crossing_costs_the_own_zone_leads_among_the_first_in_order() -> None:
+def test_local_zone_leads_among_the_home_engines_where_crossing_is_costly() -> None:
     crossed = {}
     for price in (0.0, 0.04):
         driver = Driver(make_settings(zones=("a", "b", "c"), zone=1, cross_zone_price=price), engines=0)
@@ -210,7 +210,7 @@
     return driver
 
 
-def test_a_tenant_beyond_its_allowance_yields_while_engines_are_full() -> None:
+def test_tenant_over_quota_yields_while_engines_are_full() -> None:
     """One tenant's surge must not take the others' service; what is within its allowance stays."""
     driver = tenant_driver()
     driver.gateway.concurrency_limit.limit = 4.0
@@ -228,13 +228,13 @@
     assert 10 < sum(event.request in served for event in surge) < 60
 
 
-def test_a_surge_is_served_while_there_is_room() -> None:
+def test_surge_is_served_while_there_is_capacity() -> None:
     driver = tenant_driver()
     requests = [driver.ask(tenant=1) for _ in range(60)]
     assert all(driver.sends(r) for r in requests)
 
 
-def test_tenants_out_of_range_or_without_allowance_are_ordinary() -> None:
+def test_tenants_out_of_range_or_without_quota_are_not_limited() -> None:
     for tenants in ((), (api.TenantSettings("none"),), (api.TenantSettings("odd", float("nan")),)):
         driver = Driver(make_settings(tenants=tenants), engines=2)
         requests = [driver.ask(tenant=tenant) for tenant in (0, 1, 99, 2**31)]
--- a/tests/test_ordinary_path.py
+++ b/tests/test_ordinary_path.py
@@ -28,7 +28,7 @@
     return driver
 
 
-def test_deadline_is_ten_times_the_exec_time_seeded_to_the_aim(driver: Driver) -> None:
+def test_deadline_is_ten_times_the_exec_time_seeded_by_the_latency_objective(driver: Driver) -> None:
     request = driver.ask(cls=1)
     assert driver.gateway.pending.requests[request].deadline == pytest.approx(
         100.0 + 10.0 * REPORT.latency_objective
@@ -70,7 +70,7 @@
     assert driver.sends()[-1].request == early
 
 
-def test_held_query_is_refused_with_a_retry_after_once_it_lapses() -> None:
+def test_queued_request_is_rejected_with_a_retry_after_once_expired() -> None:
     driver = crowded_driver(classes=(replace(LOOKUP, late_priority_weight=0.5),))
     driver.ask()
     held = driver.ask()
@@ -82,7 +82,7 @@
     assert not driver.sends(held)
 
 
-def test_a_class_whose_late_answers_earn_little_is_limited_by_its_aim_while_engines_are_full() -> None:
+def test_class_with_low_late_weight_expires_at_its_objective_while_engines_are_full() -> None:
     kept, cut = (
         crowded_driver(classes=(replace(LOOKUP, latency_objective=0.4, late_priority_weight=v),))
         for v in (0.9, 0.3)
@@ -129,7 +129,7 @@
     assert run() == run()
 
 
-def test_a_ratio_learned_in_a_bad_spell_does_not_refuse_what_follows() -> None:
+def test_rate_learned_under_congestion_does_not_reject_later_requests() -> None:
     driver = Driver(make_settings(classes=(REPORT,)), engines=2)
     for _ in range(60):
         driver.end(driver.ask(estimated_cost=1.0), Outcome.OK, work=1.0, elapsed=0.3)
@@ -140,7 +140,7 @@
     assert driver.sends(request) and not driver.answers(request)
 
 
-def test_a_restarted_gateway_refuses_nothing_on_its_seeds() -> None:
+def test_restarted_gateway_rejects_nothing_by_its_initial_estimates() -> None:
     driver = Driver(make_settings())
     driver.now += 1.0
     request = driver.ask(remaining=0.5)  # less than the aim that seeds ExecTime
@@ -148,7 +148,7 @@
 
 
 @pytest.mark.parametrize("value", [math.nan, math.inf, -5.0, 0.0, 1e300])
-def test_absurd_reports_neither_raise_nor_poison(value: float) -> None:
+def test_invalid_measurements_neither_raise_nor_corrupt_estimates(value: float) -> None:
     driver = Driver(make_settings(progress_interval=1.0, classes=one_class(late_priority_weight=0.5)))
     driver.list([api.EngineEntry(engine_id(i), api.EngineState.READY, started_at=value) for i in range(4)])
     for _ in range(30):
--- a/tests/test_rules_kept.py
+++ b/tests/test_rules_kept.py
@@ -32,7 +32,7 @@
     assert 0.0 < driver.sends(request)[0].timeout < 2.0
 
 
-def test_empty_list_holds_and_then_refuses() -> None:
+def test_requests_without_engines_are_queued_and_then_rejected() -> None:
     driver = Driver(make_settings(), engines=0)
     request = driver.ask(remaining=1.0)
     assert driver.sends() == [] and driver.answers(request) == []
@@ -123,7 +123,7 @@
     assert len(driver.sends(request)) == sent
 
 
-def test_a_held_repeat_does_not_leave_between_two_looks_for_lapsed_ones() -> None:
+def test_queued_retry_does_not_leave_between_two_expiry_checks() -> None:
     """It is held for want of an engine when its key's time is up to its margin; one comes 20 ms later."""
     classes = one_class(idempotency=Idempotency.KEYED, idempotency_ttl=2.0, late_priority_weight=0.5)
     driver = Driver(make_settings(classes=classes), engines=1)
@@ -155,14 +155,14 @@
 
 
 @pytest.mark.parametrize("state", [EngineState.DRAINING, EngineState.REMOVED])
-def test_nothing_goes_to_an_engine_that_drains_or_is_gone(state: EngineState) -> None:
+def test_nothing_is_dispatched_to_a_draining_or_removed_engine(state: EngineState) -> None:
     driver = Driver(make_settings(), engines=2)
     driver.list([entry(0, state)], EndpointListMode.DELTA)
     requests = [driver.ask(table_group=float(i)) for i in range(12)]
     assert {driver.sends(r)[0].engine for r in requests} == {engine_id(1)}
 
 
-def test_engine_absent_from_a_full_list_is_gone() -> None:
+def test_engine_absent_from_a_full_list_is_removed() -> None:
     driver = Driver(make_settings(), engines=2)
     driver.list([entry(1)])
     requests = [driver.ask(table_group=float(i)) for i in range(12)]
@@ -188,7 +188,7 @@
 
 
 @pytest.mark.parametrize("gateways", [1, 3])
-def test_cold_engine_gets_at_most_its_budget(gateways: int) -> None:
+def test_engine_warming_up_gets_at_most_its_budget(gateways: int) -> None:
     driver = Driver(make_settings(guarantees=COLD, gateway_count=gateways), engines=1)
     for _ in range(60):
         driver.end(driver.ask(), Outcome.OK, work=0.5, elapsed=0.5)
@@ -199,7 +199,7 @@
     assert burst(driver, 100) > COLD_BUDGET / gateways
 
 
-def test_rejected_and_cancelled_work_counts_against_a_cold_engine() -> None:
+def test_rejected_and_cancelled_work_counts_against_the_slow_start_budget() -> None:
     driver = Driver(make_settings(guarantees=COLD), engines=1)
     driver.list([entry(0, started_at=driver.now)], EndpointListMode.DELTA)
     sent = 0.0
@@ -211,7 +211,7 @@
     assert sent <= COLD_BUDGET
 
 
-def test_engine_that_may_have_restarted_unseen_is_treated_as_cold() -> None:
+def test_engine_that_may_have_restarted_unseen_is_warming_up() -> None:
     driver = Driver(make_settings(guarantees=COLD), engines=1)
     for _ in range(60):
         driver.end(driver.ask(), Outcome.OK, work=0.5, elapsed=0.5)
@@ -251,7 +251,7 @@
     assert driver.sends(second)
 
 
-def test_key_rests_after_a_reset() -> None:
+def test_ordering_key_has_a_cooldown_after_a_reset() -> None:
     driver = ordered_driver(settle=1.0)
     first, second = driver.ask(ordering_key=5, remaining=0.5), driver.ask(ordering_key=5)
     driver.pass_time(100.5)
@@ -278,7 +278,7 @@
     assert len(driver.sends(second)) == 1
 
 
-def test_unsafe_load_is_never_the_trial_of_a_doubtful_engine() -> None:
+def test_unsafe_load_is_never_the_probe_request_of_an_ejected_engine() -> None:
     classes = (LOOKUP, replace(LOOKUP, idempotency=Idempotency.UNSAFE))
     driver = Driver(make_settings(classes=classes), engines=3)
     driver.gateway.outlier_detector.eject(driver.gateway.fleet.engines[engine_id(0)], "failing")
@@ -297,7 +297,7 @@
 # --- 6: placement is kept ---
 
 
-def test_bound_class_waits_and_never_strays() -> None:
+def test_class_bound_to_zones_waits_and_never_leaves_them() -> None:
     classes = one_class(allowed_zones=(1,), allowed_machine_types=(0,))
     driver = Driver(make_settings(classes=classes), engines=0)
     driver.list([entry(i, zone=i % 2) for i in range(6)])
@@ -324,7 +324,7 @@
     assert 0 < extra <= 3 + 0.2 * len(requests)
 
 
-def test_a_restart_that_forgot_gives_no_free_attempts_for_one_window() -> None:
+def test_restart_without_state_gives_no_base_budget_for_one_window() -> None:
     """Guards against a gateway that is killed and used what came free before and after, within one window."""
     guarantees = api.Guarantees(retry_budget_base=3.0, retry_budget_ratio=0.2, retry_budget_window=10.0)
     driver = Driver(make_settings(guarantees=guarantees), engines=6)
@@ -337,7 +337,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_the_ration_holds_where_it_is_counted_whoever_asks_and_however_late(seed: int) -> None:
+def test_retry_budget_holds_at_any_time_for_any_client(seed: int) -> None:
     """The rule counts attempts as they arrive at engines, against what usual clients asked.
 
     Guards against requests of bad clients, which parse, fail on every engine and were counted as taken: they
@@ -393,6 +393,6 @@
         {"gateway_count": 0},
     ],
 )
-def test_senseless_settings_raise(changes: dict) -> None:
+def test_invalid_settings_raise(changes: dict) -> None:
     with pytest.raises(ValueError):
         Driver(make_settings(**changes))
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -31,20 +31,22 @@
     driver.gateway.concurrency_limit.limit = 0.5
     driver.step(*(driver.arrival() for _ in range(300)))
     calls = []
-    place = driver.gateway.engine_selector.select
-    monkeypatch.setattr(driver.gateway.engine_selector, "select", lambda job: calls.append(job) or place(job))
+    select = driver.gateway.engine_selector.select
+    monkeypatch.setattr(
+        driver.gateway.engine_selector, "select", lambda request: calls.append(request) or select(request)
+    )
     driver.step()
     assert len(calls) <= 2
 
 
-def test_time_outs_at_the_clients_limit_do_not_condemn_an_engine(driver: Driver) -> None:
+def test_timeouts_at_the_client_limit_do_not_eject_an_engine(driver: Driver) -> None:
     driver.list([api.EngineEntry(engine_id(0), EngineState.READY)])
     for _ in range(10):
         driver.end(driver.ask(), Outcome.TIMEOUT)
     assert not driver.gateway.fleet.engines[engine_id(0)].is_ejected
 
 
-def test_errors_condemn_an_engine_and_trials_bring_it_back(driver: Driver) -> None:
+def test_errors_eject_an_engine_and_probe_requests_bring_it_back(driver: Driver) -> None:
     bad = driver.gateway.engine_selector.eligibility.rendezvous_order(0.0)[0]
     for _ in range(100):
         request = driver.ask(table_group=0.0)
@@ -68,7 +70,7 @@
     assert driver.now - start < 10.0
 
 
-def test_no_verdict_binds_when_most_engines_look_ill(driver: Driver) -> None:
+def test_panic_mode_ignores_ejections_when_most_engines_are_ejected(driver: Driver) -> None:
     for engine in list(driver.gateway.fleet.engines.values())[:3]:
         driver.gateway.outlier_detector.eject(engine, "failing")
     driver.gateway.outlier_detector.update_panic_mode()
@@ -76,7 +78,7 @@
     assert len(used) > 1
 
 
-def test_silent_engine_loses_its_work_and_one_answer_brings_it_back() -> None:
+def test_unresponsive_engine_loses_its_attempts_and_one_response_brings_it_back() -> None:
     driver = warmed(**NOTED)
     request = driver.ask(table_group=1.0)
     silent = driver.gateway.fleet.engines[driver.sends(request)[0].engine]
@@ -92,7 +94,7 @@
     assert not silent.is_ejected
 
 
-def test_engine_with_only_a_long_query_is_not_silent_where_no_notes_come() -> None:
+def test_long_request_without_progress_reports_does_not_make_its_engine_unresponsive() -> None:
     driver = Driver(make_settings(classes=(LOOKUP, replace(REPORT, latency_objective=3.0))), engines=4)
     first = driver.gateway.engine_selector.eligibility.rendezvous_order(0.0)[0].id
     long = driver.ask(cls=1, table_group=0.0)
@@ -108,13 +110,13 @@
     assert not driver.gateway.fleet.engines[first].is_ejected
 
 
-def test_a_load_avoids_an_engine_that_holds_a_load_of_its_group() -> None:
+def test_bulk_load_avoids_an_engine_with_a_bulk_load_of_its_table_group() -> None:
     driver = Driver(make_settings(classes=(LOAD,)), engines=6)
     engines = [driver.sends(driver.ask(table_group=4.0))[0].engine for _ in range(6)]
     assert len(set(engines)) == 6
 
 
-def test_grants_stay_within_the_gateways_part_of_an_engines_memory() -> None:
+def test_memory_grants_stay_within_the_gateway_share_of_engine_memory() -> None:
     driver = Driver(make_settings(memory_grants_enabled=True, gateway_count=2), engines=1)
     for _ in range(10):
         driver.ask(cls=1, estimated_memory_mb=3000.0)
@@ -123,7 +125,7 @@
     assert sum(terms.memory_mb for terms in driver.of_kind(api.SetResourceGrant)) <= size / 2
 
 
-def test_long_queries_leave_the_short_ones_a_lane() -> None:
+def test_long_requests_leave_concurrency_for_short_ones() -> None:
     driver = Driver(make_settings(), engines=4)
     for cls, seconds in ((0, 0.1), (1, 2.0)) * 20:
         driver.end(driver.ask(cls=cls), Outcome.OK, work=seconds, elapsed=seconds)
@@ -151,7 +153,7 @@
     assert driver.of_kind(api.Cancel, request)[-1] == api.Cancel(request, 1)
 
 
-def test_a_lasting_jam_still_counts_as_pressure() -> None:
+def test_lasting_congestion_still_counts_as_congestion() -> None:
     driver = Driver(make_settings(classes=one_class(late_priority_weight=0.5)), engines=1)
     for _ in range(40):
         driver.end(driver.ask(), Outcome.OK, work=0.1, elapsed=0.1)
@@ -160,7 +162,7 @@
     assert driver.gateway.concurrency_limit.latency_inflation > CONGESTED_INFLATION
 
 
-def test_engine_back_with_its_old_start_time_counts_as_cold() -> None:
+def test_engine_back_with_its_old_start_time_is_warming_up() -> None:
     guarantees = api.Guarantees(
         slow_start_overload_factor=3.0,
         slow_start_overload_window=1.5,
@@ -174,7 +176,7 @@
     assert engine.warmup_remaining(driver.now, COLD_TIME) > 0.0
 
 
-def test_a_moot_attempt_gives_back_its_own_budget_entry() -> None:
+def test_attempt_that_was_not_sent_returns_its_own_budget_entry() -> None:
     guarantees = api.Guarantees(retry_budget_base=3.0, retry_budget_window=10.0)
     driver = Driver(
         make_settings(guarantees=guarantees, classes=one_class(late_priority_weight=0.5)), engines=4
@@ -188,7 +190,7 @@
     assert list(driver.gateway.completion.retry_policy.budget.retries)[0] == 111.5
 
 
-def test_a_failed_subscription_is_asked_for_again() -> None:
+def test_failed_subscription_is_retried() -> None:
     driver = Driver(make_settings(subscribes_to_endpoints=True))
     driver.pass_time(101.0)
     assert len(driver.of_kind(api.Subscribe)) == 1
@@ -197,7 +199,7 @@
     assert len(driver.of_kind(api.Subscribe)) == 2
 
 
-def test_an_ill_engine_is_tried_also_where_the_short_class_is_unsafe() -> None:
+def test_ejected_engine_is_probed_also_where_the_short_class_is_unsafe() -> None:
     classes = (replace(LOOKUP, idempotency=api.Idempotency.UNSAFE), REPORT)
     driver = Driver(make_settings(classes=classes), engines=3)
     for _ in range(20):
@@ -209,7 +211,7 @@
     assert driver.sends(driver.ask(cls=1, table_group=0.0))[0].engine == bad.id
 
 
-def test_a_broken_link_to_an_engine_that_kept_its_work_is_no_cold_start() -> None:
+def test_connection_loss_of_an_engine_that_kept_its_work_is_no_restart() -> None:
     guarantees = api.Guarantees(
         slow_start_overload_factor=3.0,
         slow_start_overload_window=1.5,
@@ -229,7 +231,7 @@
     assert engine.warmup_remaining(driver.now, COLD_TIME) == 0.0
 
 
-def test_a_jam_does_not_become_the_norm_where_many_answers_come():
+def test_congestion_does_not_become_the_baseline_with_frequent_responses():
     """Guards the best latency's drift: for each answer, a fleet's worth of traffic forgot it in seconds."""
     driver = Driver(make_settings(reports_work=True), engines=2)
     for _ in range(50):
@@ -243,7 +245,7 @@
     )
 
 
-def test_a_cold_engine_is_slow_and_that_is_no_pressure():
+def test_slow_responses_of_an_engine_warming_up_are_no_congestion():
     """Guards a rolling deploy: the one limit over all engines fell because the newest one was still cold."""
     kept = api.Guarantees(
         slow_start_initial_ratio=0.25,
@@ -261,7 +263,7 @@
     assert driver.sends() and driver.gateway.concurrency_limit.latency_inflation < CONGESTED_INFLATION / 2.0
 
 
-def test_a_cold_engine_goes_first_only_while_it_is_not_loaded_beyond_its_part():
+def test_engine_warming_up_is_preferred_only_while_within_its_share():
     """Guards queries that waited on a cold engine while warm ones were idle."""
     kept = api.Guarantees(
         slow_start_initial_ratio=0.25,
@@ -279,7 +281,7 @@
     assert sum(out) == 24 and 0 < out[0] <= 8
 
 
-def test_all_that_one_connection_carried_is_one_break() -> None:
+def test_all_attempts_of_one_connection_count_as_one_connection_loss() -> None:
     """Guards against a reset connection that condemns a living engine, as each attempt tells of a break."""
     driver = Driver(make_settings(), engines=1)
     for _ in range(20):
@@ -295,7 +297,7 @@
     assert engine.is_ejected  # a second break soon after is another
 
 
-def test_an_answer_to_what_left_right_after_a_break_is_no_cold_start() -> None:
+def test_response_to_a_dispatch_right_after_a_connection_loss_is_no_restart() -> None:
     """Guards against taking a reset connection for a restart: the engine got a third of its load then."""
     guarantees = api.Guarantees(
         slow_start_overload_factor=3.0,
@@ -316,7 +318,7 @@
     assert engine.warmup_remaining(driver.now, COLD_TIME) > 0.0
 
 
-def test_requests_that_no_engine_can_run_condemn_none() -> None:
+def test_requests_that_no_engine_can_run_eject_none() -> None:
     """Guards against a client that sends what every engine answers with an error: no engine is to blame."""
     driver = warmed()
     for _ in range(60):
@@ -327,7 +329,7 @@
     assert not any(engine.is_ejected for engine in driver.gateway.fleet.engines.values())
 
 
-def test_an_error_that_may_not_be_repeated_blames_its_engine() -> None:
+def test_error_that_may_not_be_retried_counts_against_its_engine() -> None:
     driver = Driver(make_settings(classes=one_class(idempotency=api.Idempotency.UNSAFE)), engines=1)
     for _ in range(10):
         driver.end(driver.ask(), Outcome.ERROR)
