--- a/saffronlane/engines/executor.py
+++ b/saffronlane/engines/executor.py
@@ -56,18 +56,20 @@
 
     # --- requests ---
 
-    def submit(self, work: Any, sink: Any, arrival: Callable[[int], d.Submit], key: str = "") -> int:
+    def submit(
+        self, work: Any, sink: Any, make_input: Callable[[int], d.Submit], idempotency_key: str = ""
+    ) -> int:
         """Accept a request and return its number.
 
         Args:
             work: what the transport runs.
             sink: where the transport's answer goes.
-            arrival: builds the dispatcher's input from the request's number.
-            key: the idempotency key that engines are given; empty: none.
+            make_input: builds the dispatcher's input from the request's number.
+            idempotency_key: the key that engines are given; empty: none.
         """
         number = self.dispatcher.new_request()
-        self._requests.open(number, work, sink, key)
-        self.feed(arrival(number))
+        self._requests.open(number, work, sink, idempotency_key)
+        self.feed(make_input(number))
         return number
 
     def open_request(self, number: int) -> Request | None:
@@ -126,8 +128,8 @@
         elapsed: float,
         work: float = 0.0,
         memory_mb: float = 0.0,
-        report: tuple[float, ...] = (),
-        fault: bool = False,
+        load_report: tuple[float, ...] = (),
+        is_query_fault: bool = False,
     ) -> None:
         """Report the end of an attempt; only the first report counts.
 
@@ -137,8 +139,8 @@
             elapsed: seconds from its start to its end.
             work: seconds of work that the engine reported; 0: none reported.
             memory_mb: memory that the engine reported; 0: none reported.
-            report: the engine's load report, if it came with the result.
-            fault: whether the query itself is wrong, on whatever engine.
+            load_report: the engine's load report, if it came with the result.
+            is_query_fault: whether the query itself is wrong, on whatever engine.
         """
         if attempt.has_ended:
             return
@@ -152,7 +154,11 @@
             outcome=outcome.name,
             elapsed=round(elapsed, 4),
         )
-        self.feed(d.AttemptDone(request_id, attempt.number, outcome, elapsed, work, memory_mb, report, fault))
+        self.feed(
+            d.AttemptDone(
+                request_id, attempt.number, outcome, elapsed, work, memory_mb, load_report, is_query_fault
+            )
+        )
         # The dispatcher answers in this turn's step; what the attempt holds must live until then.
         self._loop.call_soon(self._release_attempt, attempt)
 
--- a/saffronlane/engines/flight.py
+++ b/saffronlane/engines/flight.py
@@ -126,8 +126,8 @@
 
     # --- what the executor asks for ---
 
-    def create_attempt(self, request: Request, effect: d.StartAttempt, started: float) -> Attempt:
-        return _Running(request, effect.attempt, effect.engine, effect, started)
+    def create_attempt(self, request: Request, effect: d.StartAttempt, started_at: float) -> Attempt:
+        return _Running(request, effect.attempt, effect.engine, effect, started_at)
 
     def begin(self, attempt: Attempt) -> None:
         assert isinstance(attempt, _Running)
@@ -167,22 +167,22 @@
         assert isinstance(attempt, _Running)
         attempt.committed.set()
 
-    def complete(self, request: Request, attempt: Attempt, fault: bool) -> None:
+    def complete(self, request: Request, attempt: Attempt, is_query_fault: bool) -> None:
         assert isinstance(attempt, _Running)
-        if fault:
+        if is_query_fault:
             self._answer(request, attempt.status)
             return
         while attempt.held:
             request.sink.write_now(attempt.held.popleft())
         self._answer(request, Status(Code.OK))
 
-    def reject(self, request: Request, retry_after: float, why: str) -> None:
-        text = why + (f" ({request.last_error})" if request.last_error else "")
+    def reject(self, request: Request, retry_after: float, reason: str) -> None:
+        text = reason + (f" ({request.last_error})" if request.last_error else "")
         about = {"request": str(request.id)}
         self._answer(request, detailed(Code.UNAVAILABLE, text, "REFUSED", retry_after, about))
 
-    def fail(self, request: Request, why: str) -> None:
-        text = why + (f" ({request.last_error})" if request.last_error else "")
+    def fail(self, request: Request, reason: str) -> None:
+        text = reason + (f" ({request.last_error})" if request.last_error else "")
         self._answer(request, detailed(Code.ABORTED, text, "FAILED", None, {"request": str(request.id)}))
 
     def _answer(self, request: Request, status: Status) -> None:
--- a/saffronlane/engines/transport.py
+++ b/saffronlane/engines/transport.py
@@ -66,8 +66,8 @@
     def bind(self, executor: Executor) -> None:
         """Set the executor that is told about attempts and probes."""
 
-    def create_attempt(self, request: Request, effect: d.StartAttempt, started: float) -> Attempt:
-        """Return a new attempt that does not run yet; `started` is the loop's time."""
+    def create_attempt(self, request: Request, effect: d.StartAttempt, started_at: float) -> Attempt:
+        """Return a new attempt that does not run yet; `started_at` is the loop's time."""
 
     def begin(self, attempt: Attempt) -> None:
         """Run an attempt; it is in the executor's table now, and may end."""
@@ -84,13 +84,13 @@
     def commit(self, attempt: Attempt) -> None:
         """Let the result of this attempt leave, and no other's."""
 
-    def complete(self, request: Request, attempt: Attempt, fault: bool) -> None:
+    def complete(self, request: Request, attempt: Attempt, is_query_fault: bool) -> None:
         """Answer with the result of an attempt, or with its error if the query is at fault."""
 
-    def reject(self, request: Request, retry_after: float, why: str) -> None:
+    def reject(self, request: Request, retry_after: float, reason: str) -> None:
         """Answer that the request did not run and may be retried after some seconds."""
 
-    def fail(self, request: Request, why: str) -> None:
+    def fail(self, request: Request, reason: str) -> None:
         """Answer that the request failed and may have run."""
 
     def probe(self, engine: bytes) -> None:
--- a/saffronlane/platform/upstream/pool.py
+++ b/saffronlane/platform/upstream/pool.py
@@ -52,8 +52,8 @@
 
     # --- what the executor asks for ---
 
-    def create_attempt(self, request: Request, effect: d.StartAttempt, started: float) -> Attempt:
-        return Sending(request, effect.attempt, effect.engine, effect, started)
+    def create_attempt(self, request: Request, effect: d.StartAttempt, started_at: float) -> Attempt:
+        return Sending(request, effect.attempt, effect.engine, effect, started_at)
 
     def begin(self, attempt: Attempt) -> None:
         assert isinstance(attempt, Sending)
@@ -99,15 +99,15 @@
     def commit(self, attempt: Attempt) -> None:
         """Results are whole before they are told; nothing waits for this."""
 
-    def complete(self, request: Request, attempt: Attempt, fault: bool) -> None:
+    def complete(self, request: Request, attempt: Attempt, is_query_fault: bool) -> None:
         assert isinstance(attempt, Sending)
         client_of(request).served(attempt.result())
 
-    def reject(self, request: Request, retry_after: float, why: str) -> None:
+    def reject(self, request: Request, retry_after: float, reason: str) -> None:
         client_of(request).refused(retry_after)
 
-    def fail(self, request: Request, why: str) -> None:
-        client_of(request).failed(why)
+    def fail(self, request: Request, reason: str) -> None:
+        client_of(request).failed(reason)
 
     def probe(self, engine: bytes) -> None:
         self._tag += 1
