--- a/saffronlane/dispatch/inputs.py
+++ b/saffronlane/dispatch/inputs.py
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResultReady:
-    """An attempt has buffered as much of its result as it may; its bytes may leave only after a `Commit`."""
+    """An attempt has buffered as much as it may; nothing is passed on before a `Commit`."""
 
     request: int
     attempt: int
--- a/saffronlane/dispatch/recording_forms.py
+++ b/saffronlane/dispatch/recording_forms.py
@@ -1,6 +1,6 @@
 """Names under which a recording keeps settings, inputs and effects.
 
-They are constants apart from the names in the code: renaming a class or a field leaves the disk as it is.
+They are constants apart from the names in the code: a renamed class or field does not change what is stored.
 Each form lists the names of a class's fields in the order of the class. A field that is added at the end of a
 class needs a name here; one that is added elsewhere, or removed, needs a new version of the recording.
 """
--- a/saffronlane/dispatch/requests.py
+++ b/saffronlane/dispatch/requests.py
@@ -135,7 +135,7 @@
             self._effects.append(answer)
 
     def commit(self, request: Request, attempt: Attempt) -> None:
-        """Let the result of an attempt leave, and cancel all other attempts of its request."""
+        """Pass on the result of an attempt, and cancel all other attempts of its request."""
         request.committed_attempt = attempt.number
         self._effects.append(fx.Commit(request.id, attempt.number))
         for other in request.in_flight:
--- a/saffronlane/engines/transport.py
+++ b/saffronlane/engines/transport.py
@@ -64,7 +64,7 @@
     """
 
     def bind(self, executor: Executor) -> None:
-        """Set the executor that is told about attempts and probes."""
+        """Set the executor that attempts and probes are reported to."""
 
     def create_attempt(self, request: Request, effect: d.StartAttempt, started_at: float) -> Attempt:
         """Return a new attempt that does not run yet; `started_at` is the loop's time."""
@@ -82,7 +82,7 @@
         """End an attempt that has not been sent; do nothing if it has."""
 
     def commit(self, attempt: Attempt) -> None:
-        """Let the result of this attempt leave, and no other's."""
+        """Pass on the result of this attempt, and of no other."""
 
     def complete(self, request: Request, attempt: Attempt, is_query_fault: bool) -> None:
         """Answer with the result of an attempt, or with its error if the query is at fault."""
@@ -100,7 +100,7 @@
         """Close the idle connections to an engine."""
 
     def on_attempt_released(self, attempt: Attempt) -> None:
-        """Release what an ended attempt held; the executor has removed it."""
+        """Release the resources of an ended attempt that the executor has removed."""
 
     def close(self) -> None:
         """Close all connections at once."""
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""The dispatcher's core: one final answer each, no result of an attempt that was given up, nothing shared."""
+"""The dispatcher's core: one final answer each, no result of a cancelled attempt, no shared state."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 ANSWERS = (d.CompleteRequest, d.RejectRequest, d.FailRequest)
 
 
-class World:
-    """Drives one Dispatcher by hand, and keeps what it wanted done."""
+class Harness:
+    """Drives one Dispatcher by hand, and collects its effects."""
 
     def __init__(self, settings: api.Settings | None = None, engines: int = 3, seed: int = 1) -> None:
         self.core = d.Dispatcher(settings or make_settings(), seed)
         self.now = 10.0
         self.effects: list[d.Effect] = []
-        self.list(dict.fromkeys(range(engines), EngineState.READY))
+        self.list_engines(dict.fromkeys(range(engines), EngineState.READY))
 
     def step(self, *inputs: d.Input, after: float = 0.0) -> list[d.Effect]:
         self.now += after
@@ -34,7 +34,7 @@
         self.effects += effects
         return effects
 
-    def list(self, states: dict[int, EngineState]) -> list[d.Effect]:
+    def list_engines(self, states: dict[int, EngineState]) -> list[d.Effect]:
         entries = tuple(api.EngineEntry(engine_id(n), state) for n, state in states.items())
         return self.step(api.EndpointListUpdate(api.EndpointListMode.FULL, 1, entries))
 
@@ -52,7 +52,7 @@
             self.step()
         self.now = max(self.now, until)
 
-    def of(self, kind: type | tuple[type, ...], request: int | None = None) -> list[d.Effect]:
+    def effects_of(self, kind: type | tuple[type, ...], request: int | None = None) -> list[d.Effect]:
         found = [e for e in self.effects if isinstance(e, kind)]
         return [e for e in found if request is None or getattr(e, "request", None) == request]
 
@@ -69,195 +69,219 @@
 
 
 def test_an_answer_is_served_once() -> None:
-    world = World()
-    request = world.submit()
-    (start,) = world.of(d.StartAttempt)
+    harness = Harness()
+    request = harness.submit()
+    (start,) = harness.effects_of(d.StartAttempt)
     assert (start.request, start.attempt) == (request, 0)
-    world.done(request, Outcome.OK)
-    assert world.of(ANSWERS) == [d.CompleteRequest(request, 0)]
-    world.done(request, Outcome.OK)  # told twice
-    world.pass_time(60.0)
-    assert len(world.of(ANSWERS)) == 1 and world.core.pending_count == 0 and world.core.in_flight_count == 0
+    harness.done(request, Outcome.OK)
+    assert harness.effects_of(ANSWERS) == [d.CompleteRequest(request, 0)]
+    harness.done(request, Outcome.OK)  # told twice
+    harness.pass_time(60.0)
+    assert (
+        len(harness.effects_of(ANSWERS)) == 1
+        and harness.core.pending_count == 0
+        and harness.core.in_flight_count == 0
+    )
 
 
 def test_an_attempt_that_never_ran_is_tried_elsewhere() -> None:
-    world = World()
-    request = world.submit()
-    world.done(request, Outcome.CONNECT_FAILED)
-    first, second = world.of(d.StartAttempt, request)
+    harness = Harness()
+    request = harness.submit()
+    harness.done(request, Outcome.CONNECT_FAILED)
+    first, second = harness.effects_of(d.StartAttempt, request)
     assert first.engine != second.engine and second.attempt == 1
-    world.done(request, Outcome.OK, attempt=1)
-    assert world.of(ANSWERS) == [d.CompleteRequest(request, 1)]
+    harness.done(request, Outcome.OK, attempt=1)
+    assert harness.effects_of(ANSWERS) == [d.CompleteRequest(request, 1)]
 
 
 def test_the_result_of_a_cancelled_attempt_goes_to_nobody() -> None:
     """An answer may cross its own cancel on the wire."""
-    world = World(make_settings(progress_interval=1.0))
-    request = world.submit()
-    world.pass_time(world.now + 4.0)  # no word: it is taken back
-    assert world.of(d.CancelAttempt) == [d.CancelAttempt(request, 0)]
-    assert len(world.of(d.StartAttempt, request)) == 1  # copies are not allowed: the first has to end
-    world.step(d.ResultReady(request, 0))
-    assert not world.of(d.Commit)
-    world.done(request, Outcome.OK)
-    assert not world.of(d.CompleteRequest)
-    assert [s.attempt for s in world.of(d.StartAttempt, request)] == [0, 1]
-    world.done(request, Outcome.OK, attempt=1)
-    assert world.of(ANSWERS) == [d.CompleteRequest(request, 1)]
+    harness = Harness(make_settings(progress_interval=1.0))
+    request = harness.submit()
+    harness.pass_time(harness.now + 4.0)  # no word: it is taken back
+    assert harness.effects_of(d.CancelAttempt) == [d.CancelAttempt(request, 0)]
+    assert (
+        len(harness.effects_of(d.StartAttempt, request)) == 1
+    )  # copies are not allowed: the first has to end
+    harness.step(d.ResultReady(request, 0))
+    assert not harness.effects_of(d.Commit)
+    harness.done(request, Outcome.OK)
+    assert not harness.effects_of(d.CompleteRequest)
+    assert [s.attempt for s in harness.effects_of(d.StartAttempt, request)] == [0, 1]
+    harness.done(request, Outcome.OK, attempt=1)
+    assert harness.effects_of(ANSWERS) == [d.CompleteRequest(request, 1)]
 
 
 def test_an_answer_beats_the_timer_that_falls_into_the_same_step() -> None:
-    world = World()
-    request = world.submit(remaining=1.0)
-    world.step(d.AttemptDone(request, 0, Outcome.OK, 1.0), after=2.0)  # both are due
-    assert world.of(ANSWERS) == [d.CompleteRequest(request, 0)]
+    harness = Harness()
+    request = harness.submit(remaining=1.0)
+    harness.step(d.AttemptDone(request, 0, Outcome.OK, 1.0), after=2.0)  # both are due
+    assert harness.effects_of(ANSWERS) == [d.CompleteRequest(request, 0)]
 
 
 def test_a_request_ends_in_time_whatever_its_engine_does() -> None:
-    world = World(make_settings(classes=one_class(idempotency=Idempotency.UNSAFE)))
-    request = world.submit(remaining=2.0)
-    world.pass_time(11.99)
-    (answer,) = world.of(ANSWERS)
+    harness = Harness(make_settings(classes=one_class(idempotency=Idempotency.UNSAFE)))
+    request = harness.submit(remaining=2.0)
+    harness.pass_time(11.99)
+    (answer,) = harness.effects_of(ANSWERS)
     assert isinstance(answer, d.FailRequest)  # it may have run, so no word of trying again
-    assert world.of(d.CancelAttempt) == [d.CancelAttempt(request, 0)]
-    assert world.core.in_flight_count == 1
-    world.done(request, Outcome.CANCELLED)
-    assert world.core.in_flight_count == 0 and len(world.of(ANSWERS)) == 1
+    assert harness.effects_of(d.CancelAttempt) == [d.CancelAttempt(request, 0)]
+    assert harness.core.in_flight_count == 1
+    harness.done(request, Outcome.CANCELLED)
+    assert harness.core.in_flight_count == 0 and len(harness.effects_of(ANSWERS)) == 1
 
 
 def test_a_committed_attempt_is_the_only_one() -> None:
     limits = api.Limits(can_cancel=True, hedged_requests=True, max_attempts=3)
-    world = World(make_settings(limits=limits, classes=one_class(latency_objective=0.2)))
-    request = world.submit()
-    world.pass_time(world.now + 2.0)
-    starts = world.of(d.StartAttempt, request)
+    harness = Harness(make_settings(limits=limits, classes=one_class(latency_objective=0.2)))
+    request = harness.submit()
+    harness.pass_time(harness.now + 2.0)
+    starts = harness.effects_of(d.StartAttempt, request)
     assert len(starts) == 2, "a second copy was expected"
-    world.step(d.ResultReady(request, 0), d.ResultReady(request, 1))
-    assert world.of(d.Commit) == [d.Commit(request, 0)]
-    assert d.CancelAttempt(request, 1) in world.effects
-    world.done(request, Outcome.OK, attempt=1)  # it came all the same
-    assert not world.of(ANSWERS)
-    world.done(request, Outcome.OK, attempt=0)
-    assert world.of(ANSWERS) == [d.CompleteRequest(request, 0)]
+    harness.step(d.ResultReady(request, 0), d.ResultReady(request, 1))
+    assert harness.effects_of(d.Commit) == [d.Commit(request, 0)]
+    assert d.CancelAttempt(request, 1) in harness.effects
+    harness.done(request, Outcome.OK, attempt=1)  # it came all the same
+    assert not harness.effects_of(ANSWERS)
+    harness.done(request, Outcome.OK, attempt=0)
+    assert harness.effects_of(ANSWERS) == [d.CompleteRequest(request, 0)]
 
 
 def test_a_result_that_breaks_off_halfway_ends_the_request() -> None:
-    world = World()
-    request = world.submit()
-    world.step(d.ResultReady(request, 0))
-    world.done(request, Outcome.RESET)
-    assert len(world.of(ANSWERS)) == 1 and not world.of(d.CompleteRequest)
-    assert len(world.of(d.StartAttempt, request)) == 1
+    harness = Harness()
+    request = harness.submit()
+    harness.step(d.ResultReady(request, 0))
+    harness.done(request, Outcome.RESET)
+    assert len(harness.effects_of(ANSWERS)) == 1 and not harness.effects_of(d.CompleteRequest)
+    assert len(harness.effects_of(d.StartAttempt, request)) == 1
 
 
 def test_a_query_that_is_wrong_itself_gets_the_engines_word_and_harms_no_engine() -> None:
-    world = World(engines=1)
+    harness = Harness(engines=1)
     for _ in range(10):
-        request = world.submit()
-        world.done(request, Outcome.ERROR, is_query_fault=True)
-        assert world.of(ANSWERS, request) == [d.CompleteRequest(request, 0, is_query_fault=True)]
-    assert not [e for e in world.of(api.Log) if "failing" in e.text]
+        request = harness.submit()
+        harness.done(request, Outcome.ERROR, is_query_fault=True)
+        assert harness.effects_of(ANSWERS, request) == [d.CompleteRequest(request, 0, is_query_fault=True)]
+    assert not [e for e in harness.effects_of(api.Log) if "failing" in e.text]
 
 
 def test_a_drain_recalls_what_has_not_left() -> None:
-    world = World(engines=2)
-    request = world.submit()
-    (start,) = world.of(d.StartAttempt)
+    harness = Harness(engines=2)
+    request = harness.submit()
+    (start,) = harness.effects_of(d.StartAttempt)
     index = [engine_id(n) for n in range(2)].index(start.engine)
-    effects = world.list({index: EngineState.DRAINING, 1 - index: EngineState.READY})
+    effects = harness.list_engines({index: EngineState.DRAINING, 1 - index: EngineState.READY})
     assert d.WithdrawAttempt(request, 0) in effects
-    world.done(request, Outcome.NOT_SENT)
-    second = world.of(d.StartAttempt, request)[1]
+    harness.done(request, Outcome.NOT_SENT)
+    second = harness.effects_of(d.StartAttempt, request)[1]
     assert second.engine == engine_id(1 - index)
 
 
 def test_a_client_that_leaves_in_the_turn_of_its_arrival_starts_nothing() -> None:
-    world = World()
-    request = world.core.new_request()
-    world.step(d.Submit(request, 0, 5.0), d.ClientDisconnected(request))
-    assert not world.of(d.StartAttempt) and not world.of(ANSWERS)
-    assert world.core.pending_count == 0 and world.core.in_flight_count == 0
+    harness = Harness()
+    request = harness.core.new_request()
+    harness.step(d.Submit(request, 0, 5.0), d.ClientDisconnected(request))
+    assert not harness.effects_of(d.StartAttempt) and not harness.effects_of(ANSWERS)
+    assert harness.core.pending_count == 0 and harness.core.in_flight_count == 0
 
 
 def test_a_client_that_leaves_has_its_attempt_cancelled() -> None:
-    world = World()
-    request = world.submit()
-    world.step(d.ClientDisconnected(request))
-    assert world.of(d.CancelAttempt) == [d.CancelAttempt(request, 0)]
-    world.done(request, Outcome.CANCELLED)
-    assert not world.of(ANSWERS) and not world.core._requests
+    harness = Harness()
+    request = harness.submit()
+    harness.step(d.ClientDisconnected(request))
+    assert harness.effects_of(d.CancelAttempt) == [d.CancelAttempt(request, 0)]
+    harness.done(request, Outcome.CANCELLED)
+    assert not harness.effects_of(ANSWERS) and not harness.core._requests
 
 
 def test_a_stop_refuses_what_is_new_and_answers_what_is_owed() -> None:
     settings = make_settings(classes=one_class(idempotency=Idempotency.UNSAFE))
-    world = World(settings)
-    running = world.submit()
-    world.step(d.BeginDrain(5.0))
-    late = world.submit()
-    (refusal,) = world.of(ANSWERS, late)
+    harness = Harness(settings)
+    running = harness.submit()
+    harness.step(d.BeginDrain(5.0))
+    late = harness.submit()
+    (refusal,) = harness.effects_of(ANSWERS, late)
     assert isinstance(refusal, d.RejectRequest) and 0.0 < refusal.retry_after <= 5.0
-    assert not world.of(ANSWERS, running)
-    world.step(d.FinishDrain(), after=5.0)
-    assert [type(a) for a in world.of(ANSWERS, running)] == [d.FailRequest]
-    assert world.core.pending_count == 0
+    assert not harness.effects_of(ANSWERS, running)
+    harness.step(d.FinishDrain(), after=5.0)
+    assert [type(a) for a in harness.effects_of(ANSWERS, running)] == [d.FailRequest]
+    assert harness.core.pending_count == 0
 
 
 def test_ten_thousand_held_queries_when_the_fleet_vanishes() -> None:
-    world = World(engines=0)
-    requests = [world.core.new_request() for _ in range(10_000)]
+    harness = Harness(engines=0)
+    requests = [harness.core.new_request() for _ in range(10_000)]
     for at in range(0, 10_000, 500):  # what arrives in one turn of the loop is one step
-        world.step(*[d.Submit(n, 0, 3.0) for n in requests[at : at + 500]])
-    assert world.core.pending_count == 10_000
-    world.pass_time(14.0)
-    answers = world.of(ANSWERS)
+        harness.step(*[d.Submit(n, 0, 3.0) for n in requests[at : at + 500]])
+    assert harness.core.pending_count == 10_000
+    harness.pass_time(14.0)
+    answers = harness.effects_of(ANSWERS)
     assert len(answers) == 10_000 and {a.request for a in answers} == set(requests)
-    assert not world.core._requests and not world.core.gateway.pending.requests
+    assert not harness.core._requests and not harness.core.gateway.pending.requests
 
 
 def test_a_clock_that_goes_back_counts_as_standing_still() -> None:
-    world = World()
-    world.submit()
-    world.step(after=-100.0)
-    world.now += 100.0
-    request = world.submit()
-    world.done(request, Outcome.OK)
-    assert world.of(ANSWERS, request) == [d.CompleteRequest(request, 0)]
+    harness = Harness()
+    harness.submit()
+    harness.step(after=-100.0)
+    harness.now += 100.0
+    request = harness.submit()
+    harness.done(request, Outcome.OK)
+    assert harness.effects_of(ANSWERS, request) == [d.CompleteRequest(request, 0)]
 
 
 def test_a_fault_in_the_decisions_loses_no_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    world = World()
-    request = world.submit()
+    harness = Harness()
+    request = harness.submit()
+
+    def fails(*_: object) -> list[api.Action]:
+        raise ZeroDivisionError
+
+    monkeypatch.setattr(harness.core.gateway, "step", fails)
+    other = harness.submit()
+    assert [type(a) for a in harness.effects_of(ANSWERS, request)] == [d.FailRequest]
+    assert [type(a) for a in harness.effects_of(ANSWERS, other)] == [d.FailRequest]
+    assert harness.core.fault_count == 1
+    third = harness.submit()  # the list is known anew, and life goes on
+    harness.done(third, Outcome.OK)
+    assert harness.effects_of(ANSWERS, third) == [d.CompleteRequest(third, 0)]
+
+
+def test_a_policy_restarts_even_without_its_learned_state(monkeypatch: pytest.MonkeyPatch) -> None:
+    harness = Harness()
 
     def fails(*_: object) -> list[api.Action]:
         raise ZeroDivisionError
 
-    monkeypatch.setattr(world.core.gateway, "step", fails)
-    other = world.submit()
-    assert [type(a) for a in world.of(ANSWERS, request)] == [d.FailRequest]
-    assert [type(a) for a in world.of(ANSWERS, other)] == [d.FailRequest]
-    assert world.core.fault_count == 1
-    third = world.submit()  # the list is known anew, and life goes on
-    world.done(third, Outcome.OK)
-    assert world.of(ANSWERS, third) == [d.CompleteRequest(third, 0)]
+    monkeypatch.setattr(harness.core.gateway, "step", fails)
+    monkeypatch.setattr(harness.core.checkpointer, "anew", fails)
+    request = harness.submit()
+    assert [type(a) for a in harness.effects_of(ANSWERS, request)] == [d.FailRequest]
+    assert harness.core.fault_count == 1
+    logs = [e.text for e in harness.effects if isinstance(e, api.Log)]
+    assert any("learned state discarded" in text for text in logs)
+    second = harness.submit()
+    harness.done(second, Outcome.OK)
+    assert harness.effects_of(ANSWERS, second) == [d.CompleteRequest(second, 0)]
 
 
 def test_a_request_cannot_be_submitted_twice() -> None:
-    world = World()
-    request = world.submit()
+    harness = Harness()
+    request = harness.submit()
     with pytest.raises(ValueError, match="before"):
-        world.step(d.Submit(request, 0, 1.0))
+        harness.step(d.Submit(request, 0, 1.0))
 
 
-def random_day(seed: int, settings: api.Settings) -> Iterator[tuple[float, list[d.Input]]]:
-    """A day that depends on what the dispatcher wants; the generator is sent its effects."""
+def random_scenario(seed: int, settings: api.Settings) -> Iterator[tuple[float, list[d.Input]]]:
+    """A random scenario that depends on the dispatcher; the generator is sent its effects."""
     random = Random(seed)
-    now, out, number = 100.0, [], 0
+    now, in_flight, number = 100.0, [], 0
     states = dict.fromkeys(range(5), EngineState.READY)
     entries = tuple(api.EngineEntry(engine_id(n), s) for n, s in states.items())
     effects = yield now, [api.EndpointListUpdate(api.EndpointListMode.FULL, 1, entries)]
     for _ in range(300):
         now += random.random() * 0.05
-        out += [e for e in effects or [] if isinstance(e, d.StartAttempt)]
+        in_flight += [e for e in effects or [] if isinstance(e, d.StartAttempt)]
         inputs: list[d.Input] = []
         if random.random() < 0.6:
             number += 1
@@ -265,8 +289,8 @@
             inputs.append(
                 d.Submit(number, cls, 0.5 + 3.0 * random.random(), ordering_key=random.randrange(3))
             )
-        for start in [s for s in out if random.random() < 0.3]:
-            out.remove(start)
+        for start in [s for s in in_flight if random.random() < 0.3]:
+            in_flight.remove(start)
             outcome = random.choice([Outcome.OK] * 8 + list(Outcome))
             inputs.append(d.AttemptDone(start.request, start.attempt, outcome, random.random()))
         if random.random() < 0.03:
@@ -279,18 +303,18 @@
 
 
 def play(seed: int, settings: api.Settings, core: d.Dispatcher) -> Iterator[list[d.Effect]]:
-    day = random_day(seed, settings)
-    now, inputs = next(day)
+    scenario = random_scenario(seed, settings)
+    now, inputs = next(scenario)
     while True:
         effects = core.step(now, inputs)
         yield effects
         try:
-            now, inputs = day.send(effects)  # type: ignore[attr-defined]
+            now, inputs = scenario.send(effects)  # type: ignore[attr-defined]
         except StopIteration:
             return
 
 
-SOME = (
+MIXED_CLASSES = (
     api.ClassSettings("safe", latency_objective=0.5, deadline=3.0),
     api.ClassSettings("keyed", 1.0, 3.0, idempotency=Idempotency.KEYED, idempotency_ttl=2.0),
     api.ClassSettings("ordered", 1.0, 3.0, idempotency=Idempotency.UNSAFE, is_ordered=True),
@@ -300,8 +324,8 @@
 def test_two_dispatchers_in_one_process_share_nothing() -> None:
     """Two with different settings and seeds, in turns, do what each does alone."""
     first, second = (
-        make_settings(classes=SOME),
-        make_settings(classes=SOME[:2], gateway_count=3, gateway_index=1),
+        make_settings(classes=MIXED_CLASSES),
+        make_settings(classes=MIXED_CLASSES[:2], gateway_count=3, gateway_index=1),
     )
     alone = [
         list(play(1, first, d.Dispatcher(first, 5))),
@@ -323,18 +347,18 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_every_request_of_a_random_day_ends_exactly_once(seed: int) -> None:
-    settings = make_settings(classes=SOME)
+    settings = make_settings(classes=MIXED_CLASSES)
     core = d.Dispatcher(settings, seed)
     submitted, left, answers = set(), set(), []
-    day = random_day(seed, settings)
-    now, inputs = next(day)
+    scenario = random_scenario(seed, settings)
+    now, inputs = next(scenario)
     while True:
         submitted |= {i.request for i in inputs if isinstance(i, d.Submit)}
         left |= {i.request for i in inputs if isinstance(i, d.ClientDisconnected)}
         effects = core.step(now, inputs)
         answers += [e.request for e in effects if isinstance(e, ANSWERS)]
         try:
-            now, inputs = day.send(effects)  # type: ignore[attr-defined]
+            now, inputs = scenario.send(effects)  # type: ignore[attr-defined]
         except StopIteration:
             break
     while core.next_timer < now + 30.0:
@@ -345,7 +369,7 @@
 
 
 def test_a_record_is_played_again_with_the_same_effects(tmp_path: Path) -> None:
-    settings = make_settings(classes=SOME, progress_interval=1.0)
+    settings = make_settings(classes=MIXED_CLASSES, progress_interval=1.0)
     sink = io.BytesIO()
     core = d.Dispatcher(settings, 9, RecordingWriter(sink, settings, 9))
     for _ in play(4, settings, core):
@@ -368,12 +392,12 @@
 
 def test_settings_without_cancel_discard_instead() -> None:
     limits = replace(make_settings().limits, can_cancel=False)
-    world = World(make_settings(limits=limits))
-    request = world.submit(remaining=1.0)
-    world.pass_time(12.0)
-    assert len(world.of(ANSWERS, request)) == 1
-    assert world.of(d.DiscardAttempt) == [d.DiscardAttempt(request, 0)]
-    assert not world.of(d.CancelAttempt)
+    harness = Harness(make_settings(limits=limits))
+    request = harness.submit(remaining=1.0)
+    harness.pass_time(12.0)
+    assert len(harness.effects_of(ANSWERS, request)) == 1
+    assert harness.effects_of(d.DiscardAttempt) == [d.DiscardAttempt(request, 0)]
+    assert not harness.effects_of(d.CancelAttempt)
 
 
 def test_a_flood_of_arrivals_is_refused_past_a_bound() -> None:
@@ -391,9 +415,9 @@
 
 def test_hash_orders_of_table_groups_without_number_are_bounded() -> None:
     """Groups come from the clients' statements; each one's order was kept until the next list."""
-    world = World()
+    harness = Harness()
     for n in range(5_000):
-        request = world.submit(table_group=n + 1)
-        world.step(d.ClientDisconnected(request))
-        world.done(request, Outcome.CANCELLED)
-    assert len(world.core.gateway.engine_selector.eligibility.rendezvous_order.cached_orders) <= 4_096
+        request = harness.submit(table_group=n + 1)
+        harness.step(d.ClientDisconnected(request))
+        harness.done(request, Outcome.CANCELLED)
+    assert len(harness.core.gateway.engine_selector.eligibility.rendezvous_order.cached_orders) <= 4_096
