--- a/saffronlane/engines/transport.py
+++ b/saffronlane/engines/transport.py
@@ -64,10 +64,10 @@
     """
 
     def bind(self, executor: Executor) -> None:
-        """Set the executor that is told about attempts and probes."""
+        """Set the executor that attempts and probes are reported to."""
 
-    def create_attempt(self, request: Request, effect: d.StartAttempt, started: float) -> Attempt:
-        """Return a new attempt that does not run yet; `started` is the loop's time."""
+    def create_attempt(self, request: Request, effect: d.StartAttempt, started_at: float) -> Attempt:
+        """Return a new attempt that does not run yet; `started_at` is the loop's time."""
 
     def begin(self, attempt: Attempt) -> None:
         """Run an attempt; it is in the executor's table now, and may end."""
@@ -82,15 +82,15 @@
         """End an attempt that has not been sent; do nothing if it has."""
 
     def commit(self, attempt: Attempt) -> None:
-        """Let the result of this attempt leave, and no other's."""
+        """Pass on the result of this attempt, and of no other."""
 
-    def complete(self, request: Request, attempt: Attempt, fault: bool) -> None:
+    def complete(self, request: Request, attempt: Attempt, is_query_fault: bool) -> None:
         """Answer with the result of an attempt, or with its error if the query is at fault."""
 
-    def reject(self, request: Request, retry_after: float, why: str) -> None:
+    def reject(self, request: Request, retry_after: float, reason: str) -> None:
         """Answer that the request did not run and may be retried after some seconds."""
 
-    def fail(self, request: Request, why: str) -> None:
+    def fail(self, request: Request, reason: str) -> None:
         """Answer that the request failed and may have run."""
 
     def probe(self, engine: bytes) -> None:
@@ -100,7 +100,7 @@
         """Close the idle connections to an engine."""
 
     def on_attempt_released(self, attempt: Attempt) -> None:
-        """Release what an ended attempt held; the executor has removed it."""
+        """Release the resources of an ended attempt that the executor has removed."""
 
     def close(self) -> None:
         """Close all connections at once."""
