--- a/saffronlane/cli/learned_state.py
+++ b/saffronlane/cli/learned_state.py
@@ -20,7 +20,8 @@
 from ..learned_state.clock import gap_between
 from ..learned_state.errors import UnreadableRecordError
 from ..learned_state.purge import PurgeCategory, purge_entries
-from ..state_directory import PURGE_REQUEST_NAME, boot_id
+from ..purge_requests import write_purge_request
+from ..state_directory import boot_id
 from ..storage import DirectoryBusyError, DirectoryLock, RealFiles, Recovery, Store, StoreFailedError, recover
 from ..storage.files import LOCK_NAME, directory_id_of
 
@@ -225,10 +226,7 @@
     if PurgeCategory.ALL in chosen:
         click.echo(f"{busy}; rules stand on its ledgers, so stop it first to forget all", err=True)
         sys.exit(2)
-    request = folder / PURGE_REQUEST_NAME
-    fresh = folder / f"{PURGE_REQUEST_NAME}.new"
-    fresh.write_text(json.dumps([w.value for w in chosen]))
-    os.replace(fresh, request)
+    request = write_purge_request(folder, chosen)
     end = time.monotonic() + ANSWER
     while request.exists():
         if time.monotonic() > end:
--- a/saffronlane/state_directory.py
+++ b/saffronlane/state_directory.py
@@ -1,13 +1,11 @@
-"""The folder in which a running gateway keeps what it knows: thread, clocks and lock around it."""
+"""The state directory of a running gateway: lock, writer thread and clocks around its store."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
 import errno
-import json
 import time
-from collections import deque
 from collections.abc import Callable
 from pathlib import Path
 
@@ -16,9 +14,10 @@
 from . import __version__
 from .config import Config
 from .dispatch import Dispatcher
+from .durability_futures import DurabilityFutures
 from .errors import told
-from .learned_state import PersistedState, PurgeCategory, Timestamp
-from .learned_state import records as k
+from .learned_state import PersistedState, PurgeCategory, Timestamp, records
+from .purge_requests import take_purge_request
 from .storage import (
     Change,
     DirectoryBusyError,
@@ -32,16 +31,16 @@
 )
 
 log = structlog.get_logger()
-RETRY_INTERVAL = 1.0  # seconds between tries of a folder that is not free
-HEARTBEAT_INTERVAL = 1.0  # seconds between two signs of life
+
+RETRY_INTERVAL = 1.0  # seconds between attempts to open a directory that is in use or cannot be read
+HEARTBEAT_INTERVAL = 1.0  # seconds
 REPORT_INTERVAL = 60.0  # seconds between two reports in the log
-STOP_TIMEOUT = 2.0  # seconds that the end of the process waits for its last commit
-PURGE_REQUEST_NAME = "forget"  # file by which an operator asks a running gateway
+STOP_TIMEOUT = 2.0  # seconds that shutdown waits for the last commit
 BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")  # random(4)
 
 
 def boot_id() -> str:
-    """Names this boot of the machine; empty where the system does not tell."""
+    """Return the name of this boot of the machine, or an empty string if the system has none."""
     try:
         return BOOT_ID_PATH.read_text().strip()
     except OSError:
@@ -49,21 +48,27 @@
 
 
 class StateDirectory:
-    """One folder of one gateway. Whatever is wrong with it, the gateway goes on without, and says so.
+    """The state directory of one gateway. Where it fails, the gateway runs on without and logs it.
+
+    Args:
+        config: of the gateway; it names the directory.
+        loop: on which all methods are called.
 
     Attributes:
-        memory: what was read, for the dispatcher; None: the folder is not in use (yet).
-        on_attach: told once it is, where it was not at the start.
-        unsaved: tells how many attempts left though what must be on disk before them was not.
-        on_forget: told what an operator wants forgotten.
+        restored_state: what was read, for the dispatcher; None while the directory is not open.
+        last_error: why the directory could not be opened; empty if it could.
+        on_attach: called once the directory is open, if it was not at the start.
+        unsaved_count: returns how many attempts left before their write-ahead records were durable.
+        on_purge: called with what an operator wants purged.
     """
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
         assert config.knowledge is not None
         self.path = config.knowledge
-        self._config, self._loop = config, loop
-        self._boot = boot_id()
-        self._why = ""
+        self._config = config
+        self._loop = loop
+        self._boot_id = boot_id()
+        self.last_error = ""
         self._lock: DirectoryLock | None = None
         self._files: RealFiles | None = None
         self._writer: Writer | None = None
@@ -72,27 +77,26 @@
         self.on_attach: Callable[[PersistedState], None] | None = None
         self.unsaved_count: Callable[[], int] = lambda: 0
         self.restored_state: PersistedState | None = None
-        self._settled: deque[tuple[asyncio.Future[bool], bool]] = deque()
-        self._settling = False
-        self._begun = False  # the first commit has been given to the writer
+        self._durability = DurabilityFutures(loop)
+        self._has_started_writer = False
         self._report_at = loop.time() + REPORT_INTERVAL
-        self._try()
+        self._try_open()
 
-    def _try(self) -> None:
-        """Take the folder in use if it is free."""
+    def _try_open(self) -> None:
+        """Open the directory if no other process has it."""
         try:
-            self.restored_state = PersistedState(self._open(), self._moment())
+            self.restored_state = PersistedState(self._open(), self._timestamp())
         except (OSError, DirectoryBusyError) as error:
-            if str(error) != self._why:
+            if str(error) != self.last_error:
                 log.error("knowledge is not kept", folder=str(self.path), **told(error))
-            self._why = str(error)
+            self.last_error = str(error)
             self._release()
 
-    def _try_again(self) -> None:
-        """Another process had the folder, as in a restart that overlaps, or it could not be read."""
-        self._try()
+    def _retry_open(self) -> None:
+        """Open a directory that was in use, as in an overlapping restart, or unreadable."""
+        self._try_open()
         if self.restored_state is None:
-            self._timer = self._loop.call_later(RETRY_INTERVAL, self._try_again)
+            self._timer = self._loop.call_later(RETRY_INTERVAL, self._retry_open)
         elif self.on_attach is not None:
             self.on_attach(self.restored_state)
 
@@ -105,8 +109,10 @@
         for text in found.dropped:
             log.warning("knowledge left out", folder=str(self.path), what=text)
         if found.newer_files:
-            log.warning("knowledge of a newer version is left alone", files=found.newer_files)
-        self._writer = Writer(store, self._tell, before_repair=self._reopen, each_turn=self._look)
+            log.warning("files of a newer version left alone", files=found.newer_files)
+        self._writer = Writer(
+            store, self._on_writer_message, before_repair=self._reopen, each_turn=self._check_directory
+        )
         log.info(
             "knowledge read",
             folder=str(self.path),
@@ -117,7 +123,7 @@
         return tuple(found.state.items())
 
     def _reopen(self) -> None:
-        """Before a repair: the folder may have vanished and be there again. On the writer's thread."""
+        """Lock the directory anew if it was replaced, before a repair. On the writer's thread."""
         assert self._files is not None
         if self._files.reopen():
             lock, self._lock = self._lock, None
@@ -126,41 +132,29 @@
             try:
                 self._lock = DirectoryLock(self.path)
             except DirectoryBusyError as error:
-                raise OSError(str(error)) from None
+                raise OSError(str(error)) from error
 
-    def _look(self) -> None:
-        """Whether the folder is still there, and an operator left a request. On the writer's thread."""
+    def _check_directory(self) -> None:
+        """Check that the directory is still there, and for a purge request. On the writer's thread."""
         if self._files is not None and self._files.has_moved():
             raise FileNotFoundError(errno.ENOENT, "the folder has vanished")
-        request = self.path / PURGE_REQUEST_NAME
         with contextlib.suppress(OSError):
-            if request.exists():
-                self._take(request)
-
-    def _take(self, request: Path) -> None:
-        try:
-            what = tuple(PurgeCategory(w) for w in json.loads(request.read_bytes()))
-        except (ValueError, TypeError) as error:
-            log.error("request not understood", file=str(request), why=str(error))
-            what = ()
-        request.unlink()
-        if PurgeCategory.ALL in what:
-            log.error("ledgers of a running gateway are not forgotten", file=str(request))
-        elif what and self.on_purge is not None:
-            log.warning("an operator has knowledge forgotten", what=[w.value for w in what])
-            with contextlib.suppress(RuntimeError):
-                self._loop.call_soon_threadsafe(self.on_purge, what)
+            categories = take_purge_request(self.path)
+            if categories and self.on_purge is not None:
+                log.warning("learned state purged", what=[category.value for category in categories])
+                with contextlib.suppress(RuntimeError):  # the loop has been closed meanwhile
+                    self._loop.call_soon_threadsafe(self.on_purge, categories)
 
-    def _tell(self, text: str) -> None:
+    def _on_writer_message(self, text: str) -> None:
         log.error(text, folder=str(self.path))
 
-    def _moment(self) -> Timestamp:
-        place = self._lock.directory_id if self._lock is not None else ""
-        return Timestamp(self._loop.time(), time.time(), self._boot, place)
+    def _timestamp(self) -> Timestamp:
+        directory_id = self._lock.directory_id if self._lock is not None else ""
+        return Timestamp(self._loop.time(), time.time(), self._boot_id, directory_id)
 
-    def _sign(self, clean: bool = False) -> Change:
-        now, settings = self._moment(), self._config.settings
-        run = k.RunRecord(
+    def _heartbeat_change(self, clean: bool = False) -> Change:
+        now, settings = self._timestamp(), self._config.settings
+        run = records.RunRecord(
             now.monotonic_s,
             now.wall_s,
             now.boot_id,
@@ -170,7 +164,7 @@
             settings.gateway_count,
             clean,
         )
-        return k.make_change(k.RUN, run)
+        return records.make_change(records.RUN, run)
 
     @property
     def status(self) -> WriterStatus:
@@ -181,10 +175,10 @@
         )
 
     def start(self, dispatcher: Dispatcher) -> None:
-        """Begin to write: all that was recalled, on this run's clock, in one commit with its first sign."""
+        """Begin to write: what was restored, on this run's clock, in one commit with the first heartbeat."""
         summary = dispatcher.checkpointer.summary
         if self.restored_state is None:
-            self._timer = self._loop.call_later(RETRY_INTERVAL, self._try_again)
+            self._timer = self._loop.call_later(RETRY_INTERVAL, self._retry_open)
             return
         if self.restored_state.entries:
             log.info(
@@ -198,16 +192,16 @@
             log.warning("knowledge", note=note)
         self.persist(tuple(dispatcher.first_changes), ahead=False)
 
-    def _beat(self) -> None:
+    def _on_heartbeat(self) -> None:
         assert self._writer is not None
-        self._writer.put([self._sign()])
-        self._timer = self._loop.call_later(HEARTBEAT_INTERVAL, self._beat)
+        self._writer.put([self._heartbeat_change()])
+        self._timer = self._loop.call_later(HEARTBEAT_INTERVAL, self._on_heartbeat)
         if self._loop.time() >= self._report_at:
             self._report_at = self._loop.time() + REPORT_INTERVAL
             self.report()
 
     def report(self) -> None:
-        """A line for the log, of how the store fares."""
+        """Log the status of the store."""
         status = self.status
         log.info(
             "knowledge kept",
@@ -224,46 +218,35 @@
         )
 
     def persist(self, changes: tuple[Change, ...], ahead: bool) -> asyncio.Future[bool] | None:
-        """Write these; with `ahead`, at once, and the future tells whether they are durable."""
+        """Write changes.
+
+        Args:
+            changes: to write.
+            ahead: write them at once, and return a future of whether they are durable.
+        """
         if self._writer is None:
             return None
-        if not self._begun:
-            self._begun = True
-            self._writer.put([*changes, self._sign()])
+        if not self._has_started_writer:
+            self._has_started_writer = True
+            self._writer.put([*changes, self._heartbeat_change()])
             self._writer.start()
-            self._timer = self._loop.call_later(HEARTBEAT_INTERVAL, self._beat)
+            self._timer = self._loop.call_later(HEARTBEAT_INTERVAL, self._on_heartbeat)
             changes = ()
         if not ahead:
             self._writer.put(changes)
             return None
-        future: asyncio.Future[bool] = self._loop.create_future()
-
-        self._writer.put(changes, lambda kept: self._durable(future, kept))
+        future = self._durability.create()
+        self._writer.put(changes, lambda is_durable: self._durability.resolve(future, is_durable))
         return future
 
-    def _durable(self, future: asyncio.Future[bool], kept: bool) -> None:
-        """On the writer's thread. One wake of the loop for all of a commit: each wake is a system call."""
-        self._settled.append((future, kept))
-        if not self._settling:
-            self._settling = True
-            with contextlib.suppress(RuntimeError):  # the loop has ended meanwhile
-                self._loop.call_soon_threadsafe(self._settle)
-
-    def _settle(self) -> None:
-        self._settling = False  # before the list is emptied: who appends from now on wakes the loop again
-        while self._settled:
-            future, kept = self._settled.popleft()
-            if not future.done():
-                future.set_result(kept)
-
     def stop(self, dispatcher: Dispatcher) -> None:
-        """Leave a last snapshot, and give the folder free."""
+        """Write a last snapshot and release the directory."""
         if self._timer is not None:
             self._timer.cancel()
-        if self._writer is not None and self._begun:
-            self._writer.put([*dispatcher.unwritten_changes(), self._sign(clean=True)])
+        if self._writer is not None and self._has_started_writer:
+            self._writer.put([*dispatcher.unwritten_changes(), self._heartbeat_change(clean=True)])
             if not self._writer.stop(STOP_TIMEOUT):
-                log.error("the last of what was known is not kept: the disk hangs", folder=str(self.path))
+                log.error("last snapshot timed out", folder=str(self.path))
             self.report()
             self._writer = None
         self._release()
--- a/tests/test_folder.py
+++ b/tests/test_folder.py
@@ -158,7 +158,7 @@
     working(house)
     second, first = begin(house), house.daemon
     assert second.folder is not None and not second.folder.status.is_working
-    assert "in use by process" in second.folder._why
+    assert "in use by process" in second.folder.last_error
     end(house)
     house.daemon = second
     working(house)
