--- a/saffronlane/state_directory.py
+++ b/saffronlane/state_directory.py
@@ -111,7 +111,7 @@
         if found.newer_files:
             log.warning("files of a newer version left alone", files=found.newer_files)
         self._writer = Writer(
-            store, self._on_writer_message, before_repair=self._reopen, each_turn=self._check_directory
+            store, self._on_writer_message, before_repair=self._reopen, after_turn=self._check_directory
         )
         log.info(
             "knowledge read",
