--- a/saffronlane/cli/learned_state.py
+++ b/saffronlane/cli/learned_state.py
@@ -1,4 +1,4 @@
-"""`saffronlane knowledge`: what a folder holds, and what is to be forgotten."""
+"""`saffronlane knowledge`: inspects the state directory of a gateway, and purges learned state."""
 
 from __future__ import annotations
 
@@ -14,9 +14,7 @@
 import click
 
 from ..config import ConfigError, load_config
-from ..learned_state import PersistedState, StateRestorer, Timestamp
-from ..learned_state import confidence as weigh
-from ..learned_state import records as k
+from ..learned_state import PersistedState, StateRestorer, Timestamp, confidence, records
 from ..learned_state.clock import gap_between
 from ..learned_state.errors import UnreadableRecordError
 from ..learned_state.purge import PurgeCategory, purge_entries
@@ -26,7 +24,8 @@
 from ..storage.files import LOCK_NAME, directory_id_of
 
 FOLDER = click.Path(file_okay=False, exists=True, path_type=Path)
-ANSWER = 5.0  # seconds that a running gateway has to take a request
+POLL_INTERVAL = 0.05  # seconds
+PURGE_TIMEOUT = 5.0  # seconds that a running gateway has to take a request
 
 
 @click.group()
@@ -35,6 +34,7 @@
 
 
 def _read(folder: Path) -> Recovery:
+    """Read the directory, or exit with status 2."""
     try:
         files = RealFiles(folder, make=False)
         try:
@@ -46,9 +46,9 @@
         sys.exit(2)
 
 
-def _values(found: Recovery) -> tuple[dict[bytes, k.Record], list[str]]:
+def _decode(found: Recovery) -> tuple[dict[bytes, records.Record], list[str]]:
     values, problems = {}, []
-    for key, value in k.decode_all(sorted(found.state.items())):
+    for key, value in records.decode_all(sorted(found.state.items())):
         if isinstance(value, UnreadableRecordError):
             problems.append(str(value))
         else:
@@ -56,8 +56,8 @@
     return values, problems
 
 
-def holder(folder: Path) -> str:
-    """The process that uses the folder; empty: none. Takes no lock."""
+def lock_holder(folder: Path) -> str:
+    """Return the id of the process that uses the directory, or an empty string. Keeps no lock."""
     try:
         fd = os.open(folder / LOCK_NAME, os.O_RDONLY | os.O_CLOEXEC)
     except OSError:
@@ -75,39 +75,45 @@
 
 def _now(folder: Path) -> Timestamp:
     try:
-        place = directory_id_of((folder / LOCK_NAME).stat())
+        directory_id = directory_id_of((folder / LOCK_NAME).stat())
     except OSError:
-        place = ""
-    return Timestamp(time.monotonic(), time.time(), boot_id(), place)
+        directory_id = ""
+    return Timestamp(time.monotonic(), time.time(), boot_id(), directory_id)
 
 
-def _told(folder: Path, found: Recovery) -> dict[str, Any]:
-    """What `show` says, for programs."""
-    values, problems = _values(found)
+def _describe(folder: Path, found: Recovery) -> dict[str, Any]:
+    """Return what `show` prints with `--json`."""
+    values, problems = _decode(found)
     now = _now(folder)
-    told: dict[str, Any] = {
+    description: dict[str, Any] = {
         "folder": str(folder),
-        "used_by": holder(folder),
+        "used_by": lock_holder(folder),
         "sequence": found.sequence,
         "entries": len(found.state),
         "bytes": sum(found.sizes.values()),
         "dropped": found.dropped + problems,
         "newer": found.newer_files,
     }
-    run = values.get(k.RUN)
-    if isinstance(run, k.RunRecord):
-        gap = gap_between(Timestamp(run.monotonic_s, run.wall_s, run.boot_id, run.directory_id), now)
-        told["last_sign"] = {
+    run = values.get(records.RUN)
+    if isinstance(run, records.RunRecord):
+        last = Timestamp(run.monotonic_s, run.wall_s, run.boot_id, run.directory_id)
+        gap = gap_between(last, now)
+        description["last_sign"] = {
             "seconds_ago": round(gap.max_seconds, 3),
             "sure": gap.is_certain,
             "clean": run.ended_cleanly,
             "program": run.program,
             "gateway": f"{run.gateway_index} of {run.gateway_count}",
         }
-    kinds = {"classes": k.CLASS, "engines": k.ENGINE, "requests": k.IDEMPOTENCY, "orders": k.ORDERING}
+    kinds = {
+        "classes": records.CLASS,
+        "engines": records.ENGINE,
+        "requests": records.IDEMPOTENCY,
+        "orders": records.ORDERING,
+    }
     for name, kind in kinds.items():
-        told[name] = sum(k.kind_of(key) == kind for key in values)
-    return told
+        description[name] = sum(records.kind_of(key) == kind for key in values)
+    return description
 
 
 @knowledge.command()
@@ -116,26 +122,26 @@
 def show(folder: Path, as_json: bool) -> None:
     """What the folder holds, whether a gateway uses it or not."""
     found = _read(folder)
-    told = _told(folder, found)
+    description = _describe(folder, found)
     if as_json:
-        click.echo(json.dumps(told, indent=2))
+        click.echo(json.dumps(description, indent=2))
         return
-    for name, value in told.items():
+    for name, value in description.items():
         click.echo(f"{name:>10}  {value if not isinstance(value, list) else '; '.join(value) or '-'}")
-    values, _ = _values(found)
-    run = values.get(k.RUN)
-    age = told.get("last_sign", {}).get("seconds_ago", float("inf"))
+    values, _ = _decode(found)
+    run = values.get(records.RUN)
+    age = description.get("last_sign", {}).get("seconds_ago", float("inf"))
     for key, value in values.items():
-        if isinstance(value, k.ClassRecord):
-            since = age + (run.monotonic_s - value.updated_at if isinstance(run, k.RunRecord) else 0.0)
-            click.echo(f"{k.name_of(key)}: {_describe_class(value, since)}")
-        elif isinstance(value, k.EngineRecord):
-            click.echo(f"{k.name_of(key)}: {_describe_engine(value)}")
+        if isinstance(value, records.ClassRecord):
+            since = age + (run.monotonic_s - value.updated_at if isinstance(run, records.RunRecord) else 0.0)
+            click.echo(f"{records.name_of(key)}: {_describe_class(value, since)}")
+        elif isinstance(value, records.EngineRecord):
+            click.echo(f"{records.name_of(key)}: {_describe_engine(value)}")
 
 
-def _describe_class(record: k.ClassRecord, age: float) -> str:
+def _describe_class(record: records.ClassRecord, age: float) -> str:
     """Return a line of `show` on a class whose last answer is so many seconds old."""
-    samples = weigh.effective_samples(record.effective_samples, age, 1.0)
+    samples = confidence.effective_samples(record.effective_samples, age, 1.0)
     return (
         f"{record.effective_samples:.1f} answers, {samples:.1f} by now; "
         f"latency {record.latency_per_cost:.4g} s, work {record.work_per_cost:.4g} s "
@@ -143,7 +149,7 @@
     )
 
 
-def _describe_engine(record: k.EngineRecord) -> str:
+def _describe_engine(record: records.EngineRecord) -> str:
     """Return a line of `show` on an engine."""
     state = "silent" if record.is_unresponsive else "ill" if record.is_ejected else "well"
     dispatches = len(record.recent_dispatches)
@@ -156,7 +162,7 @@
 def check(folder: Path, settings: Path | None) -> None:
     """Whether all of it is whole; with the gateway's settings, what it counts for now. Exit 1: damage."""
     found = _read(folder)
-    _, problems = _values(found)
+    _, problems = _decode(found)
     for text in [
         *found.dropped,
         *problems,
@@ -169,9 +175,13 @@
         except ConfigError as error:
             click.echo(str(error), err=True)
             sys.exit(2)
-        recall = StateRestorer(config.settings, PersistedState(tuple(found.state.items()), _now(folder)))
-        trust, summary = recall.confidence, recall.summary
-        click.echo(f"age {summary.age:.1f} s, exact {trust.has_complete_ledgers}, weight {trust.weight:g}")
+        state = PersistedState(tuple(found.state.items()), _now(folder))
+        restorer = StateRestorer(config.settings, state)
+        directory = restorer.confidence
+        summary = restorer.summary
+        click.echo(
+            f"age {summary.age:.1f} s, exact {directory.has_complete_ledgers}, weight {directory.weight:g}"
+        )
         for note in summary.notes:
             click.echo(note)
     click.echo("whole" if not (found.dropped or problems) else "not all of it could be read")
@@ -182,9 +192,9 @@
 @click.argument("folder", type=FOLDER)
 def export(folder: Path) -> None:
     """All entries as JSON, one a line."""
-    values, _ = _values(_read(folder))
+    values, _ = _decode(_read(folder))
     for key, value in values.items():
-        click.echo(json.dumps({"key": k.name_of(key)} | k.exported_fields(value), default=_text))
+        click.echo(json.dumps({"key": records.name_of(key)} | records.exported_fields(value), default=_text))
 
 
 def _text(value: object) -> str:
@@ -200,7 +210,7 @@
     try:
         lock = DirectoryLock(folder)
     except DirectoryBusyError as error:
-        _ask(folder, chosen, str(error))
+        _request_purge(folder, chosen, str(error))
         return
     except OSError as error:
         click.echo(f"{folder}: {error.strerror}", err=True)
@@ -222,16 +232,17 @@
     click.echo(f"{len(changes)} entries changed")
 
 
-def _ask(folder: Path, chosen: Iterable[PurgeCategory], busy: str) -> None:
+def _request_purge(folder: Path, chosen: Iterable[PurgeCategory], busy: str) -> None:
+    """Have the gateway that uses the directory purge these, and wait until it has taken the request."""
     if PurgeCategory.ALL in chosen:
         click.echo(f"{busy}; rules stand on its ledgers, so stop it first to forget all", err=True)
         sys.exit(2)
     request = write_purge_request(folder, chosen)
-    end = time.monotonic() + ANSWER
+    end = time.monotonic() + PURGE_TIMEOUT
     while request.exists():
         if time.monotonic() > end:
             request.unlink(missing_ok=True)
-            click.echo(f"{busy}, and it did not take the request in {ANSWER:g} s", err=True)
+            click.echo(f"{busy}, and it did not take the request in {PURGE_TIMEOUT:g} s", err=True)
             sys.exit(2)
-        time.sleep(0.05)
+        time.sleep(POLL_INTERVAL)
     click.echo("the running gateway forgets them")
