--- a/saffronlane/storage/files.py
+++ b/saffronlane/storage/files.py
@@ -1,4 +1,4 @@
-"""The file system as the store uses it: few operations, each of which may fail or be half done at a crash."""
+"""The file system operations of the store. Each may fail, or be half done at a crash."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
         return os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
 
     def has_moved(self) -> bool:
-        """Whether the path does not name this folder any more: what is written now, nobody would find."""
+        """Return whether the path no longer names this directory: what is written is lost."""
         try:
             return not os.path.samestat(os.stat(self.folder), os.fstat(self._fd))
         except FileNotFoundError:
@@ -126,14 +126,19 @@
 
 
 def directory_id_of(lock: os.stat_result) -> str:
-    """Names a folder by its lock's own file: one that was copied or restored has another."""
+    """Return a directory's identity, by its lock file: a copied or restored directory has another."""
     return f"{lock.st_dev:x}.{lock.st_ino:x}"
 
 
 class DirectoryLock:
-    """The exclusive use of a folder, for as long as this process lives (flock(2)). OSError, FolderBusy.
+    """The exclusive use of a directory, for as long as this process lives (flock(2)).
 
-    `place`: see `place_of`.
+    Attributes:
+        directory_id: see `directory_id_of`.
+
+    Raises:
+        DirectoryBusyError: another process has the lock.
+        OSError: the lock file cannot be opened.
     """
 
     def __init__(self, folder: Path) -> None:
--- a/saffronlane/storage/format.py
+++ b/saffronlane/storage/format.py
@@ -20,9 +20,17 @@
 
 MAGIC = b"SFLKEEP\n"
 FORMAT = 1
-LOG, SNAPSHOT = 1, 2  # kinds of file
-BATCH, ENTRIES, END = 1, 2, 3  # types of record
-MAX_PAYLOAD = 16_777_216  # bytes; a length beyond it is damage, not data
+
+# Kinds of file.
+LOG = 1
+SNAPSHOT = 2
+
+# Types of record.
+BATCH = 1
+ENTRIES = 2
+END = 3
+
+MAX_PAYLOAD = 16_777_216  # bytes; a greater length is damage
 REMOVED = 0xFFFF_FFFF  # in place of a value's length: the key was removed
 
 _HEADER = struct.Struct(">8sHHQI")  # magic, format, kind, sequence, CRC of what is before it
@@ -51,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FileName:
-    """What a file's name says of it."""
+    """A file's name: its kind, its format and its first or last sequence."""
 
     kind: int
     format: int
@@ -70,6 +78,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
+    """A record of a file."""
+
     sequence: int
     type: int
     version: int
@@ -89,6 +99,7 @@
 
 
 def encode_header(kind: int, sequence: int) -> bytes:
+    """Return the header of a file."""
     start = _HEADER.pack(MAGIC, FORMAT, kind, sequence, 0)[:-4]
     return start + struct.pack(">I", google_crc32c.value(start))
 
@@ -99,7 +110,7 @@
 
 
 def encode_record(sequence: int, type_: int, payload: bytes, version: int = 1) -> bytes:
-    """ValueError if the payload is longer than MOST_PAYLOAD."""
+    """Return a record's bytes. Raises ValueError if the payload is longer than MOST_PAYLOAD."""
     if len(payload) > MAX_PAYLOAD:
         raise ValueError(f"{len(payload)} bytes in one record, {MAX_PAYLOAD} at most")
     crc = _checksum(payload, sequence, type_, version)
@@ -107,7 +118,7 @@
 
 
 def parse_file(data: bytes) -> ParsedFile:
-    """Read a file up to the first byte that is not good. Damaged if not even the header is."""
+    """Read a file up to the first damaged byte. Raises DamagedFileError if the header is damaged."""
     if len(data) < HEADER_SIZE:
         raise DamagedFileError(f"{len(data)} bytes, fewer than a header has")
     magic, version, kind, sequence, crc = _HEADER.unpack_from(data)
@@ -139,7 +150,7 @@
 
 
 def pack_changes(changes: Iterable[Change]) -> bytes:
-    """The payload of a BATCH or ENTRIES record. ValueError if a key is empty or over 65,535 bytes."""
+    """Return the payload of a BATCH or ENTRIES record. Raises ValueError for a bad key length."""
     parts: list[bytes] = []
     for key, entry in changes:
         if not 0 < len(key) < 65_536:
@@ -150,7 +161,7 @@
 
 
 def unpack_changes(payload: bytes) -> Iterator[Change]:
-    """Damaged where the payload breaks off: its checksum was right, so a program wrote it wrongly."""
+    """Decode a payload. Raises DamagedFileError where it breaks off, though its checksum was right."""
     at = 0
     while at < len(payload):
         if at + _CHANGE.size > len(payload):
@@ -167,6 +178,7 @@
 
 
 def apply_changes(state: StoredMap, changes: Iterable[Change]) -> StoredMap:
+    """Return the map with changes applied."""
     for key, entry in changes:
         state = state.discard(key) if entry is None else state.insert(key, entry)
     return state
