--- a/saffronlane/platform/managed_connection.py
+++ b/saffronlane/platform/managed_connection.py
@@ -7,21 +7,21 @@
 
 import asyncio
 import contextlib
-from abc import ABC, abstractmethod
+from abc import abstractmethod
 from collections.abc import Callable
 
 import structlog
-from tornado.iostream import StreamBufferFullError, StreamClosedError
+from tornado.iostream import StreamClosedError
 
+from .connection_output import ConnectionOutput
 from .lifecycle import ConnectionLifecycle, Event, State
 from .stream import READ_CHUNK_BYTES, Stream
-from .write_progress import WriteProgress
 
 log = structlog.get_logger()
 EXPIRY_TOLERANCE = 1e-3  # seconds that a timer may be early
 
 
-class ManagedConnection(ABC):
+class ManagedConnection(ConnectionOutput):
     """One connection. `start` it once its owner knows it.
 
     Args:
@@ -30,11 +30,7 @@
     """
 
     def __init__(self, stream: Stream, lifecycle: ConnectionLifecycle) -> None:
-        self.loop = asyncio.get_running_loop()
-        self.stream = stream
-        self.lifecycle = lifecycle
-        self._is_flush_scheduled = False
-        self._progress = WriteProgress(stream, self.loop.time())
+        super().__init__(stream, lifecycle)
         self._expiry_timer: asyncio.TimerHandle | None = None
         self._task: asyncio.Task[None] | None = None
 
@@ -53,15 +49,6 @@
     def receive(self, data: bytes) -> None:
         """Act on bytes that were read."""
 
-    @abstractmethod
-    def flush(self) -> None:
-        """Hand queued output to the stream."""
-
-    @property
-    @abstractmethod
-    def has_queued_output(self) -> bool:
-        """Whether output waits to be handed to the stream."""
-
     @abstractmethod
     def on_closed(self, event: Event, why: str) -> None:
         """End what was pending: an event has closed the connection. Called once."""
@@ -77,7 +64,7 @@
             if self.lifecycle.state is State.CONNECTING:
                 await self.connect()
                 self.handle_event(Event.CONNECTED, "connected")
-                self._flush_and_settle()
+                self.flush_and_settle()
             while not self.lifecycle.is_closed:
                 reading = self.stream.read_bytes(READ_CHUNK_BYTES, partial=True)
                 if not self.stream.reading():
@@ -104,61 +91,6 @@
         """Whether the peer's bytes, or its end, have arrived and have not been acted on."""
         return self.stream.has_undelivered_data or self.stream.peek() is not None
 
-    # --- writing ---
-
-    def schedule_flush(self) -> None:
-        """Flush at the end of this turn of the loop: what is queued in one turn is written in one piece."""
-        if self._is_flush_scheduled:
-            return
-        if not self.stream.writing():
-            # In the turn in which the first output in a long time is queued, nothing was written since the
-            # output before it: that is not a stall.
-            self._progress.record(self.loop.time())
-        self._is_flush_scheduled = True
-        self.loop.call_soon(self._flush_and_settle)
-
-    def _flush_and_settle(self) -> None:
-        self._is_flush_scheduled = False
-        if self.lifecycle.allows_writes:
-            self.flush()
-        if self.lifecycle.is_closing or self.lifecycle.state is State.DRAINING:
-            self.settle()
-
-    def write_to_stream(self, data: bytes) -> bool:
-        """Write now; whether the stream accepted it. A broken stream is left to its reader."""
-        try:
-            written = self.stream.write(data)
-        except StreamClosedError:
-            return False
-        except StreamBufferFullError:
-            self.handle_event(Event.ABORT, "write buffer full")
-            return False
-        if self.stream.writing():
-            written.add_done_callback(lambda _: self._on_written())
-        return True
-
-    def _on_written(self) -> None:
-        self.stalled_for()
-        self._flush_and_settle()
-
-    def stalled_for(self) -> float:
-        """Seconds for which none of the pending output was written."""
-        now = self.loop.time()
-        if self._progress.has_progressed() or not self.has_pending_output:
-            self._progress.record(now)
-            self.lifecycle.record_write_progress(now)
-        return self._progress.stalled_for(now)
-
-    @property
-    def has_pending_output(self) -> bool:
-        """Whether output is queued or not yet written."""
-        return self.has_queued_output or self.stream.writing()
-
-    @property
-    def backlog(self) -> int:
-        """Bytes that were handed to the stream and are not written."""
-        return 0 if self.stream.closed() else self.stream.bytes_accepted - self.stream.bytes_written
-
     # --- ending ---
 
     def drain(self, why: str) -> None:
--- a/saffronlane/platform/upstream/connection.py
+++ b/saffronlane/platform/upstream/connection.py
@@ -3,31 +3,25 @@
 from __future__ import annotations
 
 import asyncio
-import functools
 import socket
 
 import structlog
 
 from ...interface import Outcome
-from ...resp import RespParser
 from ..config import Address
 from ..lifecycle import ConnectionLifecycle, ConnectionLimits, Event
 from ..managed_connection import ManagedConnection
-from ..stream import READ_CHUNK_BYTES, Stream
+from ..stream import Stream
 from .attempt import UpstreamAttempt
-from .client import response_sink
-from .command_queue import CommandQueue, QueuedCommand
+from .command_sender import CommandSender
 from .listener import ConnectionListener
-from .protocol import WORDS_PER_RESPONSE
+from .response_reader import ResponseReader
 
 log = structlog.get_logger()
-MAX_WORD_BYTES = 8_192  # a page has 6,000 at most
 MAX_UNREAD_BYTES = 1_048_576
 MAX_UNWRITTEN_BYTES = 1_048_576
+MAX_RETIRED_IDS = 512
 MAX_BACKLOG_BYTES = 262_144  # with more unsent bytes, the connection accepts no attempt
-MAX_DEFERRALS = 3  # times that an attempt waits for its client's input
-RESPONSE_STALL_TIMEOUT = 0.5  # seconds without a byte of a partial response; nodes write one at once
-RESPONSE_TIMEOUT = 1.0  # seconds from the first byte of a partial response to its last
 STALL_TIMEOUT = 0.5  # seconds
 LINGER_TIMEOUT = 0.25  # seconds
 
@@ -36,7 +30,7 @@
     """Sends commands and receives responses. What the stream does not have yet can still be withdrawn.
 
     Args:
-        listener: told what happens.
+        listener: notified of what happens.
         engine: the compute node's id.
         address: the compute node's.
         connect_timeout: seconds.
@@ -57,17 +51,14 @@
         self.address = address
         self.attempts: dict[bytes, UpstreamAttempt] = {}
         self.probes: dict[bytes, float] = {}  # start times by tag
-        # Request ids of attempts that ended without a result: a late response must not pass for another's.
-        self.retired_ids: set[bytes] = set()
         self.is_established = False
         self.last_response_at = now
         self.idle_since = now
         self._listener = listener
+        self._retired_ids: set[bytes] = set()  # of attempts that ended without a result
         self._connect_timeout = connect_timeout
-        self._response_started_at = now
-        self._last_byte_at = now
-        self._commands = CommandQueue()
-        self._parser = RespParser(WORDS_PER_RESPONSE, MAX_WORD_BYTES)
+        self._sender = CommandSender(self, listener)
+        self._reader = ResponseReader(now)
 
     @property
     def has_pending_work(self) -> bool:
@@ -83,90 +74,37 @@
         """Whether it may carry one more attempt under an id."""
         # The stream knows of a break before the reader's turn comes: its write buffer is gone by then.
         is_usable = self.lifecycle.accepts_work and not self.stream.closed()
-        is_new_id = request_id not in self.attempts and request_id not in self.retired_ids
+        is_new_id = request_id not in self.attempts and request_id not in self._retired_ids
         has_free_stream = len(self.attempts) < max_streams
         return is_usable and has_free_stream and is_new_id and self.backlog <= MAX_BACKLOG_BYTES
 
-    # --- writing ---
+    def execute(self, attempt: UpstreamAttempt, command: bytes) -> None:
+        """Begin an attempt."""
+        self.attempts[attempt.statement.id] = attempt
+        self.enqueue(command, attempt)
+
+    def probe(self, tag: bytes, command: bytes) -> None:
+        """Begin a probe."""
+        self.probes[tag] = self.loop.time()
+        self.enqueue(command)
 
     def enqueue(self, data: bytes, attempt: UpstreamAttempt | None = None) -> None:
         """Send a command at the end of this turn of the loop, in one write with all others of the turn."""
-        self._commands.append(QueuedCommand(data, attempt))
+        self._sender.enqueue(data, attempt)
         self.schedule_flush()
 
     def withdraw(self, attempt: UpstreamAttempt) -> None:
         """Drop the queued command of an attempt."""
-        self._commands.withdraw(attempt)
+        self._sender.withdraw(attempt)
 
     @property
     def has_queued_output(self) -> bool:
         """Whether commands wait to be handed to the stream."""
-        return bool(self._commands) and not self.stream.closed()
+        return self._sender.has_queued and not self.stream.closed()
 
     def flush(self) -> None:
-        """Hand over what is queued, unless the compute node leaves unread what went before.
-
-        Guards against attempts that a client cancels while the compute node does not read: what is queued
-        here can be withdrawn, what the stream has cannot; and against more at once than the stream may hold.
-        """
-        if not self.stream.writing():
-            self._defer_withdrawable()
-        while self._commands.has_ready and not self.stream.writing():
-            if self.stream.peek() == b"":
-                # Its compute node has closed it and only the loop does not know yet: an attempt sent now
-                # would count as one that may have run.
-                self.handle_event(Event.EOF, "closed by the compute node")
-                return
-            if not self._send_batch(self._commands.take_batch(READ_CHUNK_BYTES)):
-                return
-
-    def _defer_withdrawable(self) -> None:
-        """Defer attempts whose client may have cancelled them, until its input has been processed.
-
-        Guards against an attempt that begins after its client has gone because the loop was late to read it.
-        A client that never pauses defers its own attempts by a few turns of the loop, no longer.
-        """
-        deferred = self._commands.defer(self._may_be_withdrawn)
-        for attempt in deferred:
-            attempt.deferral_count += 1
-        if deferred:
-            # The input is read in the second turn, reported to the dispatcher and acted on by the fourth.
-            self.call_after_pending_input(
-                functools.partial(self.call_after_pending_input, self._requeue_deferred)
-            )
-
-    @staticmethod
-    def _may_be_withdrawn(attempt: UpstreamAttempt) -> bool:
-        if attempt.deferral_count >= MAX_DEFERRALS:
-            return False
-        # Answered: its client has gone, and the dispatcher is stepped later in this turn.
-        return attempt.request.answered or response_sink(attempt.request).has_unprocessed_input
-
-    def _requeue_deferred(self) -> None:
-        self._commands.requeue_deferred()
-        self._flush_and_settle()
-
-    def _send_batch(self, batch: list[QueuedCommand]) -> bool:
-        """Send commands in one write; false where the connection has broken."""
-        offset = self.stream.bytes_accepted
-        now = self.loop.time()
-        for command in batch:
-            offset += len(command.data)
-            attempt = command.attempt
-            if attempt is not None and not attempt.sent_at:
-                attempt.sent_at = now
-                attempt.end_offset = offset
-        is_written = self.write_to_stream(b"".join(command.data for command in batch))
-        if is_written and not self.stream.closed():
-            return True
-        # It broke at this write, or unseen before it. What was not sent whole ends at once; responses that
-        # arrived before the break are still the reader's.
-        for command in batch:
-            if command.attempt is not None and not command.attempt.may_have_run:
-                self._listener.on_attempt_ended(command.attempt, Outcome.CONNECT_FAILED)
-        return False
-
-    # --- reading ---
+        """Hand over what is queued, as far as the compute node reads it."""
+        self._sender.flush()
 
     async def connect(self) -> None:
         """Establish the connection.
@@ -189,11 +127,7 @@
     def receive(self, data: bytes) -> None:
         """Act on bytes that were read."""
         now = self.loop.time()
-        self._last_byte_at = now
-        begins_response = not self._parser.has_partial_array
-        responses, error = self._parser.feed(data)
-        if begins_response or responses:
-            self._response_started_at = now
+        responses, error = self._reader.feed(data, now)
         for words in responses:
             if not self.lifecycle.processes_input:
                 return
@@ -206,23 +140,27 @@
         """Close it where a response has stopped short, or nothing has happened for long."""
         if not self.lifecycle.processes_input:
             return
-        if self._parser.has_partial_array:
-            # Guards against a response that trickles: each byte would extend a timeout since the last, and
-            # all others on the connection wait behind it. Where the loop was late, its rest may be there.
-            is_stalled = now > self._last_byte_at + RESPONSE_STALL_TIMEOUT
-            is_late = now > self._response_started_at + RESPONSE_TIMEOUT
-            if (is_stalled or is_late) and not self.has_unprocessed_input:
+        if self._reader.has_partial_response:
+            # Where the loop was late, the rest of the response may have arrived unread.
+            if self._reader.is_overdue(now) and not self.has_unprocessed_input:
                 self.abort("partial response timed out")
         elif not self.has_pending_work and now > self.idle_since + idle_timeout:
             self.drain("idle")
 
-    # --- ending ---
-
     def release(self, attempt: UpstreamAttempt) -> None:
         """Forget an attempt that has ended."""
         self.attempts.pop(attempt.statement.id, None)
         self.settle_if_idle()
 
+    def retire(self, attempt: UpstreamAttempt) -> None:
+        """Accept no further attempt under this one's id: a late response could pass for the other's."""
+        self._retired_ids.add(attempt.statement.id)
+
+    @property
+    def needs_replacement(self) -> bool:
+        """Whether so many ids are retired that a new connection should replace it."""
+        return len(self._retired_ids) > MAX_RETIRED_IDS
+
     def end_probe(self, tag: bytes) -> float:
         """Forget a probe that has ended; returns when it began."""
         return self.probes.pop(tag)
@@ -239,7 +177,7 @@
             engine = self.engine.decode("utf-8", "replace")
             log.info("upstream connection lost", engine=engine, attempts=len(self.attempts), reason=why)
         self._listener.on_connection_closed(self)
-        self._commands.clear()
+        self._sender.clear()
         is_broken = event in (Event.BROKEN, Event.EOF)
         unsent_outcome = Outcome.CONNECT_FAILED if is_broken else Outcome.NOT_SENT
         for attempt in list(self.attempts.values()):
--- a/saffronlane/platform/upstream/pool.py
+++ b/saffronlane/platform/upstream/pool.py
@@ -28,8 +28,8 @@
     Args:
         limits: of connections.
         address_of: the address of a compute node by its id; None where it is not listed (any more).
-        shortage: told where the system gives no descriptor.
-        listener: told by the connections what happens.
+        shortage: notified where the system gives no descriptor.
+        listener: notified by the connections.
     """
 
     def __init__(
--- a/saffronlane/platform/upstream/probes.py
+++ b/saffronlane/platform/upstream/probes.py
@@ -35,8 +35,7 @@
         if connection is None:
             self._report(ProbeResult(engine, Outcome.NOT_SENT, 0.0))
             return
-        connection.probes[tag] = self._loop.time()
-        connection.enqueue(protocol.probe_command(tag, with_load_report))
+        connection.probe(tag, protocol.probe_command(tag, with_load_report))
         self._loop.call_later(self._pool.limits.connect_timeout, self._on_timeout, connection, tag)
 
     def on_response(self, connection: UpstreamConnection, words: list[bytes]) -> None:
--- a/saffronlane/platform/upstream/transport.py
+++ b/saffronlane/platform/upstream/transport.py
@@ -19,8 +19,6 @@
 from .probes import EngineProber
 from .response_assembler import ResponseAssembler
 
-MAX_RETIRED_IDS = 512  # on one connection; beyond it, a new connection replaces it
-
 
 class UpstreamTransport:
     """Runs attempts at compute nodes: the executor's transport, and the listener of all connections.
@@ -28,7 +26,7 @@
     Args:
         limits: of connections.
         address_of: the address of a compute node by its id; None where it is not listed (any more).
-        shortage: told where the system gives no descriptor.
+        shortage: notified where the system gives no descriptor.
     """
 
     def __init__(
@@ -60,11 +58,10 @@
             self.on_attempt_ended(attempt, Outcome.NOT_SENT)
             return
         attempt.connection = connection
-        connection.attempts[statement.id] = attempt
         deadline = attempt.started + effect.timeout
         attempt.timeout_timer = self._loop.call_at(deadline, self._on_timeout, attempt)
         command = protocol.execute_command(statement, effect.timeout, effect.grant_mb)
-        connection.enqueue(command, attempt)
+        connection.execute(attempt, command)
 
     def cancel(self, attempt: Attempt) -> None:
         """Stop an attempt at its compute node."""
@@ -161,7 +158,7 @@
         elapsed = self._loop.time() - (attempt.sent_at or attempt.started)
         connection = attempt.connection
         if connection is not None and attempt.sent_at and outcome is not Outcome.OK:
-            connection.retired_ids.add(attempt.statement.id)
+            connection.retire(attempt)
         self._executor.done(attempt, outcome, elapsed, attempt.work_s, attempt.memory_mb)
         if connection is not None:
             connection.release(attempt)
@@ -197,5 +194,5 @@
         has_response = connection.last_response_at > attempt.sent_at
         if not has_response and waited > self.pool.limits.connect_timeout:
             connection.drain("unresponsive")
-        elif len(connection.retired_ids) > MAX_RETIRED_IDS:
+        elif connection.needs_replacement:
             connection.drain("too many retired ids")
