--- a/tests/node/test_answers.py
+++ b/tests/node/test_answers.py
@@ -127,12 +127,12 @@
         data = encode_command(name, b"DONE", b"sheets=1,toil=5,room=7", ROWS)
         (link,) = built.node.links.pool.connections_by_engine[b"node-0"]
         peer.raw(data[:20])
-        await built.until(lambda: link._parser.has_partial_array)
+        await built.until(lambda: link._reader.has_partial_response)
         peer.raw(data[20:])  # leaves at once, in this turn of the loop
         link.check_timeouts(link.loop.time() + 1.5, 30.0)
         assert await client.answer(msgid) == (None, [ROWS, {}])
         assert told == [Outcome.OK]
-        link._parser.feed(b"*4")  # and one whose rest is not there has
+        link._reader._parser.feed(b"*4")  # and one whose rest is not there has
         link.check_timeouts(link.loop.time() + 1.5, 30.0)
         assert link.lifecycle.is_closed
 
