--- a/saffronlane/platform/downstream/client_connection.py
+++ b/saffronlane/platform/downstream/client_connection.py
@@ -203,7 +203,7 @@
         self._fault_replies.flush()
         super().drain(why)
 
-    def move(self, event: Event, why: str) -> None:
+    def handle_event(self, event: Event, why: str) -> None:
         """Apply a lifecycle event."""
         super().handle_event(event, why)
         if not (self.lifecycle.accepts_work or self.lifecycle.is_closed):
--- a/saffronlane/platform/downstream/reply_channel.py
+++ b/saffronlane/platform/downstream/reply_channel.py
@@ -34,15 +34,15 @@
         self.request_id = request_id
 
     @property
-    def unread(self) -> bool:
+    def has_unprocessed_input(self) -> bool:
         """Whether the client has sent something that was not acted on."""
         return self.client.has_unprocessed_input
 
-    def served(self, body: bytes) -> None:
+    def send_result(self, body: bytes) -> None:
         """Reply with a result."""
         self.client.answer(self, rpc.Reply(self.message_id, None, {}, body))
 
-    def refused(self, retry_after: float) -> None:
+    def send_rejection(self, retry_after: float) -> None:
         """Reply that the request was rejected; `retry_after`: seconds, 0 where there is no advice."""
         fields = {}
         if retry_after > 0.0:
@@ -50,6 +50,6 @@
             fields[RETRY_AFTER_MS_FIELD] = str(retry_after_ms)
         self.client.answer(self, rpc.Reply(self.message_id, REJECTED_ERROR, fields))
 
-    def failed(self, why: str) -> None:
+    def send_failure(self, why: str) -> None:
         """Reply that the request failed."""
         self.client.answer(self, rpc.Reply(self.message_id, FAULT_ERROR, {}))
--- a/saffronlane/platform/upstream/transport.py
+++ b/saffronlane/platform/upstream/transport.py
@@ -20,8 +20,6 @@
 from .probes import EngineProber
 from .response_assembler import ResponseAssembler
 
-MAX_RETIRED_IDS = 512  # on one connection; beyond it, a new connection replaces it
-
 
 class UpstreamTransport:
     """Runs attempts at compute nodes: the executor's transport, and the listener of all connections.
@@ -29,7 +27,7 @@
     Args:
         limits: of connections.
         address_of: the address of a compute node by its id; None where it is not listed (any more).
-        descriptor_exhaustion: told where the system gives no descriptor.
+        descriptor_exhaustion: notified where the system gives no descriptor.
     """
 
     def __init__(
@@ -64,11 +62,10 @@
             self.on_attempt_ended(attempt, Outcome.NOT_SENT)
             return
         attempt.connection = connection
-        connection.attempts[statement.request_id] = attempt
         deadline = attempt.started_at + effect.timeout
         attempt.timeout_timer = self._loop.call_at(deadline, self._on_timeout, attempt)
         command = protocol.execute_command(statement, effect.timeout, effect.grant_mb)
-        connection.enqueue(command, attempt)
+        connection.execute(attempt, command)
 
     def cancel(self, attempt: Attempt) -> None:
         """Stop an attempt at its compute node."""
@@ -165,7 +162,7 @@
         elapsed = self._loop.time() - (attempt.sent_at or attempt.started_at)
         connection = attempt.connection
         if connection is not None and attempt.sent_at and outcome is not Outcome.OK:
-            connection.retired_ids.add(attempt.statement.request_id)
+            connection.retire(attempt)
         self._executor.finish_attempt(attempt, outcome, elapsed, attempt.work_s, attempt.memory_mb)
         if connection is not None:
             connection.release(attempt)
@@ -201,5 +198,5 @@
         has_response = connection.last_response_at > attempt.sent_at
         if not has_response and waited > self.pool.limits.connect_timeout:
             connection.drain("unresponsive")
-        elif len(connection.retired_ids) > MAX_RETIRED_IDS:
+        elif connection.needs_replacement:
             connection.drain("too many retired ids")
--- a/tests/node/test_closing.py
+++ b/tests/node/test_closing.py
@@ -83,7 +83,7 @@
             client.send(call(2, rid=rid(2)))
             shut(one)
 
-        monkeypatch.setattr(stream.Stream, "shut_write", cross)
+        monkeypatch.setattr(stream.Stream, "shutdown_write", cross)
         data, reset = await client.rest()
         assert not reset and [told[1] for told in messages(data)] == [1]
         await built.until(lambda: not front.clients)
@@ -382,7 +382,7 @@
                     one.stream._handle_events(one.stream.fileno(), IOLoop.READ)
             pour(link)
 
-        monkeypatch.setattr(UpstreamConnection, "pour", cross)
+        monkeypatch.setattr(UpstreamConnection, "flush", cross)
         client.send(call(1, rid=rid(1)))
         await built.until(lambda: crossed and not built.tables()["open"])
         other = await built.client()
@@ -500,11 +500,11 @@
         front, links = built.node.downstream, built.node.links
         client = await built.client()
         assert (await client.answer(client.call("ask", rid(1))))[0] is None
-        (link,) = links.connections_by_engine[b"node-0"]
+        (link,) = links.pool.connections_by_engine[b"node-0"]
         first = SyncClient(front.port)
         await built.until(lambda: len(front.clients) == 2)
         struck = [list(front.clients)[1], link]
-        for kind, name in ((connection.ClientConnection, "check_timeouts"), (UpstreamConnection, "look")):
+        for kind, name in ((connection.ClientConnection, "check_timeouts"), (UpstreamConnection, "check_timeouts")):
             real = getattr(kind, name)
 
             def look(one: Any, *told: Any, real: Any = real) -> None:
@@ -578,7 +578,7 @@
                 client.send(call(sent[-1], rid=rid(sent[-1])))
             pour(link)
 
-        monkeypatch.setattr(UpstreamConnection, "pour", cross)
+        monkeypatch.setattr(UpstreamConnection, "flush", cross)
         client.send(call(1, rid=rid(1)))
         await built.until(
             lambda: built.node.downstream.request_count == 20 and not any(built.tables().values())
@@ -608,7 +608,7 @@
                     flood.send(data)  # the next bytes are there before these are done with
                 turns.append(len(turns))
 
-            monkeypatch.setattr(type(one), "take", more)
+            monkeypatch.setattr(type(one), "receive", more)
             others: list[int] = []
 
             def other() -> None:
--- a/tests/node/test_sigterm.py
+++ b/tests/node/test_sigterm.py
@@ -50,7 +50,7 @@
         return look(max(now, after + NEW_REQUEST_WINDOW) if crossed else min(now, before + 0.5), debts)
 
     monkeypatch.setattr(shutdown.asyncio, "sleep", last)
-    monkeypatch.setattr(process, "look", decide)
+    monkeypatch.setattr(process, "advance", decide)
     before = loop.time()
     built.node.stop()
     after = loop.time()
