--- a/tests/node/test_bad_clients.py
+++ b/tests/node/test_bad_clients.py
@@ -265,7 +265,10 @@
 
     def one(asked: int, quiet_since: float) -> Any:
         return Resting(
-            request_count=asked, idle_since=quiet_since, is_idle=True, lifecycle=SimpleNamespace(accepts_work=True)
+            request_count=asked,
+            idle_since=quiet_since,
+            is_idle=True,
+            lifecycle=SimpleNamespace(accepts_work=True),
         )
 
     room = EvictionOrder(10)
--- a/tests/node/test_closing.py
+++ b/tests/node/test_closing.py
@@ -504,7 +504,10 @@
         first = SyncClient(front.port)
         await built.until(lambda: len(front.clients) == 2)
         struck = [list(front.clients)[1], link]
-        for kind, name in ((connection.ClientConnection, "check_timeouts"), (UpstreamConnection, "check_timeouts")):
+        for kind, name in (
+            (connection.ClientConnection, "check_timeouts"),
+            (UpstreamConnection, "check_timeouts"),
+        ):
             real = getattr(kind, name)
 
             def look(one: Any, *told: Any, real: Any = real) -> None:
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -237,7 +237,9 @@
             "held": len(gateway.pending.queued),
             "ids": len(node.downstream.open_request_ids),
             "open": sum(
-                len(link.attempts) for links in node.links.pool.connections_by_engine.values() for link in links
+                len(link.attempts)
+                for links in node.links.pool.connections_by_engine.values()
+                for link in links
             ),
         }
 
--- a/tests/test_folder.py
+++ b/tests/test_folder.py
@@ -6,11 +6,14 @@
 import json
 import os
 import shutil
+import sys
 import threading
 from collections.abc import Iterator
 from pathlib import Path
+from unittest.mock import patch
 
 import pytest
+import structlog
 from click.testing import CliRunner
 from gateways import House
 from test_flight import connect
@@ -25,6 +28,14 @@
 KEPT = {"knowledge": {"folder": "kept"}}
 
 
+@pytest.fixture(autouse=True)
+def logs_apart() -> Iterator[None]:
+    """Logs of the gateway in this process go to a stream of their own, never into a command's output."""
+    structlog.configure(logger_factory=structlog.PrintLoggerFactory(file=sys.__stderr__))
+    yield
+    structlog.reset_defaults()
+
+
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
     return tmp_path / "kept"
@@ -188,7 +199,9 @@
 
 
 def run(*words: object) -> tuple[int, str]:
-    result = CliRunner().invoke(main, ["knowledge", *map(str, words)])
+    """Run a command; the logs of the gateway in this process stay out of its output."""
+    with patch("saffronlane.logging_setup.set_up"):
+        result = CliRunner().invoke(main, ["knowledge", *map(str, words)])
     return result.exit_code, result.output
 
 
