--- a/saffronlane/purge_requests.py
+++ b/saffronlane/purge_requests.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import json
-import os
 from collections.abc import Iterable
 from pathlib import Path
 
@@ -21,7 +20,7 @@
     request = directory / PURGE_REQUEST_NAME
     temporary = directory / f"{PURGE_REQUEST_NAME}.new"
     temporary.write_text(json.dumps([category.value for category in categories]))
-    os.replace(temporary, request)
+    temporary.replace(request)
     return request
 
 
--- a/saffronlane/storage/__init__.py
+++ b/saffronlane/storage/__init__.py
@@ -9,10 +9,10 @@
 
 __all__ = [
     "Change",
-    "Entry",
-    "Files",
     "DirectoryBusyError",
     "DirectoryLock",
+    "Entry",
+    "Files",
     "Handle",
     "RealFiles",
     "Recovery",
--- a/tests/node/test_closing.py
+++ b/tests/node/test_closing.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import itertools
 import socket
 from typing import Any
 
@@ -209,7 +210,7 @@
 
     async def work(built: World) -> None:
         front = built.node.downstream
-        async with slow_client(built, 10) as (client, one):
+        async with slow_client(built, 10):
             await built.until(lambda: not front.clients, 3.0)
 
     play(work, paged(page, 7))
@@ -622,7 +623,7 @@
             other()
             flood.send(data)
             await built.until(lambda: len(turns) > 200)
-            assert max(b - a for a, b in zip(others, others[1:], strict=False)) <= 3
+            assert max(b - a for a, b in itertools.pairwise(others)) <= 3
             flood.close()
 
     asyncio.run(work())
--- a/tests/node/test_ends.py
+++ b/tests/node/test_ends.py
@@ -113,6 +113,7 @@
     path.write_text(json.dumps(config_text([], 9, listen="nowhere")))
     done = subprocess.run(
         [sys.executable, "-m", "saffronlane.platform"],
+        check=False,
         env=os.environ | {"BALANCER_CONFIG": str(path)},
         capture_output=True,
         text=True,
--- a/tests/node/test_sigterm.py
+++ b/tests/node/test_sigterm.py
@@ -239,7 +239,7 @@
 
     async def work(built: World) -> None:
         node, loop = built.node, asyncio.get_running_loop()
-        async with slow_client(built, 10) as (client, one):
+        async with slow_client(built, 10) as (client, _):
             node.stop()
             await asyncio.sleep(1.5)
             assert node.process.phase is Phase.DRAINING
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -263,7 +263,7 @@
 def test_an_attempt_recalled_before_it_left_is_moot() -> None:
     async def work() -> None:
         peer = Peer({"GetFlightInfo": info, "DoGet": empty})
-        number, answer = peer.ask()
+        number, _ = peer.ask()
         # The drain is told in the turn in which the attempt starts: nothing of it may leave.
         peer.executor._step()
         entry = api.EngineEntry(b"engine", api.EngineState.DRAINING)
--- a/tests/test_selectors.py
+++ b/tests/test_selectors.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import itertools
 import re
 from datetime import UTC, date, datetime, timedelta
 from zoneinfo import ZoneInfo
@@ -129,7 +130,7 @@
     stretches = list(plan(windows, local("2026-12-04T12:00:00"), days=1.0))
     assert [s.on for s in stretches] == [(), ("night",), ("night", "gala"), ("gala",), ()]
     assert stretches[2].conflicts == ("weight of museums/night: gala overrides night",)
-    for before, after in zip(stretches, stretches[1:], strict=False):
+    for before, after in itertools.pairwise(stretches):
         assert before.end == after.begin
 
 
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -190,7 +190,7 @@
     driver.now += 0.5
     driver.end(second, Outcome.REJECTED)
     driver.end(first, Outcome.NOT_SENT, attempt=1)
-    assert list(driver.gateway.completion.retry_policy.budget.retries)[0] == 111.5
+    assert next(iter(driver.gateway.completion.retry_policy.budget.retries)) == 111.5
 
 
 def test_failed_subscription_is_retried() -> None:
