--- a/saffronlane/learned_state/purge.py
+++ b/saffronlane/learned_state/purge.py
@@ -53,11 +53,7 @@
 
 def _reset_health(gateway: Gateway) -> None:
     for engine in gateway.fleet.engines.values():
-        engine.failure_ratio = 0.0
-        engine.last_outcome_at = -math.inf
-        engine.last_rejection_at = -math.inf
-        engine.is_ejected = False
-        engine.is_unresponsive = False
+        engine.reset_health()
     gateway.outlier_detector.update_panic_mode()
 
 
