--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -49,7 +49,7 @@
 
 def measure(nodes: int) -> None:
     """In a process of its own, so that the memory is this size's."""
-    from saffronlane import dispatch as d
+    from saffronlane import dispatch
     from saffronlane import gossip_messages as messages
     from saffronlane import interface as api
     from saffronlane.platform.config import EndpointList, ListedEngine, parse_config
@@ -60,7 +60,7 @@
     began = time.process_time()
     read = parse_config(data)
     fleet = EndpointTable(read.settings, time.monotonic, time.time)
-    core = d.Dispatcher(read.settings, read.seed)
+    core = dispatch.Dispatcher(read.settings, read.seed)
     for members in read.known_events:
         core.step(0.0, [fleet.apply(members)[0]])
     start = time.process_time() - began
@@ -83,11 +83,11 @@
             now += 0.01
             number = core.new_request()
             effects = core.step(
-                now, [d.Submit(number, 0, 4.0, estimated_cost=0.1, table_group=float(n % tables))]
+                now, [dispatch.Submit(number, 0, 4.0, estimated_cost=0.1, table_group=float(n % tables))]
             )
             for effect in effects:
-                if isinstance(effect, d.StartAttempt):
-                    done = d.AttemptDone(number, effect.attempt, api.Outcome.OK, 0.1, 0.1)
+                if isinstance(effect, dispatch.StartAttempt):
+                    done = dispatch.AttemptDone(number, effect.attempt, api.Outcome.OK, 0.1, 0.1)
                     core.step(now, [done])
         return (time.process_time() - began) / count
 
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -25,7 +25,7 @@
 import numpy as np
 from msgspec.structs import replace as with_fields
 
-from saffronlane import dispatch as d
+from saffronlane import dispatch
 from saffronlane import interface as api
 from saffronlane.lab.model import EngineShape, Machine, Run
 from saffronlane.learned_state import PersistedState, Timestamp
@@ -100,8 +100,8 @@
         self.order = itertools.count()
         self.looks: dict[int, float] = {}
         self.folders: list[Folder] = [{} for _ in range(GATEWAYS)]
-        self.cores: list[d.Dispatcher | None] = [None] * GATEWAYS
-        self.inputs: list[list[d.Input]] = [[] for _ in range(GATEWAYS)]
+        self.cores: list[dispatch.Dispatcher | None] = [None] * GATEWAYS
+        self.inputs: list[list[dispatch.Input]] = [[] for _ in range(GATEWAYS)]
         self.out: dict[tuple[int, int, int], Running] = {}
         self.asked: dict[tuple[int, int], tuple[float, int, float]] = {}  # when, class, work
         self.worth: list[tuple[float, float, float]] = []  # when asked, asked for, earned
@@ -180,7 +180,9 @@
         engine = self.engines[number]
         engine.machine.advance(self.now)
         for one in engine.running.values():
-            note = d.AttemptProgress(one.request, one.attempt, api.ProgressKind.PROGRESS, one.run.progress)
+            note = dispatch.AttemptProgress(
+                one.request, one.attempt, api.ProgressKind.PROGRESS, one.run.progress
+            )
             self.inputs[one.gateway].append(note)
         self.look_at(number)
         self.at(self.now + NOTES, lambda: self.note(number))
@@ -197,7 +199,7 @@
         told = one.run.work if outcome is api.Outcome.OK else 0.0
         report = (float(len(engine.machine.running)),)
         elapsed = self.now - one.began
-        done = d.AttemptDone(one.request, one.attempt, outcome, elapsed, told, 0.0, report)
+        done = dispatch.AttemptDone(one.request, one.attempt, outcome, elapsed, told, 0.0, report)
         self.inputs[one.gateway].append(done)
 
     # --- gateways ---
@@ -205,7 +207,7 @@
     def start(self, number: int, folder: Folder, wall: float) -> None:
         memory = PersistedState(tuple(folder.items()), Timestamp(self.now, wall, "boot", "place"))
         settings = replace(SETTINGS, gateway_index=number)
-        core = self.cores[number] = d.Dispatcher(
+        core = self.cores[number] = dispatch.Dispatcher(
             settings, self.seed, persisted_state=memory, is_persistent=True
         )
         self.folders[number] = folder
@@ -239,7 +241,7 @@
         request = core.new_request()
         self.asked[gateway, request] = (self.now, cls, work)
         self.worth.append((self.now, settings.priority_weight, 0.0))
-        self.inputs[gateway].append(d.Submit(request, cls, settings.deadline, table_group=tables))
+        self.inputs[gateway].append(dispatch.Submit(request, cls, settings.deadline, table_group=tables))
 
     def answer(self, gateway: int, request: int, served: bool) -> None:
         asked = self.asked.pop((gateway, request), None)
@@ -257,18 +259,18 @@
             return
         inputs, self.inputs[number] = self.inputs[number], []
         for effect in core.step(self.now, inputs):
-            if isinstance(effect, d.StartAttempt):
+            if isinstance(effect, dispatch.StartAttempt):
                 self.send(number, effect)
-            elif isinstance(effect, d.CancelAttempt):
+            elif isinstance(effect, dispatch.CancelAttempt):
                 one = self.out.get((number, effect.request, effect.attempt))
                 if one is not None:
                     self.end(one, api.Outcome.CANCELLED)
-            elif isinstance(effect, d.Persist):
+            elif isinstance(effect, dispatch.Persist):
                 self.write(number, effect.changes)
-            elif isinstance(effect, d.CompleteRequest | d.RejectRequest | d.FailRequest):
-                self.answer(number, effect.request, isinstance(effect, d.CompleteRequest))
+            elif isinstance(effect, dispatch.CompleteRequest | dispatch.RejectRequest | dispatch.FailRequest):
+                self.answer(number, effect.request, isinstance(effect, dispatch.CompleteRequest))
 
-    def send(self, number: int, effect: d.StartAttempt) -> None:
+    def send(self, number: int, effect: dispatch.StartAttempt) -> None:
         target = int(effect.engine[1:])
         engine = self.engines[target]
         _, cls, work = self.asked.get((number, effect.request), (0.0, 0, 0.01))
@@ -279,7 +281,7 @@
         if engine.state is api.EngineState.REMOVED or broken:
             one.ended = True
             del self.out[number, effect.request, effect.attempt]
-            done = d.AttemptDone(effect.request, effect.attempt, api.Outcome.RESET, 0.01)
+            done = dispatch.AttemptDone(effect.request, effect.attempt, api.Outcome.RESET, 0.01)
             self.inputs[number].append(done)
             return
         engine.running[id(run)] = one
--- a/benchmarks/step.py
+++ b/benchmarks/step.py
@@ -8,13 +8,13 @@
 import time
 from random import Random
 
-from saffronlane import dispatch as d
+from saffronlane import dispatch
 from saffronlane import interface as api
 
 QUERIES = 3_000
 
 
-def fleet(engines: int, gateways: int) -> d.Dispatcher:
+def fleet(engines: int, gateways: int) -> dispatch.Dispatcher:
     settings = api.Settings(
         classes=(api.ClassSettings("lookup", 1.0, 30.0), api.ClassSettings("report", 3.0, 60.0, threads=4)),
         machine_types=(api.MachineType("any", 8.0, 32_768.0),),
@@ -25,7 +25,7 @@
         reports_work=True,
         progress_interval=1.0,
     )
-    core = d.Dispatcher(settings, 1)
+    core = dispatch.Dispatcher(settings, 1)
     entries = tuple(api.EngineEntry(b"e%d" % n, api.EngineState.READY) for n in range(engines))
     core.step(0.0, [api.EndpointListUpdate(api.EndpointListMode.FULL, 1, entries)])
     return core
@@ -38,13 +38,15 @@
     for _ in range(QUERIES):
         now += 0.002
         request = core.new_request()
-        submit = d.Submit(request, int(random.random() < 0.15), 20.0, table_group=float(random.randrange(50)))
+        submit = dispatch.Submit(
+            request, int(random.random() < 0.15), 20.0, table_group=float(random.randrange(50))
+        )
         effects = core.step(now, [submit])
-        out += [e for e in effects if isinstance(e, d.StartAttempt)]
+        out += [e for e in effects if isinstance(e, dispatch.StartAttempt)]
         if len(out) > 20:
             done = out.pop(0)
-            end = d.AttemptDone(done.request, done.attempt, api.Outcome.OK, 0.05, 0.05, 10.0, (3.0,))
-            out += [e for e in core.step(now, [end]) if isinstance(e, d.StartAttempt)]
+            end = dispatch.AttemptDone(done.request, done.attempt, api.Outcome.OK, 0.05, 0.05, 10.0, (3.0,))
+            out += [e for e in core.step(now, [end]) if isinstance(e, dispatch.StartAttempt)]
     return (time.perf_counter() - began) / QUERIES * 1e6
 
 
@@ -52,10 +54,10 @@
     """Milliseconds a step while so many queries are held."""
     core = fleet(engines, 1)
     core.gateway.concurrency_limit.limit = 20.0
-    core.step(1.0, [d.Submit(core.new_request(), n % 2, 30.0) for n in range(number)])
+    core.step(1.0, [dispatch.Submit(core.new_request(), n % 2, 30.0) for n in range(number)])
     began = time.perf_counter()
     for n in range(20):
-        core.step(1.0 + n / 100, [d.Submit(core.new_request(), 0, 30.0)])
+        core.step(1.0 + n / 100, [dispatch.Submit(core.new_request(), 0, 30.0)])
     return (time.perf_counter() - began) / 20 * 1e3
 
 
--- a/saffronlane/config/settings.py
+++ b/saffronlane/config/settings.py
@@ -261,10 +261,10 @@
         ),
         limits=api.Limits(
             can_cancel=limits.get("cancel", True),
-            hedged_requests=limits.get("second_copies", False),
-            load_probes=limits.get("probing", False),
+            hedged_requests_enabled=limits.get("second_copies", False),
+            load_probes_enabled=limits.get("probing", False),
             load_probe_price=limits.get("probe_price", 0.0),
-            gossip=limits.get("peers", False),
+            gossip_enabled=limits.get("peers", False),
             sends_retry_after=limits.get("retry_after", True),
             max_attempts=limits.get("max_attempts", 3),
             max_retry_after=limits.get("max_retry_after_s", 5.0),
--- a/saffronlane/daemon.py
+++ b/saffronlane/daemon.py
@@ -11,7 +11,7 @@
 
 import structlog
 
-from . import dispatch as d
+from . import dispatch
 from .config import Config, EngineRecord
 from .dispatch.recording import RecordingWriter
 from .engines import Executor
@@ -48,7 +48,7 @@
             self._record = path.open("wb")
             recording = RecordingWriter(self._record, config.settings, seed, config.most_owed, memory)
         self.view = View(self._loop.time, time.time)
-        self.dispatcher = d.Dispatcher(
+        self.dispatcher = dispatch.Dispatcher(
             config.settings, seed, recording, config.most_owed, memory, is_persistent=memory is not None
         )
         http = ConnectionLimits(max_streams=config.max_streams, keepalive_after=config.keepalive)
@@ -94,8 +94,8 @@
         """Listen. OSError where the address cannot be had."""
         if self.folder is not None:
             self.folder.unsaved_count = lambda: self.executor.non_durable_count
-            self.folder.on_attach = lambda memory: self.executor.feed(d.AttachLearnedState(memory))
-            self.folder.on_purge = lambda what: self.executor.feed(d.PurgeLearnedState(what))
+            self.folder.on_attach = lambda memory: self.executor.feed(dispatch.AttachLearnedState(memory))
+            self.folder.on_purge = lambda what: self.executor.feed(dispatch.PurgeLearnedState(what))
             self.folder.start(self.dispatcher)
         if not self.source.look():
             log.warning("no engine list yet", file=str(self.config.engine_file))
@@ -124,11 +124,11 @@
 
     async def _drain(self) -> None:
         """Refuse what is new, let what runs end, and give every client its answer before the end."""
-        self.executor.feed(d.BeginDrain(self.config.grace))
+        self.executor.feed(dispatch.BeginDrain(self.config.grace))
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self.config.grace):
                 await self._nothing_owed()
-        self.executor.feed(d.FinishDrain())
+        self.executor.feed(dispatch.FinishDrain())
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(LAST_WORDS):
                 await self._nothing_owed()
--- a/saffronlane/dispatch/action_handler.py
+++ b/saffronlane/dispatch/action_handler.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from .. import interface as api
-from . import effects as fx
+from .effects import Effect, FailRequest, RejectRequest, StartAttempt
 from .policy_host import PolicyHost
 from .requests import RequestTable, ResourceGrant
 from .timers import TimerQueue
@@ -24,7 +24,7 @@
     """
 
     def __init__(
-        self, requests: RequestTable, timers: TimerQueue, policy: PolicyHost, effects: list[fx.Effect]
+        self, requests: RequestTable, timers: TimerQueue, policy: PolicyHost, effects: list[Effect]
     ) -> None:
         self._requests = requests
         self._timers = timers
@@ -43,10 +43,10 @@
             case api.Cancel():
                 self._cancel(action)
             case api.Reject():
-                rejection = fx.RejectRequest(action.request, action.retry_after, NO_CAPACITY)
+                rejection = RejectRequest(action.request, action.retry_after, NO_CAPACITY)
                 self._answer(action.request, rejection)
             case api.Fail():
-                self._answer(action.request, fx.FailRequest(action.request, self._failure_reason(action)))
+                self._answer(action.request, FailRequest(action.request, self._failure_reason(action)))
             case _:
                 self._effects.append(action)
 
@@ -57,7 +57,7 @@
             return
         grant = request.take_grant()
         attempt = request.add_attempt(action.engine)
-        effect = fx.StartAttempt(
+        effect = StartAttempt(
             request=request.id,
             attempt=attempt.number,
             engine=action.engine,
@@ -78,7 +78,7 @@
         if found is not None:
             self._requests.cancel(found.request, found.attempt)
 
-    def _answer(self, request_id: int, answer: fx.RejectRequest | fx.FailRequest) -> None:
+    def _answer(self, request_id: int, answer: RejectRequest | FailRequest) -> None:
         request = self._requests.get(request_id)
         if request is not None:
             self._requests.answer(request, answer)
--- a/saffronlane/dispatch/core.py
+++ b/saffronlane/dispatch/core.py
@@ -15,18 +15,18 @@
 from ..learned_state import Checkpointer, PersistedState
 from ..policy import Gateway
 from ..storage import Change
-from . import effects as fx
-from . import inputs as inp
 from .action_handler import ActionHandler
+from .effects import Effect, FailRequest
 from .engine_table import EngineTable
 from .input_handler import InputHandler
+from .inputs import Input
 from .intake import RequestIntake
 from .policy_host import PolicyHost
 from .requests import RequestTable
 from .timers import TimerQueue
 
 MAX_PENDING = 20_000  # requests
-Record = Callable[[float, list[inp.Input], list[fx.Effect]], None]
+Record = Callable[[float, list[Input], list[Effect]], None]
 
 
 class Dispatcher:
@@ -55,7 +55,7 @@
         self._record = record
         self._now = -math.inf
         self._next_request = 1
-        self._effects: list[fx.Effect] = []  # of the present step; shared by all parts
+        self._effects: list[Effect] = []  # of the present step; shared by all parts
         self._timers = TimerQueue()
         self._engines = EngineTable()
         self._requests = RequestTable(self._effects, settings.limits.can_cancel)
@@ -119,7 +119,7 @@
         """Return all changes of the learned state that have not been emitted, for the end of a run."""
         return self._policy.take_unpersisted_changes()
 
-    def step(self, now: float, inputs: list[inp.Input]) -> list[fx.Effect]:
+    def step(self, now: float, inputs: list[Input]) -> list[Effect]:
         """Take in all that happened up to `now`, in order.
 
         Inputs come before timers, so that an answer counts that falls into one step with its timeout. A clock
@@ -142,7 +142,7 @@
             self._record(self._now, recorded_inputs, effects)
         return effects
 
-    def _collect_events(self, inputs: list[inp.Input]) -> list[api.Event]:
+    def _collect_events(self, inputs: list[Input]) -> list[api.Event]:
         events: list[api.Event] = []
         for item in inputs:
             events += self._inputs.handle(item, self._now)
@@ -166,7 +166,7 @@
         """Fail all requests and go on with a new policy that takes over what was learned."""
         self._policy.record_fault(error)
         for request in list(self._requests):
-            self._requests.answer(request, fx.FailRequest(request.id, "internal fault of the gateway"))
+            self._requests.answer(request, FailRequest(request.id, "internal fault of the gateway"))
             self._requests.release(request)
         self._timers.clear()
         for action in self._policy.restart(self._now, self._engines):
--- a/saffronlane/dispatch/input_handler.py
+++ b/saffronlane/dispatch/input_handler.py
@@ -6,9 +6,20 @@
 
 from .. import interface as api
 from ..state import NEVER_RAN
-from . import effects as fx
-from . import inputs as inp
+from .effects import CompleteRequest, Effect, WithdrawAttempt
 from .engine_table import EngineTable
+from .inputs import (
+    AttachLearnedState,
+    AttemptDone,
+    AttemptProgress,
+    BeginDrain,
+    ClientDisconnected,
+    FinishDrain,
+    Input,
+    PurgeLearnedState,
+    ResultReady,
+    Submit,
+)
 from .intake import RequestIntake
 from .policy_host import PolicyHost
 from .requests import Attempt, Request, RequestTable
@@ -31,7 +42,7 @@
         requests: RequestTable,
         engines: EngineTable,
         policy: PolicyHost,
-        effects: list[fx.Effect],
+        effects: list[Effect],
     ) -> None:
         self._intake = intake
         self._requests = requests
@@ -39,33 +50,33 @@
         self._policy = policy
         self._effects = effects
 
-    def handle(self, event: inp.Input, now: float) -> list[api.Event]:
+    def handle(self, event: Input, now: float) -> list[api.Event]:
         """Apply one input and return what the policy must know of it."""
         match event:
-            case inp.Submit():
+            case Submit():
                 return self._on_submit(event, now)
-            case inp.AttemptDone():
+            case AttemptDone():
                 return self._on_attempt_done(event)
-            case inp.ResultReady():
+            case ResultReady():
                 return self._on_result_ready(event)
-            case inp.AttemptProgress():
+            case AttemptProgress():
                 return self._on_progress(event)
-            case inp.ClientDisconnected():
+            case ClientDisconnected():
                 return self._on_client_disconnected(event)
             case api.EndpointListUpdate():
                 return self._on_endpoint_list(event)
             case api.ProbeResult() | api.PeerMessage():
                 return [event]
-            case inp.PurgeLearnedState():
+            case PurgeLearnedState():
                 self._policy.purge(event.categories)
                 return []
-            case inp.AttachLearnedState():
+            case AttachLearnedState():
                 self._policy.attach(event.persisted_state)
                 return []
-            case inp.BeginDrain():
+            case BeginDrain():
                 self._intake.begin_drain(now, event.grace_period)
                 return []
-            case inp.FinishDrain():
+            case FinishDrain():
                 self._intake.finish_drain(now)
                 return [api.Shutdown()]
             case _:
@@ -73,7 +84,7 @@
 
     # --- requests ---
 
-    def _on_submit(self, event: inp.Submit, now: float) -> list[api.Event]:
+    def _on_submit(self, event: Submit, now: float) -> list[api.Event]:
         request = Request(
             event.request,
             class_index=event.class_index,
@@ -103,7 +114,7 @@
         )
         return [arrival]
 
-    def _on_client_disconnected(self, event: inp.ClientDisconnected) -> list[api.Event]:
+    def _on_client_disconnected(self, event: ClientDisconnected) -> list[api.Event]:
         request = self._requests.get(event.request)
         if request is None or request.is_answered:
             return []
@@ -112,7 +123,7 @@
 
     # --- attempts ---
 
-    def _on_result_ready(self, event: inp.ResultReady) -> list[api.Event]:
+    def _on_result_ready(self, event: ResultReady) -> list[api.Event]:
         found = self._requests.find_in_flight(event.request, event.attempt)
         if found is None:
             return []
@@ -122,7 +133,7 @@
         self._requests.commit(request, attempt)
         return [api.StreamStarted(request.id, attempt.number, attempt.engine)]
 
-    def _on_attempt_done(self, event: inp.AttemptDone) -> list[api.Event]:
+    def _on_attempt_done(self, event: AttemptDone) -> list[api.Event]:
         found = self._requests.find_in_flight(event.request, event.attempt)
         if found is None:
             return []
@@ -144,7 +155,7 @@
         )
         return [ended]
 
-    def _settle(self, request: Request, attempt: Attempt, event: inp.AttemptDone) -> api.Outcome:
+    def _settle(self, request: Request, attempt: Attempt, event: AttemptDone) -> api.Outcome:
         """Answer the request if an ended attempt does, and return the outcome that the policy sees."""
         if request.is_answered:
             self._requests.mark_releasable(request)
@@ -153,17 +164,17 @@
             # Its result may not be used, but that it never ran still permits a retry.
             return event.outcome if event.outcome in NEVER_RAN else api.Outcome.CANCELLED
         if event.outcome is api.Outcome.OK:
-            self._requests.answer(request, fx.CompleteRequest(request.id, attempt.number))
+            self._requests.answer(request, CompleteRequest(request.id, attempt.number))
             return event.outcome
         if event.is_query_fault:
             # Every engine would give this error, so it is the answer. It says nothing of the engine's health
             # or speed; CANCELLED is the outcome that the policy learns nothing from.
-            answer = fx.CompleteRequest(request.id, attempt.number, is_query_fault=True)
+            answer = CompleteRequest(request.id, attempt.number, is_query_fault=True)
             self._requests.answer(request, answer)
             return api.Outcome.CANCELLED
         return event.outcome
 
-    def _on_progress(self, event: inp.AttemptProgress) -> list[api.Event]:
+    def _on_progress(self, event: AttemptProgress) -> list[api.Event]:
         found = self._requests.find_in_flight(event.request, event.attempt)
         if found is None:
             return []
@@ -183,4 +194,4 @@
         for request in self._requests:
             for attempt in request.in_flight:
                 if not self._engines.is_ready(attempt.engine):
-                    self._effects.append(fx.WithdrawAttempt(request.id, attempt.number))
+                    self._effects.append(WithdrawAttempt(request.id, attempt.number))
--- a/saffronlane/dispatch/intake.py
+++ b/saffronlane/dispatch/intake.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from .. import interface as api
-from . import effects as fx
+from .effects import RejectRequest
 
 
 class RequestIntake:
@@ -28,7 +28,7 @@
         """End the grace period at once."""
         self._drain_deadline = min(now, self._drain_deadline or now)
 
-    def rejection(self, request_id: int, pending_count: int, now: float) -> fx.RejectRequest | None:
+    def rejection(self, request_id: int, pending_count: int, now: float) -> RejectRequest | None:
         """Return the answer to a request that is not accepted, or None if it is.
 
         Args:
@@ -40,8 +40,8 @@
         if self._drain_deadline is not None:
             remaining = max(0.0, self._drain_deadline - now)
             retry_after = min(remaining, limits.max_retry_after)
-            return fx.RejectRequest(request_id, retry_after, "the gateway is stopping")
+            return RejectRequest(request_id, retry_after, "the gateway is stopping")
         if pending_count > self._max_pending:
             retry_after = limits.max_retry_after if limits.sends_retry_after else 0.0
-            return fx.RejectRequest(request_id, retry_after, f"{self._max_pending} requests wait already")
+            return RejectRequest(request_id, retry_after, f"{self._max_pending} requests wait already")
         return None
--- a/saffronlane/dispatch/policy_host.py
+++ b/saffronlane/dispatch/policy_host.py
@@ -6,7 +6,7 @@
 from ..learned_state import DURABILITY_TIMEOUT, Checkpointer, PersistedState, PurgeCategory
 from ..policy import Gateway
 from ..storage import Change
-from . import effects as fx
+from .effects import Effect, Persist
 from .engine_table import EngineTable
 from .requests import Attempt, Request, RequestTable
 
@@ -26,7 +26,7 @@
         self,
         settings: api.Settings,
         seed: int,
-        effects: list[fx.Effect],
+        effects: list[Effect],
         persisted_state: PersistedState | None,
         is_persistent: bool,
     ) -> None:
@@ -160,12 +160,12 @@
         if self._write_ahead_keys:
             changes = self.checkpointer.write_ahead_changes(self.gateway, self._write_ahead_keys)
             self._write_ahead_keys.clear()
-            self._effects.insert(0, fx.Persist(tuple(changes), is_write_ahead=True))
+            self._effects.insert(0, Persist(tuple(changes), is_write_ahead=True))
         if now < self.checkpointer.next_checkpoint_at:
             return
         changes = self.take_unpersisted_changes()
         if changes:
-            self._effects.append(fx.Persist(tuple(changes)))
+            self._effects.append(Persist(tuple(changes)))
 
     def take_unpersisted_changes(self) -> list[Change]:
         """Return all changes of the learned state that have not been emitted."""
@@ -174,7 +174,7 @@
     def attach(self, persisted_state: PersistedState) -> None:
         """Begin to store learned state, beginning with all that was restored and learned so far."""
         self.first_changes = self.checkpointer.attach(self.gateway, persisted_state)
-        self._effects.append(fx.Persist(tuple(self.first_changes)))
+        self._effects.append(Persist(tuple(self.first_changes)))
 
     def purge(self, categories: tuple[PurgeCategory, ...]) -> None:
         """Discard what was learned of these categories, here and in the state directory."""
--- a/saffronlane/dispatch/recording_forms.py
+++ b/saffronlane/dispatch/recording_forms.py
@@ -12,8 +12,7 @@
 from .. import interface as api
 from ..learned_state import PersistedState, Timestamp
 from ..storage import Change, Entry
-from . import effects as fx
-from . import inputs as inp
+from . import effects, inputs
 
 
 class RecordForm(NamedTuple):
@@ -111,7 +110,7 @@
     Timestamp: RecordForm("Moment", ("mono", "wall", "boot", "place")),
 }
 _INPUTS = {
-    inp.Submit: RecordForm(
+    inputs.Submit: RecordForm(
         "Submit",
         (
             "request",
@@ -127,16 +126,16 @@
             "identity",
         ),
     ),
-    inp.ResultReady: RecordForm("ResultReady", ("request", "attempt")),
-    inp.AttemptDone: RecordForm(
+    inputs.ResultReady: RecordForm("ResultReady", ("request", "attempt")),
+    inputs.AttemptDone: RecordForm(
         "AttemptDone", ("request", "attempt", "outcome", "elapsed", "work", "memory_mb", "report", "fault")
     ),
-    inp.AttemptProgress: RecordForm("AttemptNote", ("request", "attempt", "kind", "amount")),
-    inp.ClientDisconnected: RecordForm("ClientLeft", ("request",)),
-    inp.AttachLearnedState: RecordForm("Attach", ("memory",)),
-    inp.PurgeLearnedState: RecordForm("Forget", ("what",)),
-    inp.BeginDrain: RecordForm("StopTaking", ("grace",)),
-    inp.FinishDrain: RecordForm("StopNow", ()),
+    inputs.AttemptProgress: RecordForm("AttemptNote", ("request", "attempt", "kind", "amount")),
+    inputs.ClientDisconnected: RecordForm("ClientLeft", ("request",)),
+    inputs.AttachLearnedState: RecordForm("Attach", ("memory",)),
+    inputs.PurgeLearnedState: RecordForm("Forget", ("what",)),
+    inputs.BeginDrain: RecordForm("StopTaking", ("grace",)),
+    inputs.FinishDrain: RecordForm("StopNow", ()),
     api.EngineEntry: RecordForm(
         "EngineEntry", ("engine", "state", "started", "zone", "kind", "cell", "weight")
     ),
@@ -145,17 +144,17 @@
     api.PeerMessage: RecordForm("PeerMessage", ("sender", "data")),
 }
 _EFFECTS = {
-    fx.StartAttempt: RecordForm(
+    effects.StartAttempt: RecordForm(
         "StartAttempt", ("request", "attempt", "engine", "timeout", "grant_mb", "priority", "ahead")
     ),
-    fx.Persist: RecordForm("Keep", ("changes", "ahead")),
-    fx.CancelAttempt: RecordForm("CancelAttempt", ("request", "attempt")),
-    fx.DiscardAttempt: RecordForm("DiscardAttempt", ("request", "attempt")),
-    fx.WithdrawAttempt: RecordForm("RecallAttempt", ("request", "attempt")),
-    fx.Commit: RecordForm("Commit", ("request", "attempt")),
-    fx.CompleteRequest: RecordForm("Serve", ("request", "attempt", "fault")),
-    fx.RejectRequest: RecordForm("RefuseRequest", ("request", "retry_after", "why")),
-    fx.FailRequest: RecordForm("FailRequest", ("request", "why")),
+    effects.Persist: RecordForm("Keep", ("changes", "ahead")),
+    effects.CancelAttempt: RecordForm("CancelAttempt", ("request", "attempt")),
+    effects.DiscardAttempt: RecordForm("DiscardAttempt", ("request", "attempt")),
+    effects.WithdrawAttempt: RecordForm("RecallAttempt", ("request", "attempt")),
+    effects.Commit: RecordForm("Commit", ("request", "attempt")),
+    effects.CompleteRequest: RecordForm("Serve", ("request", "attempt", "fault")),
+    effects.RejectRequest: RecordForm("RefuseRequest", ("request", "retry_after", "why")),
+    effects.FailRequest: RecordForm("FailRequest", ("request", "why")),
     api.ProbeLoad: RecordForm("Probe", ("engine",)),
     api.CloseIdleConnections: RecordForm("CloseIdle", ("engine",)),
     api.SendGossip: RecordForm("Tell", ("peer", "data")),
--- a/saffronlane/dispatch/recording_schema.py
+++ b/saffronlane/dispatch/recording_schema.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from .. import interface as api
-from . import inputs as inp
+from . import inputs
 from .recording_forms import FORMS, INPUT_BY_NAME
 
 RECORDING_VERSION = 1
@@ -43,7 +43,7 @@
     return value.value if isinstance(value, Enum) else value
 
 
-def encode_input(value: inp.Input) -> list[object]:
+def encode_input(value: inputs.Input) -> list[object]:
     """Return an input with the name of its kind."""
     return [FORMS[type(value)].name, encode(value)]
 
@@ -53,14 +53,14 @@
     return msgspec.convert(_renamed(plain, kind), kind)
 
 
-def decode_input(name: str, plain: object) -> inp.Input:
+def decode_input(name: str, plain: object) -> inputs.Input:
     """Read an input by the name of its kind.
 
     Raises:
         KeyError: the kind is not known.
         msgspec.ValidationError: a field is missing or of another type.
     """
-    return typing.cast(inp.Input, decode(plain, INPUT_BY_NAME[name]))
+    return typing.cast(inputs.Input, decode(plain, INPUT_BY_NAME[name]))
 
 
 def describe(effect: object) -> str:
--- a/saffronlane/dispatch/requests.py
+++ b/saffronlane/dispatch/requests.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from . import effects as fx
+from .effects import CancelAttempt, Commit, DiscardAttempt, Effect
 from .errors import DuplicateRequestError
 
 
@@ -77,7 +77,7 @@
         can_cancel: whether engines may be asked to stop an attempt; otherwise its result is discarded.
     """
 
-    def __init__(self, effects: list[fx.Effect], can_cancel: bool) -> None:
+    def __init__(self, effects: list[Effect], can_cancel: bool) -> None:
         self._effects = effects
         self._can_cancel = can_cancel
         self._requests: dict[int, Request] = {}
@@ -121,7 +121,7 @@
         attempt = request.attempts[attempt_number]
         return None if attempt.has_ended else AttemptInFlight(request, attempt)
 
-    def answer(self, request: Request, answer: fx.Effect | None) -> None:
+    def answer(self, request: Request, answer: Effect | None) -> None:
         """Give a request its final answer, unless it has one.
 
         Every final answer is emitted here. None: the client has disconnected and gets no answer.
@@ -137,7 +137,7 @@
     def commit(self, request: Request, attempt: Attempt) -> None:
         """Pass on the result of an attempt, and cancel all other attempts of its request."""
         request.committed_attempt = attempt.number
-        self._effects.append(fx.Commit(request.id, attempt.number))
+        self._effects.append(Commit(request.id, attempt.number))
         for other in request.in_flight:
             if other is not attempt:
                 self.cancel(request, other)
@@ -147,7 +147,7 @@
         if attempt.has_ended or attempt.is_cancelled:
             return
         attempt.is_cancelled = True
-        effect_type = fx.CancelAttempt if self._can_cancel else fx.DiscardAttempt
+        effect_type = CancelAttempt if self._can_cancel else DiscardAttempt
         self._effects.append(effect_type(request.id, attempt.number))
 
     def mark_releasable(self, request: Request) -> None:
--- a/saffronlane/engines/effect_runner.py
+++ b/saffronlane/engines/effect_runner.py
@@ -7,7 +7,7 @@
 
 import structlog
 
-from .. import dispatch as d
+from .. import dispatch
 from .. import interface as api
 from ..storage import Change
 from .request_ledger import RequestLedger
@@ -16,7 +16,13 @@
 log = structlog.get_logger()
 PersistChanges = Callable[[tuple[Change, ...], bool], "asyncio.Future[bool] | None"]
 SendGossip = Callable[[int | None, bytes], None]
-_AttemptEffect = d.CancelAttempt | d.DiscardAttempt | d.WithdrawAttempt | d.Commit | d.CompleteRequest
+_AttemptEffect = (
+    dispatch.CancelAttempt
+    | dispatch.DiscardAttempt
+    | dispatch.WithdrawAttempt
+    | dispatch.Commit
+    | dispatch.CompleteRequest
+)
 
 
 class EffectRunner:
@@ -34,10 +40,10 @@
 
     def __init__(
         self,
-        dispatcher: d.Dispatcher,
+        dispatcher: dispatch.Dispatcher,
         transport: Transport,
         requests: RequestLedger,
-        feed: Callable[[d.Input], None],
+        feed: Callable[[dispatch.Input], None],
         send_gossip: SendGossip | None,
         persist: PersistChanges | None,
     ) -> None:
@@ -50,7 +56,7 @@
         self._write_ahead: asyncio.Future[bool] | None = None  # of this step
         self._loop = asyncio.get_running_loop()
 
-    def run(self, effects: Iterable[d.Effect]) -> None:
+    def run(self, effects: Iterable[dispatch.Effect]) -> None:
         """Carry out the effects of one step; one that fails affects no other."""
         self._write_ahead = None
         for effect in effects:
@@ -58,22 +64,27 @@
                 self._apply(effect)
             except Exception:
                 log.exception("effect failed", effect=repr(effect))
-                if isinstance(effect, d.StartAttempt):
+                if isinstance(effect, dispatch.StartAttempt):
                     self._report_not_sent(effect)
 
-    def _apply(self, effect: d.Effect) -> None:
+    def _apply(self, effect: dispatch.Effect) -> None:
         match effect:
-            case d.StartAttempt():
+            case dispatch.StartAttempt():
                 self._start_attempt(effect)
-            case d.CompleteRequest():
+            case dispatch.CompleteRequest():
                 self._complete(effect)
-            case d.RejectRequest():
+            case dispatch.RejectRequest():
                 self._reject(effect)
-            case d.FailRequest():
+            case dispatch.FailRequest():
                 self._fail(effect)
-            case d.Persist():
+            case dispatch.Persist():
                 self._persist(effect)
-            case d.CancelAttempt() | d.DiscardAttempt() | d.WithdrawAttempt() | d.Commit():
+            case (
+                dispatch.CancelAttempt()
+                | dispatch.DiscardAttempt()
+                | dispatch.WithdrawAttempt()
+                | dispatch.Commit()
+            ):
                 self._update_attempt(effect)
             case api.ProbeLoad():
                 self._transport.probe(effect.engine)
@@ -86,7 +97,7 @@
 
     # --- attempts ---
 
-    def _start_attempt(self, effect: d.StartAttempt) -> None:
+    def _start_attempt(self, effect: dispatch.StartAttempt) -> None:
         request = self._requests.get(effect.request)
         if request is None:  # its client disconnected in this very turn of the loop
             self._report_not_sent(effect)
@@ -97,31 +108,32 @@
         request.attempts_in_flight[effect.attempt] = attempt
         self._transport.begin(attempt)
 
-    def _report_not_sent(self, effect: d.StartAttempt) -> None:
-        self._feed(d.AttemptDone(effect.request, effect.attempt, api.Outcome.NOT_SENT, elapsed=0.0))
+    def _report_not_sent(self, effect: dispatch.StartAttempt) -> None:
+        self._feed(dispatch.AttemptDone(effect.request, effect.attempt, api.Outcome.NOT_SENT, elapsed=0.0))
 
     def _find(self, effect: _AttemptEffect) -> Attempt | None:
         return self._requests.attempt(effect.request, effect.attempt)
 
     def _update_attempt(
-        self, effect: d.CancelAttempt | d.DiscardAttempt | d.WithdrawAttempt | d.Commit
+        self,
+        effect: dispatch.CancelAttempt | dispatch.DiscardAttempt | dispatch.WithdrawAttempt | dispatch.Commit,
     ) -> None:
         attempt = self._find(effect)
         if attempt is None:
             return
         match effect:
-            case d.CancelAttempt():
+            case dispatch.CancelAttempt():
                 self._transport.cancel(attempt)
-            case d.DiscardAttempt():
+            case dispatch.DiscardAttempt():
                 self._transport.discard(attempt)
-            case d.WithdrawAttempt():
+            case dispatch.WithdrawAttempt():
                 self._transport.withdraw(attempt)
-            case d.Commit():
+            case dispatch.Commit():
                 self._transport.commit(attempt)
 
     # --- answers ---
 
-    def _complete(self, effect: d.CompleteRequest) -> None:
+    def _complete(self, effect: dispatch.CompleteRequest) -> None:
         request = self._requests.unanswered(effect.request)
         attempt = self._find(effect)
         if request is not None and attempt is not None:
@@ -129,14 +141,14 @@
             self._transport.complete(request, attempt, effect.is_query_fault)
             self._requests.remove_if_over(request)
 
-    def _reject(self, effect: d.RejectRequest) -> None:
+    def _reject(self, effect: dispatch.RejectRequest) -> None:
         request = self._requests.unanswered(effect.request)
         if request is not None:
             self._requests.close_request(request)
             self._transport.reject(request, effect.retry_after, effect.reason)
             self._requests.remove_if_over(request)
 
-    def _fail(self, effect: d.FailRequest) -> None:
+    def _fail(self, effect: dispatch.FailRequest) -> None:
         request = self._requests.unanswered(effect.request)
         if request is not None:
             self._requests.close_request(request)
@@ -145,7 +157,7 @@
 
     # --- all else ---
 
-    def _persist(self, effect: d.Persist) -> None:
+    def _persist(self, effect: dispatch.Persist) -> None:
         if self._persist_changes is None:
             return
         durable = self._persist_changes(effect.changes, effect.is_write_ahead)
--- a/saffronlane/engines/executor.py
+++ b/saffronlane/engines/executor.py
@@ -14,7 +14,7 @@
 
 import structlog
 
-from .. import dispatch as d
+from .. import dispatch
 from .. import interface as api
 from .effect_runner import EffectRunner, PersistChanges, SendGossip
 from .request_ledger import RequestLedger
@@ -37,7 +37,7 @@
 
     def __init__(
         self,
-        dispatcher: d.Dispatcher,
+        dispatcher: dispatch.Dispatcher,
         transport: Transport,
         send_gossip: SendGossip | None = None,
         persist: PersistChanges | None = None,
@@ -46,7 +46,7 @@
         self.transport = transport
         self.non_durable_count = 0  # attempts that started before their write ahead was durable
         self._loop = asyncio.get_running_loop()
-        self._inputs: list[d.Input] = []
+        self._inputs: list[dispatch.Input] = []
         self._scheduled_step: asyncio.Handle | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._timer_deadline = math.inf
@@ -57,7 +57,7 @@
     # --- requests ---
 
     def submit(
-        self, work: Any, sink: Any, make_input: Callable[[int], d.Submit], idempotency_key: str = ""
+        self, work: Any, sink: Any, make_input: Callable[[int], dispatch.Submit], idempotency_key: str = ""
     ) -> int:
         """Accept a request and return its number.
 
@@ -81,12 +81,12 @@
         request = self._requests.unanswered(number)
         if request is not None:
             self._requests.close_request(request)
-            self.feed(d.ClientDisconnected(number))
+            self.feed(dispatch.ClientDisconnected(number))
             self._requests.remove_if_over(request)
 
     # --- stepping ---
 
-    def feed(self, event: d.Input) -> None:
+    def feed(self, event: dispatch.Input) -> None:
         """Queue an input; the dispatcher is stepped in the next turn of the loop."""
         self._inputs.append(event)
         self._schedule_step()
@@ -155,7 +155,7 @@
             elapsed=round(elapsed, 4),
         )
         self.feed(
-            d.AttemptDone(
+            dispatch.AttemptDone(
                 request_id, attempt.number, outcome, elapsed, work, memory_mb, load_report, is_query_fault
             )
         )
--- a/saffronlane/engines/flight.py
+++ b/saffronlane/engines/flight.py
@@ -16,7 +16,7 @@
 from google.protobuf.any_pb2 import Any as AnyMessage
 from google.protobuf.message import DecodeError, Message
 
-from .. import dispatch as d
+from .. import dispatch
 from .. import interface as api
 from ..http2 import ConnectionLimits
 from ..proto import flight_pb2 as flight
@@ -126,7 +126,7 @@
 
     # --- what the executor asks for ---
 
-    def create_attempt(self, request: Request, effect: d.StartAttempt, started_at: float) -> Attempt:
+    def create_attempt(self, request: Request, effect: dispatch.StartAttempt, started_at: float) -> Attempt:
         return _Running(request, effect.attempt, effect.engine, effect, started_at)
 
     def begin(self, attempt: Attempt) -> None:
@@ -392,7 +392,7 @@
         while (message := await call.read()) is not None:
             note = orca.read_note(message)
             if note is not None:
-                self._executor.feed(d.AttemptProgress(request.id, running.number, *note))
+                self._executor.feed(dispatch.AttemptProgress(request.id, running.number, *note))
                 request.sink.note(*note)
                 continue
             if running.cancelled:
@@ -403,7 +403,7 @@
             running.held.append(message)
             running.held_size += len(message)
             if running.held_size > self._limits.hold_back:
-                self._executor.feed(d.ResultReady(request.id, running.number))
+                self._executor.feed(dispatch.ResultReady(request.id, running.number))
                 await running.committed.wait()
                 running.passing = True
                 while running.held:
--- a/saffronlane/engines/transport.py
+++ b/saffronlane/engines/transport.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any, Protocol
 
-from .. import dispatch as d
+from .. import dispatch
 
 if TYPE_CHECKING:
     from .executor import Executor
@@ -35,7 +35,7 @@
     request: Request
     number: int
     engine: bytes
-    effect: d.StartAttempt
+    effect: dispatch.StartAttempt
     started_at: float
     write_ahead: asyncio.Future[bool] | None = None  # whether what must be stored first is durable
     durability_wait: float = 0.0  # seconds spent waiting for that
@@ -66,7 +66,7 @@
     def bind(self, executor: Executor) -> None:
         """Set the executor that attempts and probes are reported to."""
 
-    def create_attempt(self, request: Request, effect: d.StartAttempt, started_at: float) -> Attempt:
+    def create_attempt(self, request: Request, effect: dispatch.StartAttempt, started_at: float) -> Attempt:
         """Return a new attempt that does not run yet; `started_at` is the loop's time."""
 
     def begin(self, attempt: Attempt) -> None:
--- a/saffronlane/errors/__init__.py
+++ b/saffronlane/errors/__init__.py
@@ -23,7 +23,7 @@
         self.place = place
 
 
-def told(error: BaseException) -> dict[str, str]:
+def error_fields(error: BaseException) -> dict[str, str]:
     """Fields of a log line about an error: why, where it is known the place, and the remedy."""
     fields = {"why": str(error) or repr(error)}
     if isinstance(error, SaffronlaneError):
--- a/saffronlane/flight/service.py
+++ b/saffronlane/flight/service.py
@@ -12,7 +12,7 @@
 from google.protobuf.any_pb2 import Any as AnyMessage
 from google.protobuf.message import DecodeError, Message
 
-from .. import dispatch as d
+from .. import dispatch
 from ..config import Config
 from ..engines import Executor
 from ..engines.flight import FlightLinks, Work
@@ -223,7 +223,7 @@
         return self._executor.submit(
             work,
             sink,
-            lambda number: d.Submit(
+            lambda number: dispatch.Submit(
                 number,
                 identity.cls,
                 remaining,
--- a/saffronlane/interface/settings.py
+++ b/saffronlane/interface/settings.py
@@ -105,10 +105,10 @@
 
     Attributes:
         can_cancel: attempts can be cancelled.
-        hedged_requests: a second copy of a request may run beside the first.
-        load_probes: engines may be asked for their load.
+        hedged_requests_enabled: a second copy of a request may run beside the first.
+        load_probes_enabled: engines may be asked for their load.
         load_probe_price: price of one probe a query, in points of service.
-        gossip: gateways may exchange messages.
+        gossip_enabled: gateways may exchange messages.
         sends_retry_after: clients honour a wait in a rejection.
         max_attempts: of one request.
         max_retry_after: longest wait that clients honour.
@@ -117,10 +117,10 @@
     """
 
     can_cancel: bool = False
-    hedged_requests: bool = False
-    load_probes: bool = False
+    hedged_requests_enabled: bool = False
+    load_probes_enabled: bool = False
     load_probe_price: float = 0.0
-    gossip: bool = False
+    gossip_enabled: bool = False
     sends_retry_after: bool = False
     max_attempts: int = 1
     max_retry_after: float = 0.0
--- a/saffronlane/lab/audit.py
+++ b/saffronlane/lab/audit.py
@@ -163,7 +163,7 @@
                     2, refused[0]["at"], f"unsafe query {query} ran and was refused as safe to try again"
                 )
             self._repeats(query, cls, asked)
-        if not self.settings.limits.hedged_requests:
+        if not self.settings.limits.hedged_requests_enabled:
             for query in self.asked:
                 self._overlaps(query)
 
--- a/saffronlane/lab/fleet/cold.py
+++ b/saffronlane/lab/fleet/cold.py
@@ -105,11 +105,11 @@
             gateway_index=position,
             limits=api.Limits(
                 can_cancel=True,
-                hedged_requests=True,
+                hedged_requests_enabled=True,
                 sends_retry_after=True,
                 max_attempts=3,
                 max_retry_after=0.5,
-                gossip=True,
+                gossip_enabled=True,
                 connect_timeout=0.25,
                 max_concurrent_streams=32,
             ),
--- a/saffronlane/lab/fleet/virtual.py
+++ b/saffronlane/lab/fleet/virtual.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from ... import dispatch as d
+from ... import dispatch
 from ... import interface as api
 from ...simulator import settings as params
 from ..model import EngineShape, Machine, Run
@@ -82,7 +82,7 @@
         count = range(0 if chooser else shape.dispatchers)
         given = [params.Params.of_object(settings(shape, n)) for n in count]
         read = map(params.read_settings, given)
-        self.cores = [d.Dispatcher(one, shape.seed * 1000 + n) for n, one in enumerate(read)]
+        self.cores = [dispatch.Dispatcher(one, shape.seed * 1000 + n) for n, one in enumerate(read)]
 
     # --- time ---
 
@@ -117,7 +117,7 @@
         """Those that a list that is never late would call ready."""
         return [n for n in self.nodes.values() if not n.gone and n.name not in self.drained]
 
-    def _step(self, place: int, *inputs: d.Input) -> None:
+    def _step(self, place: int, *inputs: dispatch.Input) -> None:
         core = self.cores[place]
         for effect in core.step(self.now, list(inputs)):
             self._do(place, effect)
@@ -149,7 +149,7 @@
         key = int(asking.key, 16) if asking.key else 0
         self._step(
             asking.dispatcher,
-            d.Submit(
+            dispatch.Submit(
                 number,
                 index,
                 asking.sort.deadline,
@@ -160,17 +160,21 @@
             ),
         )
 
-    def _do(self, place: int, effect: d.Effect) -> None:
-        if isinstance(effect, d.StartAttempt):
+    def _do(self, place: int, effect: dispatch.Effect) -> None:
+        if isinstance(effect, dispatch.StartAttempt):
             asking = self._askings[place, effect.request]
             self._send(asking, place, effect.request, effect.attempt, effect.engine)
-        elif isinstance(effect, (d.CancelAttempt, d.DiscardAttempt, d.WithdrawAttempt)):
+        elif isinstance(effect, (dispatch.CancelAttempt, dispatch.DiscardAttempt, dispatch.WithdrawAttempt)):
             for node in self.nodes.values():
                 for run, out in list(node.out.items()):
                     if (out.place, out.request, out.attempt) == (place, effect.request, effect.attempt):
                         self._end(node, run, api.Outcome.CANCELLED)
-        elif isinstance(effect, (d.CompleteRequest, d.RejectRequest, d.FailRequest)):
-            codes = {d.CompleteRequest: "OK", d.RejectRequest: "UNAVAILABLE", d.FailRequest: "ABORTED"}
+        elif isinstance(effect, (dispatch.CompleteRequest, dispatch.RejectRequest, dispatch.FailRequest)):
+            codes = {
+                dispatch.CompleteRequest: "OK",
+                dispatch.RejectRequest: "UNAVAILABLE",
+                dispatch.FailRequest: "ABORTED",
+            }
             self._answer(self._askings[place, effect.request], codes[type(effect)])
         elif isinstance(effect, api.SendGossip):
             for other in range(len(self.cores)):
@@ -246,7 +250,7 @@
             self._answer(out.asking, "OK" if outcome is api.Outcome.OK else "ABORTED")
             return
         took, work = self.now - out.at, out.asking.work if outcome is api.Outcome.OK else 0.0
-        self._step(out.place, d.AttemptDone(out.request, out.attempt, outcome, took, work, 1.0))
+        self._step(out.place, dispatch.AttemptDone(out.request, out.attempt, outcome, took, work, 1.0))
 
     # --- faults ---
 
--- a/saffronlane/learned_state/checkpointer.py
+++ b/saffronlane/learned_state/checkpointer.py
@@ -148,13 +148,15 @@
 
     def record_request(self, gateway: Gateway, class_index: int) -> None:
         """Record the arrival of a request."""
-        self.validator.record_request(class_index, gateway.batch.now)
+        self.validator.record_request(class_index, gateway.step_context.now)
 
     def drop_unconfirmed_estimates(self, gateway: Gateway) -> list[str]:
         """Drop restored estimates that no answer confirmed in time. Returns lines for the log."""
         if not self.validator.active_count:
             return []
-        return self.validator.drop_unconfirmed(gateway.workload_estimates.estimators, gateway.batch.now)
+        return self.validator.drop_unconfirmed(
+            gateway.workload_estimates.estimators, gateway.step_context.now
+        )
 
     def record_answer(
         self, gateway: Gateway, class_index: int, cost: float, elapsed: float, work: float
@@ -181,8 +183,8 @@
         if attempt is None:
             return []
         class_settings = attempt.request.class_settings
-        now = gateway.batch.now
-        guarantees = gateway.batch.guarantees
+        now = gateway.step_context.now
+        guarantees = gateway.step_context.guarantees
         keys = []
         if identity and class_settings.idempotency is not api.Idempotency.SAFE:
             self.ledger.record_attempt(identity, class_settings, now, export.engine_entry(attempt.engine))
@@ -223,9 +225,9 @@
 
     def changes(self, gateway: Gateway) -> list[Change]:
         """Return all changes since the last checkpoint."""
-        self._next_checkpoint_at = gateway.batch.now + CHECKPOINT_INTERVAL
+        self._next_checkpoint_at = gateway.step_context.now + CHECKPOINT_INTERVAL
         self._has_changes = False
-        self.ledger.expire(gateway.batch.now)
+        self.ledger.expire(gateway.step_context.now)
         return self._update_written(self._current_records(gateway))
 
     def entries(self, gateway: Gateway) -> tuple[tuple[bytes, Entry], ...]:
--- a/saffronlane/learned_state/estimates.py
+++ b/saffronlane/learned_state/estimates.py
@@ -88,8 +88,8 @@
     estimator.prior = seeds
     estimator.baseline_inflation = 1.0
     estimator.memory_requirement = 0.0
-    estimator.answer_count -= estimator.recalled_count
-    estimator.recalled_count = 0
+    estimator.answer_count -= estimator.restored_answer_count
+    estimator.restored_answer_count = 0
     estimator.update_cost_rate()
 
 
--- a/saffronlane/learned_state/export.py
+++ b/saffronlane/learned_state/export.py
@@ -54,7 +54,7 @@
     gateway: Gateway, estimator: RunTimeEstimator, restored_samples: float, log_deviation: float
 ) -> ClassRecord | None:
     """Return one class's record without the seeds' part; None if too little is known."""
-    answers = estimator.answer_count - estimator.recalled_count
+    answers = estimator.answer_count - estimator.restored_answer_count
     seed_weight = confidence.remaining_weight(1.0, answers)
     seed_costs, seed_latency, seed_work, seed_uncontended_work = estimator.prior
     costs = estimator.estimated_costs - seed_costs * seed_weight
@@ -67,8 +67,8 @@
     if samples < MIN_EFFECTIVE_SAMPLES or is_empty:
         return None
     return ClassRecord(
-        settings_digest=class_settings_digest(gateway.batch.settings, estimator.class_settings),
-        updated_at=gateway.batch.now,
+        settings_digest=class_settings_digest(gateway.step_context.settings, estimator.class_settings),
+        updated_at=gateway.step_context.now,
         effective_samples=samples,
         answer_count=estimator.answer_count,
         mean_estimated_cost=estimator.mean_estimated_cost,
@@ -83,7 +83,7 @@
 
 def engine_record(gateway: Gateway, engine: Engine, last_listed_at: float) -> EngineRecord:
     """Return an engine's record. Its dispatches are part of it only during slow start."""
-    step = gateway.batch
+    step = gateway.step_context
     is_warming_up = engine.warmup_remaining(step.now, step.guarantees.slow_start_duration) > 0.0
     return EngineRecord(
         cores=engine.cores,
@@ -110,7 +110,7 @@
 
 def retry_budget_record(gateway: Gateway) -> RetryBudgetRecord | None:
     """Return the window of the retry budget, or None where no budget is set."""
-    step = gateway.batch
+    step = gateway.step_context
     if step.guarantees.retry_budget_base is None:
         return None
     window_start = step.now - step.guarantees.retry_budget_window - 2.0 * step.settings.min_step_interval
@@ -134,7 +134,7 @@
             found[encode_ordering_key(request.ordering_key)] = OrderingRecord(True, 0.0)
     for ordering_key, cooldown_until in gateway.pending.ordering.cooldowns.items():
         name = encode_ordering_key(ordering_key)
-        if cooldown_until > gateway.batch.now and name not in found:
+        if cooldown_until > gateway.step_context.now and name not in found:
             found[name] = OrderingRecord(False, cooldown_until)
     return found
 
@@ -149,23 +149,23 @@
     limit = gateway.concurrency_limit.limit
     recent_work = gateway.in_flight.recent_work
     return FleetRecord(
-        updated_at=gateway.batch.now,
-        dispatches_known_since=finite_time(gateway.batch.started_at),
+        updated_at=gateway.step_context.now,
+        dispatches_known_since=finite_time(gateway.step_context.started_at),
         concurrency_limit=limit if limit < MAX_CONCURRENCY_LIMIT else 0.0,
         latency_inflation=gateway.concurrency_limit.latency_inflation,
         recent_work=recent_work.value,
         recent_work_updated_at=finite_time(recent_work.updated_at),
-        mean_reported_threads=gateway.fleet.mean_reported_threads,
+        mean_reported_threads=gateway.engine_registry.mean_reported_threads,
     )
 
 
 def peer_load_record(gateway: Gateway) -> PeerLoadRecord | None:
     """Return the unexpired load that peers reported, or None without gossip."""
-    if not gateway.batch.limits.gossip:
+    if not gateway.step_context.limits.gossip_enabled:
         return None
     entries = []
     for (sender, number), attempt in gateway.load_gossip.peer_load.entries.items():
-        if attempt.expires_at > gateway.batch.now:
+        if attempt.expires_at > gateway.step_context.now:
             entry = PeerLoadEntry(
                 sender=sender,
                 number=number,
--- a/saffronlane/learned_state/purge.py
+++ b/saffronlane/learned_state/purge.py
@@ -45,14 +45,14 @@
 
 def _reset_estimates(gateway: Gateway) -> None:
     gateway.workload_estimates.estimators[:] = [
-        RunTimeEstimator(class_settings) for class_settings in gateway.batch.settings.classes
+        RunTimeEstimator(class_settings) for class_settings in gateway.step_context.settings.classes
     ]
     gateway.concurrency_limit.limit = math.inf
     gateway.concurrency_limit.latency_inflation = 1.0
 
 
 def _reset_health(gateway: Gateway) -> None:
-    for engine in gateway.fleet.engines.values():
+    for engine in gateway.engine_registry.engines.values():
         engine.reset_health()
     gateway.outlier_detector.update_panic_mode()
 
--- a/saffronlane/learned_state/record_collector.py
+++ b/saffronlane/learned_state/record_collector.py
@@ -70,7 +70,9 @@
         if kind == records.ORDERING:
             return records.OrderingRecord(True, 0.0)
         if kind == records.ENGINE:
-            return export.engine_record(gateway, gateway.fleet.engines[identity], _last_listed_at(gateway))
+            return export.engine_record(
+                gateway, gateway.engine_registry.engines[identity], _last_listed_at(gateway)
+            )
         return export.retry_budget_record(gateway)
 
     def _class_records(
@@ -93,7 +95,7 @@
     ) -> dict[bytes, records.EngineRecord]:
         found = {}
         last_listed_at = _last_listed_at(gateway)
-        for engine in gateway.fleet.engines.values():
+        for engine in gateway.engine_registry.engines.values():
             if engine.state is not api.EngineState.REMOVED:
                 found[records.ENGINE + engine.id] = export.engine_record(gateway, engine, last_listed_at)
         if restorer is not None:
@@ -113,4 +115,4 @@
 
 def _last_listed_at(gateway: Gateway) -> float:
     """Return now, rounded down so that engine records don't change all the time."""
-    return math.floor(gateway.batch.now / LAST_LISTED_RESOLUTION) * LAST_LISTED_RESOLUTION
+    return math.floor(gateway.step_context.now / LAST_LISTED_RESOLUTION) * LAST_LISTED_RESOLUTION
--- a/saffronlane/learned_state/restore.py
+++ b/saffronlane/learned_state/restore.py
@@ -44,20 +44,22 @@
     def restore_at_start(self, gateway: Gateway, ledger: IdempotencyLedger) -> None:
         """Restore all that needs no endpoint list."""
         fleet = self._records.fleet
-        gateway.batch.now = self._now
-        gateway.batch.started_at = self._now
+        gateway.step_context.now = self._now
+        gateway.step_context.started_at = self._now
         if self.confidence.has_complete_ledgers and fleet is not None:
             # The restored ledgers show what was sent since then.
-            gateway.batch.started_at = self._records.past_time(fleet.dispatches_known_since)
+            gateway.step_context.started_at = self._records.past_time(fleet.dispatches_known_since)
         restore_ledgers(self._records, self._settings, gateway, ledger)
         if fleet is not None:
             self._restore_fleet(gateway, fleet)
-        gateway.fleet.restore_engine = self._restore_engine
+        gateway.engine_registry.restore_engine = self._restore_engine
 
     def attach(self, gateway: Gateway, ledger: IdempotencyLedger) -> None:
         """Restore into a running gateway: the ledgers, and classes without an answer so far."""
         restore_ledgers(self._records, self._settings, gateway, ledger)
-        self.restore_classes(gateway, tuple(map(export.engine_entry, gateway.fleet.engines.values())))
+        self.restore_classes(
+            gateway, tuple(map(export.engine_entry, gateway.engine_registry.engines.values()))
+        )
 
     def restore_classes(self, gateway: Gateway, entries: tuple[api.EngineEntry, ...]) -> None:
         """Restore class estimates, discounted by how much of the fleet is the same.
@@ -79,7 +81,7 @@
             return
         table = gateway.load_gossip.peer_load
         for entry in peer_load.entries:
-            engine = gateway.fleet.engines.get(entry.engine)
+            engine = gateway.engine_registry.engines.get(entry.engine)
             sender_and_number = (entry.sender, entry.number)
             is_new = sender_and_number not in table.entries
             if engine is not None and entry.expires_at > self._now and is_new:
@@ -152,7 +154,7 @@
             if not confidence.may_reject(estimator.exec_time(), estimator.class_settings.deadline):
                 estimator.answer_count = 0
                 estimator.update_cost_rate()
-            estimator.recalled_count = estimator.answer_count
+            estimator.restored_answer_count = estimator.answer_count
 
     def _restore_engine(self, engine: Engine) -> None:
         """Restore an engine as it is first listed, if it is still the same process."""
--- a/saffronlane/learned_state/restore_ledgers.py
+++ b/saffronlane/learned_state/restore_ledgers.py
@@ -26,7 +26,7 @@
 
 def _restore_retry_budget(restored: RestoredRecords, gateway: Gateway) -> None:
     record = restored.retry_budget
-    step = gateway.batch
+    step = gateway.step_context
     if record is None or step.guarantees.retry_budget_base is None:
         return
     budget = gateway.completion.retry_policy.budget
@@ -42,7 +42,7 @@
 
 def _restore_ordering(restored: RestoredRecords, gateway: Gateway) -> None:
     cooldowns = gateway.pending.ordering.cooldowns
-    latest = restored.now + gateway.batch.guarantees.ordering_cooldown
+    latest = restored.now + gateway.step_context.guarantees.ordering_cooldown
     for ordering_key, record in restored.ordering.items():
         until = latest if record.is_in_flight else min(record.cooldown_until, latest)
         if until > restored.now:
--- a/saffronlane/learned_state/validation.py
+++ b/saffronlane/learned_state/validation.py
@@ -131,7 +131,7 @@
 
     def _drop_contradicted(self, index: int, estimator: RunTimeEstimator, cost: float) -> str:
         validation = self._validations.pop(index)
-        answers = estimator.answer_count - estimator.recalled_count
+        answers = estimator.answer_count - estimator.restored_answer_count
         remove_restored_estimate(estimator, cost, validation.sums, answers)
         factor = math.exp(validation.log_ratio_total / validation.answers)
         name = estimator.class_settings.name
--- a/saffronlane/members/file.py
+++ b/saffronlane/members/file.py
@@ -10,7 +10,7 @@
 
 from ..config import Config, ConfigError, EngineRecord, parse_engines
 from ..config.check import load_json
-from ..errors import told
+from ..errors import error_fields
 
 log = structlog.get_logger()
 Stamp = tuple[int, int, int]
@@ -55,7 +55,9 @@
     def _complain(self, text: str, error: Exception) -> None:
         if text != self._last_problem:
             self._last_problem = text
-            log.warning("engine list not used, the last good one stays", **told(error) | {"why": text})
+            log.warning(
+                "engine list not used, the last good one stays", **error_fields(error) | {"why": text}
+            )
 
     async def watch(self) -> None:
         while True:
--- a/saffronlane/platform/discovery/endpoints.py
+++ b/saffronlane/platform/discovery/endpoints.py
@@ -7,7 +7,7 @@
 
 import structlog
 
-from ...errors import told as error_fields
+from ...errors import error_fields
 from ...interface import EndpointListMode, EndpointListUpdate, EngineEntry, EngineState, Settings
 from ..config import Address, EndpointList, ListedEngine, parse_address
 from ..errors import ConfigError
--- a/saffronlane/platform/discovery/watch.py
+++ b/saffronlane/platform/discovery/watch.py
@@ -13,7 +13,7 @@
 import structlog
 from tornado.iostream import IOStream, StreamClosedError, UnsatisfiableReadError
 
-from ...errors import told as error_fields
+from ...errors import error_fields
 from ..config import Address, EndpointList, WatchEvent
 from ..descriptors import DescriptorExhaustion
 from ..errors import DiscoveryError
--- a/saffronlane/platform/reload.py
+++ b/saffronlane/platform/reload.py
@@ -6,7 +6,7 @@
 
 import structlog
 
-from ..errors import told as error_fields
+from ..errors import error_fields
 from .config import DispatcherConfig, load_config
 from .errors import ConfigError
 
--- a/saffronlane/platform/server.py
+++ b/saffronlane/platform/server.py
@@ -75,7 +75,7 @@
 
     def _gossip_transport(self) -> GossipTransport | None:
         config = self.config
-        if not config.settings.limits.gossip or config.peer_listen is None:
+        if not config.settings.limits.gossip_enabled or config.peer_listen is None:
             return None
         return GossipTransport(
             config.peer_listen,
--- a/saffronlane/platform/stats.py
+++ b/saffronlane/platform/stats.py
@@ -82,9 +82,9 @@
 
 def _dispatcher_stats(dispatcher: Dispatcher) -> dict[str, float]:
     gateway = dispatcher.gateway
-    now = gateway.batch.now
-    slow_start_duration = gateway.batch.guarantees.slow_start_duration
-    ready = gateway.fleet.ready
+    now = gateway.step_context.now
+    slow_start_duration = gateway.step_context.guarantees.slow_start_duration
+    ready = gateway.engine_registry.ready
     concurrency_limit = gateway.concurrency_limit
     return {
         "pending": dispatcher.pending_count,
--- a/saffronlane/platform/upstream/transport.py
+++ b/saffronlane/platform/upstream/transport.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from ... import dispatch as d
+from ... import dispatch
 from ...engines.executor import Executor
 from ...engines.transport import Attempt, Request
 from ...interface import Outcome, ProbeResult
@@ -48,7 +48,7 @@
 
     # --- attempts, for the executor ---
 
-    def create_attempt(self, request: Request, effect: d.StartAttempt, started_at: float) -> Attempt:
+    def create_attempt(self, request: Request, effect: dispatch.StartAttempt, started_at: float) -> Attempt:
         """Create an attempt."""
         return UpstreamAttempt(request, effect.attempt, effect.engine, effect, started_at)
 
--- a/saffronlane/policy/estimation/load_reports.py
+++ b/saffronlane/policy/estimation/load_reports.py
@@ -29,7 +29,7 @@
         columns = step_context.settings.report_columns
         self.active_column = columns.index("active") if "active" in columns else None
         self.is_probing_enabled = (
-            limits.load_probes
+            limits.load_probes_enabled
             and limits.load_probe_price <= MAX_PROBE_PRICE
             and self.active_column is not None
         )
--- a/saffronlane/policy/execution/attempts.py
+++ b/saffronlane/policy/execution/attempts.py
@@ -77,7 +77,9 @@
             return UNRESPONSIVE_REPORT_PERIODS * progress_interval + min(progress_interval, run_time)
         exec_time = self.workload_estimates.exec_time(request)
         timeout = max(MIN_UNRESPONSIVE_TIMEOUT, UNRESPONSIVE_EXEC_TIMES * exec_time)
-        return timeout if self.step_context.limits.hedged_requests else UNHEDGED_TIMEOUT_RATIO * timeout
+        return (
+            timeout if self.step_context.limits.hedged_requests_enabled else UNHEDGED_TIMEOUT_RATIO * timeout
+        )
 
     def on_ended(self, event: api.AttemptEnded) -> None:
         """Process the outcome of an attempt; a second outcome of the same attempt is ignored."""
--- a/saffronlane/policy/execution/hedging.py
+++ b/saffronlane/policy/execution/hedging.py
@@ -73,7 +73,7 @@
         """
         request = attempt.request
         settings = self.step_context.settings
-        if settings.progress_interval > 0.0 or not settings.limits.hedged_requests:
+        if settings.progress_interval > 0.0 or not settings.limits.hedged_requests_enabled:
             self.completion.cancel(attempt)
             return
         is_congested = self.concurrency_limit.latency_inflation >= CONGESTED_INFLATION
--- a/saffronlane/policy/gateway.py
+++ b/saffronlane/policy/gateway.py
@@ -30,10 +30,10 @@
     """The decisions of one gateway: feed `step` with events and carry out the actions it returns."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        self.batch = StepContext(settings, seed)
-        self.fleet = EngineRegistry(settings.machine_types)
+        self.step_context = StepContext(settings, seed)
+        self.engine_registry = EngineRegistry(settings.machine_types)
         self.workload_estimates = WorkloadEstimates(settings)
-        shared = (self.batch, self.fleet, self.workload_estimates)
+        shared = (self.step_context, self.engine_registry, self.workload_estimates)
         self.load_reports = LoadReports(*shared)
         self.outlier_detector = OutlierDetector(*shared)
         self.load_gossip = LoadGossip(*shared)
@@ -62,14 +62,14 @@
         Returns:
             The actions to carry out, in order.
         """
-        self.batch.begin(now)
+        self.step_context.begin(now)
         self.completion.begin_step()
         for event in events:
             self._handle(event)
         if self.pending.queued and any(not isinstance(event, DEFERRED_EVENTS) for event in events):
             self.scheduler.release()
         self._schedule_maintenance()
-        return self.batch.actions
+        return self.step_context.actions
 
     def _handle(self, event: api.Event) -> None:
         """Pass an event to the part that processes it."""
@@ -99,16 +99,16 @@
         """Apply an update of the endpoint list, or plan the next subscription after a failed one."""
         if event.mode is api.EndpointListMode.FAILED:
             self.is_subscribed = False
-            self.next_subscribe_at = self.batch.now + SUBSCRIBE_RETRY_INTERVAL
+            self.next_subscribe_at = self.step_context.now + SUBSCRIBE_RETRY_INTERVAL
             return
-        slow_start_duration = self.batch.guarantees.slow_start_duration
-        self.fleet.apply(event, self.batch.now, slow_start_duration, MAX_REMOVED_ENGINES)
+        slow_start_duration = self.step_context.guarantees.slow_start_duration
+        self.engine_registry.apply(event, self.step_context.now, slow_start_duration, MAX_REMOVED_ENGINES)
         self.engine_selector.on_engines_changed()
         self.outlier_detector.update_panic_mode()
 
     def _on_timer(self, event: api.TimerFired) -> None:
         """Process the subject of a timer; a maintenance timer has none."""
-        match self.batch.timers.pop(event.token, None):
+        match self.step_context.timers.pop(event.token, None):
             case Attempt() as attempt:
                 self.hedging.check_timeout(attempt)
             case GossipExpiry(attempt):
@@ -135,12 +135,12 @@
 
     def _schedule_maintenance(self) -> None:
         """Subscribe to the endpoint list if due; keep a timer while something waits for one."""
-        now = self.batch.now
-        needs_subscription = self.batch.settings.subscribes_to_endpoints and not self.is_subscribed
+        now = self.step_context.now
+        needs_subscription = self.step_context.settings.subscribes_to_endpoints and not self.is_subscribed
         if needs_subscription and now >= self.next_subscribe_at:
             self.is_subscribed = True
             needs_subscription = False
-            self.batch.emit(api.Subscribe(True))
+            self.step_context.emit(api.Subscribe(True))
         if (self.pending.queued or needs_subscription) and self.next_maintenance_at <= now:
             self.next_maintenance_at = now + MAINTENANCE_INTERVAL
-            self.batch.schedule(self.next_maintenance_at, None)
+            self.step_context.schedule(self.next_maintenance_at, None)
--- a/saffronlane/policy/gossip/load_gossip.py
+++ b/saffronlane/policy/gossip/load_gossip.py
@@ -36,7 +36,7 @@
 
     def on_attempt_started(self, attempt: Attempt) -> None:
         """Report an attempt of a heavy request."""
-        if not self.step_context.limits.gossip or not self._should_report(attempt):
+        if not self.step_context.limits.gossip_enabled or not self._should_report(attempt):
             return
         self.last_gossip_number = (self.last_gossip_number + 1) % GOSSIP_NUMBERS
         attempt.gossip_number = self.last_gossip_number
@@ -94,7 +94,7 @@
 
     def report_rejection(self, engine: Engine) -> None:
         """Report an engine that is full, so that the peers avoid it without a rejection each."""
-        if not self.step_context.limits.gossip:
+        if not self.step_context.limits.gossip_enabled:
             return
         if engine.last_rejection_at <= self.step_context.now - REJECTION_COOLDOWN / 2.0:
             digest = messages.engine_digest(engine.id)
--- a/saffronlane/policy/routing/capacity.py
+++ b/saffronlane/policy/routing/capacity.py
@@ -15,7 +15,7 @@
         self.step_context = load_reports.step_context
         self.workload_estimates = load_reports.workload_estimates
         self.concurrency_limit = concurrency_limit
-        self.is_gossip_enabled = load_reports.step_context.limits.gossip
+        self.is_gossip_enabled = load_reports.step_context.limits.gossip_enabled
 
     def has_capacity(self, engine: Engine, request: Request, is_heavy: bool, memory_mb: float) -> bool:
         """Return whether the engine has the capacity for the request.
--- a/saffronlane/simulator/settings.py
+++ b/saffronlane/simulator/settings.py
@@ -133,10 +133,10 @@
 def _limits(params: Params) -> api.Limits:
     return api.Limits(
         can_cancel=params.flag("limits.cancel"),
-        hedged_requests=params.flag("limits.secondCopies"),
-        load_probes=params.flag("limits.probing"),
+        hedged_requests_enabled=params.flag("limits.secondCopies"),
+        load_probes_enabled=params.flag("limits.probing"),
         load_probe_price=params.number("prices.probe", 0.0),
-        gossip=params.flag("limits.peers"),
+        gossip_enabled=params.flag("limits.peers"),
         sends_retry_after=params.flag("limits.retryAfter"),
         max_attempts=int(params.number("limits.sendCap", 1)),
         max_retry_after=params.number("limits.maxRetryAfter", 0.0),
--- a/saffronlane/state/class_statistics.py
+++ b/saffronlane/state/class_statistics.py
@@ -11,7 +11,7 @@
     Attributes:
         class_settings: of the class.
         answer_count: answers so far.
-        recalled_count: those of earlier runs among them.
+        restored_answer_count: those of earlier runs among them.
         estimated_costs, latency_total, work_total, uncontended_work_total: decayed sums. The ratios of the
             others to the estimated costs correct the estimates. Uncontended work is work without what the
             reported load of the engine added.
@@ -25,7 +25,7 @@
 
     def __init__(self, class_settings: api.ClassSettings, prior_answers: float) -> None:
         self.class_settings = class_settings
-        self.answer_count = self.recalled_count = 0
+        self.answer_count = self.restored_answer_count = 0
         self.estimated_costs = self.mean_estimated_cost = 0.0
         self.latency_total = class_settings.latency_objective * prior_answers
         # The prior is high, so that engines in slow start get little work of unknown classes.
--- a/saffronlane/state_directory.py
+++ b/saffronlane/state_directory.py
@@ -15,7 +15,7 @@
 from .config import Config
 from .dispatch import Dispatcher
 from .durability_futures import DurabilityFutures
-from .errors import told
+from .errors import error_fields
 from .learned_state import PersistedState, PurgeCategory, Timestamp, records
 from .purge_requests import take_purge_request
 from .storage import (
@@ -88,7 +88,7 @@
             self.restored_state = PersistedState(self._open(), self._timestamp())
         except (OSError, DirectoryBusyError) as error:
             if str(error) != self.last_error:
-                log.error("knowledge is not kept", folder=str(self.path), **told(error))
+                log.error("knowledge is not kept", folder=str(self.path), **error_fields(error))
             self.last_error = str(error)
             self._release()
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -78,7 +78,7 @@
 
     def arrival(self, cls: int = 0, remaining: float | None = None, **fields: object) -> api.Arrival:
         self.next_request += 1
-        deadline = self.gateway.batch.settings.classes[cls].deadline
+        deadline = self.gateway.step_context.settings.classes[cls].deadline
         return api.Arrival(self.next_request, cls, deadline if remaining is None else remaining, **fields)
 
     def end(self, request: int, outcome: api.Outcome, attempt: int = 0, **fields: object) -> list[api.Action]:
--- a/tests/node/test_certainty.py
+++ b/tests/node/test_certainty.py
@@ -219,7 +219,7 @@
         monkeypatch.setattr(UpstreamConnection, "flush", cross)
         assert await client.answer(client.call("frail", rid(2))) == (None, [ROWS, {}])
         assert crossed and told == [Outcome.OK, Outcome.OK]
-        assert not built.node.dispatcher.gateway.fleet.engines[b"node-0"].failure_ratio
+        assert not built.node.dispatcher.gateway.engine_registry.engines[b"node-0"].failure_ratio
 
     play(work)
 
--- a/tests/node/test_ends.py
+++ b/tests/node/test_ends.py
@@ -47,7 +47,11 @@
         node = built.node
         assert len(node.endpoints) == len(node.dispatcher._engines) == 1
         assert len(node.links.pool.connections_by_engine) <= 1
-        assert len(gateway.fleet.engines) == len(gateway.fleet.engine_by_digest) <= MAX_REMOVED_ENGINES + 1
+        assert (
+            len(gateway.engine_registry.engines)
+            == len(gateway.engine_registry.engine_by_digest)
+            <= MAX_REMOVED_ENGINES + 1
+        )
         assert len(gateway.engine_selector.eligibility.rendezvous_order.cached_orders) <= 2
 
     play(work)
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -122,7 +122,7 @@
     record = [asked("a", 0.0), *run_of("a", 0.1, took=1.0), *run_of("a", 0.5, attempt=1, engine="e1")]
     record += [answer("a", 1.2)]
     assert rules_broken(record) == [2]
-    copies = replace(SETTINGS, limits=replace(SETTINGS.limits, hedged_requests=True))
+    copies = replace(SETTINGS, limits=replace(SETTINGS.limits, hedged_requests_enabled=True))
     assert rules_broken(record, copies) == []
 
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import saffronlane
-from saffronlane.errors import SaffronlaneError, told
+from saffronlane.errors import SaffronlaneError, error_fields
 
 PAGE = Path(__file__).parent.parent / "docs" / "errors.md"
 
@@ -53,10 +53,12 @@
     class Lost(SaffronlaneError):
         remedy = "Look for it."
 
-    assert told(Lost("the key is gone", place="/keys/3")) == {
+    assert error_fields(Lost("the key is gone", place="/keys/3")) == {
         "why": "the key is gone",
         "place": "/keys/3",
         "remedy": "Look for it.",
     }
-    assert told(OSError(28, "No space left on device")) == {"why": "[Errno 28] No space left on device"}
-    assert told(TimeoutError()) == {"why": "TimeoutError()"}
+    assert error_fields(OSError(28, "No space left on device")) == {
+        "why": "[Errno 28] No space left on device"
+    }
+    assert error_fields(TimeoutError()) == {"why": "TimeoutError()"}
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from saffronlane import dispatch as d
+from saffronlane import dispatch
 from saffronlane import interface as api
 from saffronlane.interface import EndpointListMode, EngineState, Outcome
 
@@ -33,8 +33,8 @@
 )
 LIMITS = api.Limits(
     can_cancel=True,
-    hedged_requests=True,
-    gossip=True,
+    hedged_requests_enabled=True,
+    gossip_enabled=True,
     sends_retry_after=True,
     max_attempts=3,
     max_retry_after=0.5,
@@ -90,7 +90,7 @@
 
     def __init__(self, seed: int, gateways: int = GATEWAYS) -> None:
         self.random, self.now = Random(seed), 0.0
-        self.cores = [d.Dispatcher(settings(n), seed + n) for n in range(gateways)]
+        self.cores = [dispatch.Dispatcher(settings(n), seed + n) for n in range(gateways)]
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.sequence = 0
         self.wakes = [math.inf] * gateways
@@ -114,7 +114,7 @@
             what()
         self.now = until
 
-    def step(self, place: int, *inputs: d.Input) -> None:
+    def step(self, place: int, *inputs: dispatch.Input) -> None:
         core = self.cores[place]
         for effect in core.step(self.now, list(inputs)):
             self.do(place, effect)
@@ -144,7 +144,7 @@
         self.asked[place].append(self.now)
         cost = work * self.random.uniform(0.7, 1.4)
         tables = float(min(self.random.randrange(600), self.random.randrange(600)))
-        told = d.Submit(
+        told = dispatch.Submit(
             number,
             cls,
             cls_.deadline,
@@ -156,12 +156,12 @@
 
     # --- what dispatchers do ---
 
-    def do(self, place: int, effect: d.Effect) -> None:
-        if isinstance(effect, d.StartAttempt):
+    def do(self, place: int, effect: dispatch.Effect) -> None:
+        if isinstance(effect, dispatch.StartAttempt):
             self.start(place, effect)
-        elif isinstance(effect, (d.CancelAttempt, d.DiscardAttempt)):
+        elif isinstance(effect, (dispatch.CancelAttempt, dispatch.DiscardAttempt)):
             self.end(place, effect.request, effect.attempt, Outcome.CANCELLED)
-        elif isinstance(effect, (d.CompleteRequest, d.RejectRequest, d.FailRequest)):
+        elif isinstance(effect, (dispatch.CompleteRequest, dispatch.RejectRequest, dispatch.FailRequest)):
             self.requests[place, effect.request].answers.append(type(effect).__name__)
             assert self.now <= self.requests[place, effect.request].limit  # rule 1
         elif isinstance(effect, api.SendGossip):
@@ -171,7 +171,7 @@
                     message = api.PeerMessage(place, effect.data)
                     self.at(self.now + 0.008, lambda other=other, m=message: self.step(other, m))
 
-    def start(self, place: int, effect: d.StartAttempt) -> None:
+    def start(self, place: int, effect: dispatch.StartAttempt) -> None:
         request, engine = self.requests[place, effect.request], effect.engine
         state, since = self.states[engine]
         assert state is EngineState.READY or self.now <= since + RULES.drain_grace_period  # rule 3
@@ -193,7 +193,7 @@
         self.at(self.now + elapsed, lambda: self.finish(name, engine, Outcome.OK, elapsed))
 
     def end(self, place: int, request: int, attempt: int, outcome: Outcome) -> None:
-        done = d.AttemptDone(request, attempt, outcome, 0.1)
+        done = dispatch.AttemptDone(request, attempt, outcome, 0.1)
         for running in self.running.values():
             if running.pop((place, request, attempt), None) is not None:
                 self.at(self.now, lambda: self.step(place, done))
@@ -204,7 +204,7 @@
         if outcome is Outcome.OK and gone:
             return
         work = self.works[name[:2]]
-        self.step(name[0], d.AttemptDone(name[1], name[2], outcome, elapsed, work, 50.0 * work))
+        self.step(name[0], dispatch.AttemptDone(name[1], name[2], outcome, elapsed, work, 50.0 * work))
 
     # --- what must hold over all ---
 
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -15,7 +15,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from saffronlane import dispatch as d
+from saffronlane import dispatch
 from saffronlane import gossip_messages as messages
 from saffronlane import interface as api
 from saffronlane.dispatch.recording import RecordingWriter, replay
@@ -55,9 +55,11 @@
         self.memory = PersistedState(tuple(folder.items()), at)
         self.record = io.BytesIO()
         recording = RecordingWriter(self.record, settings, seed, persisted_state=self.memory)
-        self.core = d.Dispatcher(settings, seed, recording, persisted_state=self.memory, is_persistent=True)
+        self.core = dispatch.Dispatcher(
+            settings, seed, recording, persisted_state=self.memory, is_persistent=True
+        )
         self.now = at.monotonic_s
-        self.effects: list[d.Effect] = []
+        self.effects: list[dispatch.Effect] = []
         self.write(self.core.first_changes)
         self.sign()
 
@@ -76,12 +78,12 @@
             [k.make_change(k.RUN, k.RunRecord(self.now, wall, at.boot_id, at.directory_id, "test", *place))]
         )
 
-    def step(self, *inputs: d.Input, after: float = 0.0) -> list[d.Effect]:
+    def step(self, *inputs: dispatch.Input, after: float = 0.0) -> list[dispatch.Effect]:
         self.now += after
         effects = self.core.step(self.now, list(inputs))
         self.effects += effects
         for effect in effects:
-            if isinstance(effect, d.Persist):
+            if isinstance(effect, dispatch.Persist):
                 self.write(effect.changes)
         return effects
 
@@ -93,13 +95,13 @@
 
     def submit(self, cls: int = 0, remaining: float = 4.0, **fields) -> int:
         request = self.core.new_request()
-        self.step(d.Submit(request, cls, remaining, **fields))
+        self.step(dispatch.Submit(request, cls, remaining, **fields))
         return request
 
     def done(
         self, request: int, outcome: Outcome = Outcome.OK, elapsed: float = 0.1, attempt: int = 0, **fields
     ) -> None:
-        self.step(d.AttemptDone(request, attempt, outcome, elapsed, **fields), after=elapsed)
+        self.step(dispatch.AttemptDone(request, attempt, outcome, elapsed, **fields), after=elapsed)
 
     def pass_time(self, seconds: float) -> None:
         end = self.now + seconds
@@ -109,12 +111,12 @@
         self.now = max(self.now, end)
         self.sign()
 
-    def sends(self, request: int | None = None) -> list[d.StartAttempt]:
-        found = [e for e in self.effects if isinstance(e, d.StartAttempt)]
+    def sends(self, request: int | None = None) -> list[dispatch.StartAttempt]:
+        found = [e for e in self.effects if isinstance(e, dispatch.StartAttempt)]
         return [e for e in found if request in (None, e.request)]
 
-    def answers(self, request: int) -> list[d.Effect]:
-        kinds = (d.CompleteRequest, d.RejectRequest, d.FailRequest)
+    def answers(self, request: int) -> list[dispatch.Effect]:
+        kinds = (dispatch.CompleteRequest, dispatch.RejectRequest, dispatch.FailRequest)
         return [e for e in self.effects if isinstance(e, kinds) and e.request == request]
 
     def killed(self, gap: float = 0.5, **at) -> Life:
@@ -149,7 +151,7 @@
         one.engines()
     again, twice = after.submit(idempotency_key=b"mine"), lost.submit(idempotency_key=b"mine")
     after.pass_time(1.0)
-    assert not after.sends(again) and [type(a) for a in after.answers(again)] == [d.FailRequest]
+    assert not after.sends(again) and [type(a) for a in after.answers(again)] == [dispatch.FailRequest]
     assert lost.sends(twice)  # without the folder its effect comes twice
     other = after.submit(idempotency_key=b"another")
     assert after.sends(other)
@@ -174,7 +176,7 @@
             zone = next(e for e in zones if e.engine == after.sends(again)[0].engine).zone
             assert zone == first
         else:
-            assert [type(a) for a in after.answers(again)] == [d.FailRequest]
+            assert [type(a) for a in after.answers(again)] == [dispatch.FailRequest]
 
 
 def test_where_clocks_lie_a_keyed_request_is_rather_failed_than_repeated():
@@ -190,7 +192,7 @@
         after.engines()
         again = after.submit(idempotency_key=b"key")
         after.pass_time(0.2)
-        assert not after.sends(again) and [type(a) for a in after.answers(again)] == [d.FailRequest]
+        assert not after.sends(again) and [type(a) for a in after.answers(again)] == [dispatch.FailRequest]
 
 
 def test_what_certainly_never_ran_leaves_no_trace():
@@ -212,7 +214,7 @@
     again = life.submit(idempotency_key=b"mine")
     life.pass_time(0.2)
     (answer,) = life.answers(again)
-    assert not life.sends(again) and isinstance(answer, d.FailRequest) and "this key" in answer.reason
+    assert not life.sends(again) and isinstance(answer, dispatch.FailRequest) and "this key" in answer.reason
 
 
 def test_requests_that_are_forgotten_leave_the_folder_too():
@@ -351,9 +353,9 @@
         "after a boot": (life.killed(gap=0.5, boot_id="next", monotonic_s=1.0), False),
     }
     for name, (after, exact) in cases.items():
-        assert (after.core.gateway.batch.started_at < after.start.monotonic_s) is exact, name
+        assert (after.core.gateway.step_context.started_at < after.start.monotonic_s) is exact, name
     after = life.stopped(gap=60.0)
-    assert after.core.gateway.batch.started_at < life.now  # it told of its end: nothing was sent since
+    assert after.core.gateway.step_context.started_at < life.now  # it told of its end: nothing was sent since
 
 
 def test_a_run_that_was_not_exact_does_not_make_the_next_one_so():
@@ -363,7 +365,7 @@
     life.engines()
     second = life.killed(gap=3600.0)
     third = second.killed(gap=0.5)
-    assert third.core.gateway.batch.started_at == second.start.monotonic_s
+    assert third.core.gateway.step_context.started_at == second.start.monotonic_s
 
 
 # --- rule 7 ---
@@ -423,7 +425,7 @@
     life.list(*(api.EngineEntry(engine_id(n), EngineState.READY) for n in range(3)))
     life.pass_time(11.0)
 
-    def step_of(request: int, attempt: int = 0) -> tuple[int, d.StartAttempt]:
+    def step_of(request: int, attempt: int = 0) -> tuple[int, dispatch.StartAttempt]:
         start = next(e for e in life.sends(request) if e.attempt == attempt)
         return life.effects.index(start), start
 
@@ -433,27 +435,29 @@
     ):
         before = len(life.effects)
         at, start = step_of(life.submit(**fields))
-        keep = next(e for e in life.effects[before:at] if isinstance(e, d.Persist) and e.is_write_ahead)
+        keep = next(
+            e for e in life.effects[before:at] if isinstance(e, dispatch.Persist) and e.is_write_ahead
+        )
         assert start.durability_timeout > 0.0 and key in [c.key for c in keep.changes]
     plain = life.submit(cls=2)
     assert step_of(plain)[1].durability_timeout == 0.0  # nothing depends on it: it does not wait
     before = len(life.effects)
     life.done(plain, Outcome.ERROR)
     at, start = step_of(plain, 1)
-    keep = next(e for e in life.effects[before:at] if isinstance(e, d.Persist) and e.is_write_ahead)
+    keep = next(e for e in life.effects[before:at] if isinstance(e, dispatch.Persist) and e.is_write_ahead)
     assert start.durability_timeout > 0.0 and k.RETRY_BUDGET in [c.key for c in keep.changes]
 
 
 def test_without_a_folder_nothing_waits():
-    core = d.Dispatcher(make_settings(classes=(UNSAFE,)), 1)
+    core = dispatch.Dispatcher(make_settings(classes=(UNSAFE,)), 1)
     core.step(
         1.0,
         [api.EndpointListUpdate(api.EndpointListMode.FULL, 1, (api.EngineEntry(b"e", EngineState.READY),))],
     )
-    effects = core.step(2.0, [d.Submit(core.new_request(), 0, 4.0, idempotency_key=b"x")])
-    assert [e.durability_timeout for e in effects if isinstance(e, d.StartAttempt)] == [0.0]
+    effects = core.step(2.0, [dispatch.Submit(core.new_request(), 0, 4.0, idempotency_key=b"x")])
+    assert [e.durability_timeout for e in effects if isinstance(e, dispatch.StartAttempt)] == [0.0]
     assert (
-        not [e for e in effects if isinstance(e, d.Persist)]
+        not [e for e in effects if isinstance(e, dispatch.Persist)]
         and core.checkpointer.next_checkpoint_at == math.inf
     )
 
@@ -548,14 +552,14 @@
 
 def test_knowledge_that_keeps_its_own_refutation_away_is_dropped():
     """Guards a class whose recalled needs fit no engine: nothing is sent, so no answer could ever tell."""
-    life = taught(limits=replace(make_settings().limits, gossip=True))
+    life = taught(limits=replace(make_settings().limits, gossip_enabled=True))
     life.core.gateway.workload_estimates.estimators[0].memory_requirement = 1e8
     life.done(life.submit(), elapsed=0.05, work=0.05)
     life.pass_time(1.0)
     after = life.killed()
     after.engines(4)
     # Others hold so much that only a small need fits.
-    for n, engine in enumerate(after.core.gateway.fleet.engines):
+    for n, engine in enumerate(after.core.gateway.engine_registry.engines):
         told = messages.GossipMessage(n, 1, False, 0, 40.0, 0.6, messages.engine_digest(engine))
         after.step(api.PeerMessage(1, messages.encode(told)))
     held = after.submit(estimated_memory_mb=100.0)
@@ -640,7 +644,7 @@
         life.done(request, Outcome.RESET if bad else Outcome.OK, elapsed=0.02)
         if bad and len(life.sends(request)) > 1:
             life.done(request, elapsed=0.02, attempt=1)
-    assert life.core.gateway.fleet.engines[engine_id(0)].is_ejected
+    assert life.core.gateway.engine_registry.engines[engine_id(0)].is_ejected
     life.pass_time(1.0)
     return life
 
@@ -648,8 +652,8 @@
 def test_an_ill_engine_is_not_found_out_anew():
     after = ill_engine().killed()
     after.engines(4)
-    engine = after.core.gateway.fleet.engines[engine_id(0)]
-    assert engine.is_ejected and not after.core.gateway.fleet.engines[engine_id(1)].is_ejected
+    engine = after.core.gateway.engine_registry.engines[engine_id(0)]
+    assert engine.is_ejected and not after.core.gateway.engine_registry.engines[engine_id(1)].is_ejected
     sends = [after.submit() for _ in range(20)]
     assert sum(e.engine == engine_id(0) for r in sends for e in after.sends(r)) <= 1  # a trial
 
@@ -658,16 +662,16 @@
     life = ill_engine(started=HERE.monotonic_s - 500.0)
     again = life.killed()
     again.engines(4, started_at=HERE.monotonic_s - 500.0)
-    assert again.core.gateway.fleet.engines[engine_id(0)].is_ejected
+    assert again.core.gateway.engine_registry.engines[engine_id(0)].is_ejected
     restarted = life.killed()
     restarted.engines(4, started_at=life.now)
-    assert not restarted.core.gateway.fleet.engines[engine_id(0)].is_ejected
+    assert not restarted.core.gateway.engine_registry.engines[engine_id(0)].is_ejected
 
 
 def test_wrong_illness_is_disproved_by_its_trials():
     after = ill_engine().killed(gap=2.0)
     after.engines(4)
-    engine = after.core.gateway.fleet.engines[engine_id(0)]
+    engine = after.core.gateway.engine_registry.engines[engine_id(0)]
     while engine.is_ejected and after.now - after.start.monotonic_s < 12.0:
         after.done(after.submit(), elapsed=0.02)
     assert not engine.is_ejected
@@ -676,7 +680,7 @@
 def test_old_illness_says_nothing():
     after = ill_engine().killed(gap=weigh.MAX_HEALTH_AGE + 1.0)
     after.engines(4)
-    assert not after.core.gateway.fleet.engines[engine_id(0)].is_ejected
+    assert not after.core.gateway.engine_registry.engines[engine_id(0)].is_ejected
 
 
 def test_engines_that_left_the_list_are_remembered_for_a_while_and_then_not():
@@ -795,7 +799,7 @@
     open_one = life.submit(ordering_key=5)
     unsafe = life.submit(cls=1, idempotency_key=b"u")
     life.core.gateway.hedging.on_progress = lambda event: 1 / 0
-    life.step(d.AttemptProgress(open_one, 0, api.ProgressKind.PROGRESS, 0.5))
+    life.step(dispatch.AttemptProgress(open_one, 0, api.ProgressKind.PROGRESS, 0.5))
     assert life.core.fault_count == 1 and life.answers(open_one) and life.answers(unsafe)
     assert life.core.gateway.workload_estimates.estimators[0].exec_time() == pytest.approx(0.05, rel=0.05)
     life.pass_time(1.7)
@@ -815,7 +819,7 @@
     after.engines(4)
     for n in range(30):
         after.done(after.submit(idempotency_key=b"%d" % n), elapsed=0.03)
-    after.step(d.PurgeLearnedState((PurgeCategory.CLASSES,)))
+    after.step(dispatch.PurgeLearnedState((PurgeCategory.CLASSES,)))
     after.pass_time(3.0)
     path = tmp_path / "record"
     path.write_bytes(after.record.getvalue())
@@ -825,11 +829,11 @@
 
 def test_an_operator_may_have_a_running_gateway_forget():
     life = ill_engine()
-    life.step(d.PurgeLearnedState((PurgeCategory.CLASSES, PurgeCategory.ENGINES)))
+    life.step(dispatch.PurgeLearnedState((PurgeCategory.CLASSES, PurgeCategory.ENGINES)))
     life.pass_time(1.0)
     gateway = life.core.gateway
     assert (
-        not gateway.fleet.engines[engine_id(0)].is_ejected
+        not gateway.engine_registry.engines[engine_id(0)].is_ejected
         and gateway.workload_estimates.estimators[0].answer_count == 0
     )
     assert k.CLASS + b"short" not in life.folder
@@ -849,14 +853,14 @@
     old.submit(cls=1, ordering_key=3)
     old.pass_time(1.0)
     new = Life(old.settings, {}, replace(HERE, monotonic_s=old.now))
-    core = d.Dispatcher(old.settings, 1)
+    core = dispatch.Dispatcher(old.settings, 1)
     new.core, new.effects = core, []
     new.engines(4)
     new.submit(cls=0)
     old.sign()
     new.folder = dict(old.folder)
     new.step(
-        d.AttachLearnedState(
+        dispatch.AttachLearnedState(
             PersistedState(tuple(old.folder.items()), replace(HERE, monotonic_s=old.now + 0.5))
         ),
         after=0.5,
@@ -887,7 +891,7 @@
         assert (summary.engines, summary.requests, summary.orders) == (1, 1, 1)
         gateway = life.core.gateway
         assert (
-            gateway.fleet.engines[engine_id(0)].is_ejected
+            gateway.engine_registry.engines[engine_id(0)].is_ejected
             and len(gateway.completion.retry_policy.budget.retries) == 1
         )
         changed = life.folder[k.CLASS + b"short"]
--- a/tests/test_many_gateways.py
+++ b/tests/test_many_gateways.py
@@ -26,7 +26,7 @@
     slow_start_duration=14.0,
 )
 COLD_BUDGET = 3.0 * 0.35 * 8.0 * WINDOW
-PEERS = api.Limits(can_cancel=True, max_attempts=4, gossip=True)
+PEERS = api.Limits(can_cancel=True, max_attempts=4, gossip_enabled=True)
 
 
 def many(count: int = GATEWAYS, engines: int = ENGINES, **changes: object) -> list[Driver]:
@@ -128,7 +128,9 @@
 
 
 def test_hedged_attempt_does_not_cancel_the_first_one() -> None:
-    driver = Driver(make_settings(limits=replace(PEERS, gossip=False, hedged_requests=True)), engines=4)
+    driver = Driver(
+        make_settings(limits=replace(PEERS, gossip_enabled=False, hedged_requests_enabled=True)), engines=4
+    )
     for _ in range(30):
         driver.end(driver.ask(), Outcome.OK, work=0.1, elapsed=0.1)
     request = driver.ask()
@@ -141,7 +143,7 @@
 
 def test_probe_requests_to_many_dead_engines_do_not_take_all_requests() -> None:
     driver = many(1)[0]
-    dead = list(driver.gateway.fleet.engines.values())[:15]
+    dead = list(driver.gateway.engine_registry.engines.values())[:15]
     for engine in dead:
         driver.gateway.outlier_detector.eject(engine, "failing")
     trials = 0
@@ -172,7 +174,7 @@
     request = sender.ask(cls=1, table_group=4.0)
     for told in sender.of_kind(api.SendGossip):
         receiver.step(api.PeerMessage(0, told.data))
-    engine = receiver.gateway.fleet.engines[sender.sends(request)[0].engine]
+    engine = receiver.gateway.engine_registry.engines[sender.sends(request)[0].engine]
     assert engine.is_bulk_loading(4.0) and engine.peer_threads == REPORT.threads
     before = len(sender.of_kind(api.SendGossip))
     sender.end(request, Outcome.OK, work=2.0, elapsed=1.0)
@@ -202,7 +204,7 @@
 def test_every_heavy_request_is_reported() -> None:
     """Guards against a limit on what is told that the fleet passes: the most loaded moment went untold."""
     driver = telling(1, loads=False, gateway_count=230)
-    engines = list(driver.gateway.fleet.engines)
+    engines = list(driver.gateway.engine_registry.engines)
     for sender in range(2, 232):
         for number in range(4):
             told = messages.GossipMessage(
@@ -224,7 +226,7 @@
 def test_a_query_that_needs_all_memory_of_an_engine_is_served_while_half_is_free() -> None:
     """Guards against a class that never fits: its grant passes the part that own and told grants may fill."""
     driver = telling(1, loads=False, memory_grants_enabled=True)
-    engines = list(driver.gateway.fleet.engines)
+    engines = list(driver.gateway.engine_registry.engines)
 
     def tell(share: float, number: int) -> None:
         for engine in engines:
@@ -252,7 +254,7 @@
     for driver in drivers[1:]:
         driver.step(api.PeerMessage(0, told[0].data))
         assert driver.sends(driver.ask(table_group=4.0))[0].engine != full
-        until.add(driver.gateway.fleet.engines[full].last_rejection_at)
+        until.add(driver.gateway.engine_registry.engines[full].last_rejection_at)
         driver.now += 2.0 * REJECTION_COOLDOWN + 0.01
         assert full in {driver.sends(driver.ask(table_group=4.0))[0].engine for _ in range(4)}
     assert len(until) == 2
--- a/tests/test_missing_signals.py
+++ b/tests/test_missing_signals.py
@@ -111,7 +111,7 @@
     """Own threads of one of many gateways tell nothing of an engine that the others fill."""
     driver = Driver(make_settings(gateway_count=100, **REPORTING), engines=3)
     for index in range(3):
-        engine = driver.gateway.fleet.engines[engine_id(index)]
+        engine = driver.gateway.engine_registry.engines[engine_id(index)]
         driver.gateway.load_reports.record(engine, (1.0, 4.0 if index else 60.0))
     requests = [driver.ask(table_group=float(i)) for i in range(30)]
     assert engine_id(0) not in {driver.sends(r)[0].engine for r in requests}
@@ -120,7 +120,7 @@
     assert engine_id(0) in {driver.sends(r)[0].engine for r in requests}
 
 
-PROBING = api.Limits(can_cancel=True, max_attempts=4, load_probes=True, load_probe_price=0.01)
+PROBING = api.Limits(can_cancel=True, max_attempts=4, load_probes_enabled=True, load_probe_price=0.01)
 
 
 def test_heavy_request_probes_load_and_waits_briefly() -> None:
@@ -159,7 +159,7 @@
 
 def test_odd_probe_results_are_harmless() -> None:
     driver = Driver(make_settings(limits=PROBING, **REPORTING), engines=2)
-    known = driver.gateway.fleet.engines[engine_id(0)]
+    known = driver.gateway.engine_registry.engines[engine_id(0)]
     for report in ((), (1.0,), (float("nan"), float("nan")), (1.0, -3.0), (1.0, float("inf")), (0.0,) * 4):
         driver.step(api.ProbeResult(engine_id(0), Outcome.OK, 0.001, report))
     assert known.reported_threads_per_core == 0.0
@@ -175,10 +175,12 @@
 def test_a_new_engine_counts_as_empty_not_as_loaded_like_the_mean() -> None:
     driver = Driver(make_settings(gateway_count=100, **REPORTING), engines=3)
     for index in range(3):
-        driver.gateway.load_reports.record(driver.gateway.fleet.engines[engine_id(index)], (1.0, 20.0))
+        driver.gateway.load_reports.record(
+            driver.gateway.engine_registry.engines[engine_id(index)], (1.0, 20.0)
+        )
     entry = api.EngineEntry(engine_id(7), api.EngineState.READY, started_at=driver.now)
     driver.list([entry], api.EndpointListMode.DELTA)
-    fresh, *others = (driver.gateway.fleet.engines[engine_id(i)] for i in (7, 0, 1, 2))
+    fresh, *others = (driver.gateway.engine_registry.engines[engine_id(i)] for i in (7, 0, 1, 2))
     assert (
         driver.gateway.engine_selector.load(fresh)
         < min(map(driver.gateway.engine_selector.load, others)) / 4.0
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from saffronlane import dispatch as d
+from saffronlane import dispatch
 from saffronlane import interface as api
 from saffronlane.engines import Executor, orca
 from saffronlane.engines.flight import ExecutorLimits, FlightLinks, Work
@@ -56,7 +56,7 @@
     assert classify(ending, status, heard) == expected
 
 
-class Recorder(d.Dispatcher):
+class Recorder(dispatch.Dispatcher):
     """A dispatcher that keeps the ends of attempts, and repeats nothing."""
 
     def __init__(self) -> None:
@@ -67,12 +67,12 @@
             report_columns=("active", "cpu"),
         )
         super().__init__(settings, 1)
-        self.ends: list[d.AttemptDone] = []
-        self.notes: list[d.AttemptProgress] = []
+        self.ends: list[dispatch.AttemptDone] = []
+        self.notes: list[dispatch.AttemptProgress] = []
 
-    def step(self, now: float, inputs: list[d.Input]) -> list[d.Effect]:
-        self.ends += [i for i in inputs if isinstance(i, d.AttemptDone)]
-        self.notes += [i for i in inputs if isinstance(i, d.AttemptProgress)]
+    def step(self, now: float, inputs: list[dispatch.Input]) -> list[dispatch.Effect]:
+        self.ends += [i for i in inputs if isinstance(i, dispatch.AttemptDone)]
+        self.notes += [i for i in inputs if isinstance(i, dispatch.AttemptProgress)]
         return super().step(now, inputs)
 
 
@@ -123,9 +123,9 @@
     def ask(self, remaining: float = 5.0, work: Work | None = None) -> tuple[int, Answer]:
         answer = Answer()
         work = work or Work("SELECT 1")
-        return self.executor.submit(work, answer, lambda n: d.Submit(n, 0, remaining)), answer
+        return self.executor.submit(work, answer, lambda n: dispatch.Submit(n, 0, remaining)), answer
 
-    async def end(self) -> d.AttemptDone:
+    async def end(self) -> dispatch.AttemptDone:
         """The first end of an attempt."""
         async with asyncio.timeout(10.0):
             while not self.core.ends:
@@ -145,8 +145,8 @@
     asyncio.run(bounded())
 
 
-def outcome_of(do_get: Handler, get_info: Handler = info, remaining: float = 5.0) -> d.AttemptDone:
-    found: list[d.AttemptDone] = []
+def outcome_of(do_get: Handler, get_info: Handler = info, remaining: float = 5.0) -> dispatch.AttemptDone:
+    found: list[dispatch.AttemptDone] = []
 
     async def work() -> None:
         peer = Peer({"GetFlightInfo": get_info, "DoGet": do_get})
@@ -509,7 +509,7 @@
         effects = peer.executor._effects
         start = effects._start_attempt
 
-        def faulty(effect: d.StartAttempt) -> None:
+        def faulty(effect: dispatch.StartAttempt) -> None:
             if effect.request == first[0]:
                 raise KeyError("a fault of ours")
             start(effect)
--- a/tests/test_random_events.py
+++ b/tests/test_random_events.py
@@ -51,7 +51,11 @@
     def __init__(self, seed: int) -> None:
         self.random = Random(seed)
         limits = api.Limits(
-            can_cancel=True, max_attempts=3, max_retry_after=1.0, load_probes=True, load_probe_price=0.01
+            can_cancel=True,
+            max_attempts=3,
+            max_retry_after=1.0,
+            load_probes_enabled=True,
+            load_probe_price=0.01,
         )
         plain = make_settings(
             classes=CLASSES,
--- a/tests/test_request_table.py
+++ b/tests/test_request_table.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from saffronlane import dispatch as d
+from saffronlane import dispatch
 from saffronlane import interface as api
 from saffronlane.dispatch.engine_table import EngineTable
 from saffronlane.dispatch.errors import DuplicateRequestError
@@ -17,8 +17,8 @@
 LIMITS = api.Limits(sends_retry_after=True, max_retry_after=10.0)
 
 
-def table_with_request(can_cancel: bool = True) -> tuple[RequestTable, Request, list[d.Effect]]:
-    effects: list[d.Effect] = []
+def table_with_request(can_cancel: bool = True) -> tuple[RequestTable, Request, list[dispatch.Effect]]:
+    effects: list[dispatch.Effect] = []
     table = RequestTable(effects, can_cancel)
     request = Request(1)
     table.add(request)
@@ -27,9 +27,9 @@
 
 def test_a_request_is_answered_once() -> None:
     table, request, effects = table_with_request()
-    table.answer(request, d.FailRequest(1, "first"))
-    table.answer(request, d.FailRequest(1, "second"))
-    assert effects == [d.FailRequest(1, "first")]
+    table.answer(request, dispatch.FailRequest(1, "first"))
+    table.answer(request, dispatch.FailRequest(1, "second"))
+    assert effects == [dispatch.FailRequest(1, "first")]
     assert table.pending_count == 0
 
 
@@ -45,7 +45,7 @@
     first = request.add_attempt(b"a")
     second = request.add_attempt(b"b")
     table.commit(request, second)
-    assert effects == [d.Commit(1, 1), d.CancelAttempt(1, 0)]
+    assert effects == [dispatch.Commit(1, 1), dispatch.CancelAttempt(1, 0)]
     table.cancel(request, first)
     assert len(effects) == 2, "an attempt is cancelled once"
 
@@ -55,7 +55,7 @@
     attempt = request.add_attempt(b"a")
     table.answer(request, None)
     table.release_answered()
-    assert effects == [d.DiscardAttempt(1, 0)]
+    assert effects == [dispatch.DiscardAttempt(1, 0)]
     assert len(table) == 1 and table.in_flight_count == 1
     attempt.has_ended = True
     assert table.find_in_flight(1, 0) is None
@@ -81,7 +81,7 @@
     intake = RequestIntake(LIMITS, max_pending=5)
     assert intake.rejection(1, pending_count=5, now=0.0) is None
     rejection = intake.rejection(1, pending_count=6, now=0.0)
-    assert rejection == d.RejectRequest(1, 10.0, "5 requests wait already")
+    assert rejection == dispatch.RejectRequest(1, 10.0, "5 requests wait already")
 
 
 def test_a_drain_rejects_with_the_rest_of_its_grace_period() -> None:
--- a/tests/test_rules_kept.py
+++ b/tests/test_rules_kept.py
@@ -281,7 +281,7 @@
 def test_unsafe_load_is_never_the_probe_request_of_an_ejected_engine() -> None:
     classes = (LOOKUP, replace(LOOKUP, idempotency=Idempotency.UNSAFE))
     driver = Driver(make_settings(classes=classes), engines=3)
-    driver.gateway.outlier_detector.eject(driver.gateway.fleet.engines[engine_id(0)], "failing")
+    driver.gateway.outlier_detector.eject(driver.gateway.engine_registry.engines[engine_id(0)], "failing")
     used: dict[int, set[bytes]] = {0: set(), 1: set()}
     for i in range(60):
         driver.now += 1.0
@@ -345,7 +345,7 @@
     """
     random, wait = Random(seed), 0.25
     guarantees = api.Guarantees(retry_budget_base=3.0, retry_budget_ratio=0.2, retry_budget_window=10.0)
-    limits = api.Limits(can_cancel=True, hedged_requests=True, max_attempts=3, connect_timeout=wait)
+    limits = api.Limits(can_cancel=True, hedged_requests_enabled=True, max_attempts=3, connect_timeout=wait)
     driver = Driver(make_settings(guarantees=guarantees, limits=limits), engines=12, seed=seed)
     usual: list[float] = []
     extras: list[float] = []
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -20,7 +20,7 @@
 def warmed(**changes: object) -> Driver:
     """A driver whose classes have learned 0.1 s of work and latency each."""
     driver = Driver(make_settings(**changes), engines=4)
-    for cls in range(len(driver.gateway.batch.settings.classes)):
+    for cls in range(len(driver.gateway.step_context.settings.classes)):
         for _ in range(20):
             driver.end(driver.ask(cls=cls), Outcome.OK, work=0.1, elapsed=0.1)
     return driver
@@ -43,7 +43,7 @@
     driver.list([api.EngineEntry(engine_id(0), EngineState.READY)])
     for _ in range(10):
         driver.end(driver.ask(), Outcome.TIMEOUT)
-    assert not driver.gateway.fleet.engines[engine_id(0)].is_ejected
+    assert not driver.gateway.engine_registry.engines[engine_id(0)].is_ejected
 
 
 def test_errors_eject_an_engine_and_probe_requests_bring_it_back(driver: Driver) -> None:
@@ -71,7 +71,7 @@
 
 
 def test_panic_mode_ignores_ejections_when_most_engines_are_ejected(driver: Driver) -> None:
-    for engine in list(driver.gateway.fleet.engines.values())[:3]:
+    for engine in list(driver.gateway.engine_registry.engines.values())[:3]:
         driver.gateway.outlier_detector.eject(engine, "failing")
     driver.gateway.outlier_detector.update_panic_mode()
     used = {driver.sends(driver.ask(table_group=float(i)))[0].engine for i in range(12)}
@@ -81,7 +81,7 @@
 def test_unresponsive_engine_loses_its_attempts_and_one_response_brings_it_back() -> None:
     driver = warmed(**NOTED)
     request = driver.ask(table_group=1.0)
-    silent = driver.gateway.fleet.engines[driver.sends(request)[0].engine]
+    silent = driver.gateway.engine_registry.engines[driver.sends(request)[0].engine]
     (late,) = silent.in_flight.values()
     other = next(
         r
@@ -109,8 +109,8 @@
         driver.pass_time(driver.now + 0.2)
         for request in requests:
             driver.end(request, Outcome.OK, work=0.1)
-    assert len(driver.gateway.fleet.engines[first].in_flight) == 1
-    assert not driver.gateway.fleet.engines[first].is_ejected
+    assert len(driver.gateway.engine_registry.engines[first].in_flight) == 1
+    assert not driver.gateway.engine_registry.engines[first].is_ejected
 
 
 def test_bulk_load_avoids_an_engine_with_a_bulk_load_of_its_table_group() -> None:
@@ -123,7 +123,7 @@
     driver = Driver(make_settings(memory_grants_enabled=True, gateway_count=2), engines=1)
     for _ in range(10):
         driver.ask(cls=1, estimated_memory_mb=3000.0)
-    size = driver.gateway.batch.settings.machine_types[0].memory_mb
+    size = driver.gateway.step_context.settings.machine_types[0].memory_mb
     assert len(driver.sends()) >= 2
     assert sum(terms.memory_mb for terms in driver.of_kind(api.SetResourceGrant)) <= size / 2
 
@@ -175,7 +175,7 @@
     driver = Driver(make_settings(guarantees=guarantees), engines=2)
     driver.list([api.EngineEntry(engine_id(0), EngineState.REMOVED)], EndpointListMode.DELTA)
     driver.list([api.EngineEntry(engine_id(0), EngineState.READY)], EndpointListMode.DELTA)
-    engine = driver.gateway.fleet.engines[engine_id(0)]
+    engine = driver.gateway.engine_registry.engines[engine_id(0)]
     assert engine.warmup_remaining(driver.now, COLD_TIME) > 0.0
 
 
@@ -222,7 +222,7 @@
         slow_start_duration=COLD_TIME,
     )
     driver = Driver(make_settings(guarantees=guarantees), engines=1)
-    engine = driver.gateway.fleet.engines[engine_id(0)]
+    engine = driver.gateway.engine_registry.engines[engine_id(0)]
     kept, broken = driver.ask(), driver.ask()
     driver.now += 0.1
     driver.end(broken, Outcome.RESET)
@@ -258,7 +258,7 @@
     )
     driver = Driver(make_settings(reports_work=True, guarantees=kept), engines=0)
     driver.list([api.EngineEntry(engine_id(0), api.EngineState.READY, started_at=driver.now)])
-    driver.gateway.batch.started_at = -math.inf
+    driver.gateway.step_context.started_at = -math.inf
     for _ in range(60):
         request = driver.ask()
         if driver.sends(request):
@@ -277,10 +277,10 @@
     driver = Driver(make_settings(guarantees=kept), engines=0)
     cold = api.EngineEntry(engine_id(0), api.EngineState.READY, started_at=driver.now - 50.0)
     driver.list([cold, *(api.EngineEntry(engine_id(n), api.EngineState.READY) for n in range(1, 4))])
-    driver.gateway.batch.started_at = -math.inf
+    driver.gateway.step_context.started_at = -math.inf
     for _ in range(24):
         driver.ask()
-    out = [len(e.in_flight) for e in driver.gateway.fleet.engines.values()]
+    out = [len(e.in_flight) for e in driver.gateway.engine_registry.engines.values()]
     assert sum(out) == 24 and 0 < out[0] <= 8
 
 
@@ -289,7 +289,7 @@
     driver = Driver(make_settings(), engines=1)
     for _ in range(20):
         driver.end(driver.ask(), Outcome.OK, work=0.1)
-    engine = driver.gateway.fleet.engines[engine_id(0)]
+    engine = driver.gateway.engine_registry.engines[engine_id(0)]
     carried = [driver.ask() for _ in range(6)]
     driver.now += 0.05
     events = [api.AttemptEnded(r, 0, engine.id, Outcome.RESET, 0.05) for r in carried]
@@ -309,7 +309,7 @@
         slow_start_duration=COLD_TIME,
     )
     driver = Driver(make_settings(guarantees=guarantees), engines=1)
-    engine = driver.gateway.fleet.engines[engine_id(0)]
+    engine = driver.gateway.engine_registry.engines[engine_id(0)]
     first, second = driver.ask(), driver.ask()
     driver.now += 0.1
     driver.end(first, Outcome.RESET)
@@ -329,11 +329,11 @@
         for attempt in range(4):
             if len(driver.sends(request)) > attempt:
                 driver.end(request, Outcome.ERROR, attempt=attempt)
-    assert not any(engine.is_ejected for engine in driver.gateway.fleet.engines.values())
+    assert not any(engine.is_ejected for engine in driver.gateway.engine_registry.engines.values())
 
 
 def test_error_that_may_not_be_retried_counts_against_its_engine() -> None:
     driver = Driver(make_settings(classes=one_class(idempotency=api.Idempotency.UNSAFE)), engines=1)
     for _ in range(10):
         driver.end(driver.ask(), Outcome.ERROR)
-    assert driver.gateway.fleet.engines[engine_id(0)].is_ejected
+    assert driver.gateway.engine_registry.engines[engine_id(0)].is_ejected
