--- a/saffronlane/errors/__init__.py
+++ b/saffronlane/errors/__init__.py
@@ -1,6 +1,6 @@
-"""The base of all error types of this program, and what a log line says of an error.
+"""The base class of all error types of this program, and the log fields that describe an error.
 
-Each package has its own types below it, in its own `errors` module; `docs/errors.md` lists them all.
+Each package defines its own subclasses in its `errors` module; `docs/errors.md` lists all of them.
 """
 
 from __future__ import annotations
@@ -9,11 +9,12 @@
 
 
 class SaffronlaneError(Exception):
-    """What went wrong, where, and what an operator can do.
+    """An error with its location and with a remedy for the operator.
 
     Attributes:
-        remedy: one sentence, the same for all errors of a type: what an operator can do.
-        place: what is at fault: a file, a JSON pointer, a field, an address; empty where the text names it.
+        remedy: One sentence that says what an operator can do, the same for all errors of a type.
+        place: Location of the fault: a file, a JSON pointer, a field or an address. Empty if the message
+            names it.
     """
 
     remedy: ClassVar[str] = ""
@@ -24,7 +25,7 @@
 
 
 def error_fields(error: BaseException) -> dict[str, str]:
-    """Fields of a log line about an error: why, where it is known the place, and the remedy."""
+    """Return the log fields of an error: the reason, and its place and remedy where they are known."""
     fields = {"why": str(error) or repr(error)}
     if isinstance(error, SaffronlaneError):
         fields |= {"place": error.place} if error.place else {}
--- a/saffronlane/interface/__init__.py
+++ b/saffronlane/interface/__init__.py
@@ -1,7 +1,7 @@
-"""The public face of saffronlane: settings, events and actions of one gateway.
+"""The public interface of saffronlane: settings, events and actions of one gateway.
 
-A dispatcher builds a `Settings`, hands batches of events to `policy.Gateway.step` and carries out the actions
-that it returns. Nothing here decides anything.
+A dispatcher creates a `Settings` object, passes lists of events to `policy.Gateway.step` and carries out the
+actions that it returns. This package contains no decision logic.
 """
 
 from .actions import (
--- a/saffronlane/interface/actions.py
+++ b/saffronlane/interface/actions.py
@@ -1,4 +1,4 @@
-"""Actions that a gateway returns, to be carried out in order."""
+"""Actions that a gateway returns. The dispatcher carries them out in order."""
 
 from __future__ import annotations
 
@@ -7,7 +7,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Dispatch:
-    """Start an attempt, with a timeout in seconds. Those of a request are numbered 0, 1, 2 ... in order."""
+    """Start an attempt of a request on an engine.
+
+    The attempts of a request are numbered 0, 1, 2, ... in the order of their dispatch.
+
+    Attributes:
+        timeout: Seconds after which the attempt ends without a result.
+    """
 
     request: int
     engine: bytes
@@ -16,7 +22,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SetResourceGrant:
-    """Set memory grant (MB; 0: the engine's choice) and priority (0 to 3) of the request's next attempt."""
+    """Set the resource grant of the request's next attempt.
+
+    Attributes:
+        memory_mb: Memory grant in MB; 0 lets the engine choose.
+        priority: From 0 (lowest) to 3 (highest).
+    """
 
     request: int
     memory_mb: float
@@ -33,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: not done, safe to retry after `retry_after` seconds."""
+    """Final answer: the request was not completed; a retry is safe after `retry_after` seconds."""
 
     request: int
     retry_after: float
@@ -41,14 +52,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed; it may or may not have taken effect."""
+    """Final answer: the request failed and may or may not have taken effect."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for `TimerFired` with this token at a time."""
+    """Set a timer: a `TimerFired` event with this token is due at the time `deadline`."""
 
     token: int
     deadline: float
@@ -56,21 +67,26 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeLoad:
-    """Ask an engine for its load."""
+    """Probe the load of an engine; a `ProbeResult` event follows."""
 
     engine: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIdleConnections:
-    """Close idle connections to an engine."""
+    """Close the idle connections to an engine."""
 
     engine: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class SendGossip:
-    """Send at most 256 bytes to the gateway with index `peer`; None: to all."""
+    """Send a gossip message.
+
+    Attributes:
+        peer: Index of the receiving gateway; None sends the message to all peers.
+        data: The encoded message, at most 256 bytes.
+    """
 
     peer: int | None
     data: bytes
@@ -78,14 +94,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Begin or end the subscription to the endpoint list."""
+    """Start or end the subscription to endpoint list updates."""
 
     is_enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
 class PollEndpoints:
-    """Read the endpoint list once."""
+    """Fetch the endpoint list once."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/saffronlane/interface/events.py
+++ b/saffronlane/interface/events.py
@@ -1,4 +1,4 @@
-"""Events that a gateway is given. Times are seconds on the dispatcher's monotonic clock."""
+"""Events that a gateway processes. Times are in seconds on the dispatcher's monotonic clock."""
 
 from __future__ import annotations
 
@@ -9,15 +9,16 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineEntry:
-    """An engine in the endpoint list.
+    """An entry of the endpoint list.
 
     Attributes:
-        engine: its id.
-        state: whether it takes requests.
-        started_at: when its process started; 0: long ago.
-        zone, machine_type: indices into the settings.
-        cell: group of engines that share discarded repeats.
-        weight: relative share of the traffic.
+        engine: Id of the engine.
+        state: Whether the engine accepts requests.
+        started_at: Start time of its process; 0 if it started long ago.
+        zone: Index of its zone in the settings.
+        machine_type: Index of its machine type in the settings.
+        cell: Number of its cell, a group of engines that share one table of idempotency keys.
+        weight: Relative share of the traffic that it should get.
     """
 
     engine: bytes
@@ -31,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """An update of the endpoint list, or the failure to read it."""
+    """An update of the endpoint list, or a notice that the list could not be read."""
 
     mode: EndpointListMode
     version: int = 0
@@ -40,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PreviousAttempt:
-    """An attempt of the same request that may have run before the request arrived (again)."""
+    """An earlier attempt of a request that arrives again; it may have been executed."""
 
     engine: bytes
     sent_at: float
@@ -51,20 +52,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request arrives.
+    """A request has arrived.
 
     Attributes:
-        request: its number, unique within the gateway's run.
-        class_index: of its class in the settings.
-        timeout: seconds until its client gives up.
-        tenant: index of its tenant in the settings.
-        ordering_key: requests with the same key run in order; 0: none.
-        estimated_cost: client's estimate of the work; 0: none.
-        estimated_memory_mb: client's estimate of the memory; 0: none.
-        table_group: tables that it reads, as one number.
-        is_retry: the client has sent it before.
-        is_write: it changes data.
-        previous_attempt: one that may have run before.
+        request: Number of the request, unique within the gateway's run.
+        class_index: Index of its query class in the settings.
+        timeout: Seconds until the client stops waiting for the answer.
+        tenant: Index of its tenant in the settings.
+        ordering_key: Requests with the same key run one at a time, in order of arrival; 0 if it has none.
+        estimated_cost: The client's estimate of the work, in a unit of its own; 0 if there is none.
+        estimated_memory_mb: The client's estimate of the memory; 0 if there is none.
+        table_group: Number that identifies the group of tables that it uses.
+        is_retry: Whether the client has sent it before.
+        is_write: Whether it changes data.
+        previous_attempt: An attempt from before this arrival that may have been executed.
     """
 
     request: int
@@ -82,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """The first bytes of an attempt's result have gone to the client; no other attempt may answer."""
+    """The first bytes of an attempt's result were sent to the client; no other attempt may answer now."""
 
     request: int
     attempt: int
@@ -92,14 +93,15 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt ended.
+    """An attempt has ended.
 
     Attributes:
-        elapsed: seconds since its dispatch.
-        is_final: the request has had its final answer.
-        work: seconds of one thread that it used; 0: not reported.
-        memory_mb: that it used; 0: not reported.
-        load_report: the engine's load, by `Settings.report_columns`; empty: none.
+        elapsed: Seconds since its dispatch.
+        is_final: Whether the request has received its final answer.
+        work: Thread seconds that it used; 0 if not reported.
+        memory_mb: Memory that it used; 0 if not reported.
+        load_report: Load of the engine, one number for each of `Settings.report_columns`; empty if the engine
+            sent no report.
     """
 
     request: int
@@ -115,14 +117,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client cancelled the request or closed its connection; it needs no answer."""
+    """The client cancelled the request or closed its connection; the request needs no answer any more."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class ProgressReport:
-    """An engine reports on a running attempt."""
+    """A progress report of an engine on a running attempt.
+
+    Attributes:
+        amount: A number whose meaning depends on the kind.
+    """
 
     request: int
     attempt: int
@@ -133,19 +139,19 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that `SetTimer` asked for has fired."""
+    """A timer set by a `SetTimer` action has fired."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class Shutdown:
-    """The gateway shuts down now: every pending request gets its final answer."""
+    """The gateway shuts down now; every pending request gets its final answer."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeResult:
-    """The answer to a load probe."""
+    """The result of a load probe."""
 
     engine: bytes
     outcome: Outcome
--- a/saffronlane/interface/kinds.py
+++ b/saffronlane/interface/kinds.py
@@ -1,4 +1,4 @@
-"""Enumerations that settings, events and actions share."""
+"""Enumerations used in settings, events and actions."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
     OK = 1
     ERROR = 2
-    REJECTED = 3  # by the engine, before it ran
+    REJECTED = 3  # by the engine, before execution
     TIMEOUT = 4
-    CONNECT_FAILED = 5  # never ran
+    CONNECT_FAILED = 5  # never executed
     RESET = 6
     CANCELLED = 7
-    NOT_SENT = 8  # never ran
+    NOT_SENT = 8  # never executed
 
 
 class EngineState(IntEnum):
@@ -27,41 +27,41 @@
 
 
 class EndpointListMode(IntEnum):
-    """What an update of the endpoint list holds."""
+    """Which entries an update of the endpoint list contains."""
 
-    DELTA = 0  # changed entries only
-    FULL = 2
-    CACHED = 3  # all entries, perhaps out of date
-    FAILED = 4  # none: the list could not be read
+    DELTA = 0  # the changed entries only
+    FULL = 2  # all entries
+    CACHED = 3  # all entries, possibly out of date
+    FAILED = 4  # no entries: the list could not be read
 
 
 class ProgressKind(IntEnum):
-    """What a progress report tells of a running attempt."""
+    """Kind of a progress report on a running attempt."""
 
-    PROGRESS = 1  # amount: share done, 0 to 1
-    SPILLING = 2
-    WAITING = 3  # amount: 1 or more while it waits for memory or a bulk load
+    PROGRESS = 1  # amount: completed part of the work, 0 to 1
+    SPILLING = 2  # the query writes intermediate results to disk
+    WAITING = 3  # amount: at least 1 while the attempt waits for memory or a bulk load
 
 
 class Idempotency(Enum):
-    """Whether a request may run more than once."""
+    """Whether a request may be executed more than once."""
 
-    SAFE = "safe"
-    KEYED = "keyed"  # engines discard a repeat with the same idempotency key
-    UNSAFE = "unsafe"
+    SAFE = "safe"  # repeated execution does no harm
+    KEYED = "keyed"  # engines discard a duplicate with the same idempotency key
+    UNSAFE = "unsafe"  # no retry after an attempt that may have been executed
 
 
 class MemoryOvercommit(Enum):
-    """What an engine does when memory grants exceed its memory."""
+    """How an engine handles a query whose memory grant does not fit into its free memory."""
 
-    WAIT = "wait"  # the query is queued
-    SHRINK = "shrink"  # the query gets what is left
-    PAGE = "page"  # the query is admitted; all slow down once memory in use exceeds the engine's memory
+    WAIT = "wait"  # the query is queued until enough memory is free
+    SHRINK = "shrink"  # the query gets the memory that is left
+    PAGE = "page"  # the query starts; all queries slow down once the memory in use exceeds the engine's
 
 
 class DeduplicationScope(Enum):
-    """Which engines discard a repeat with the same idempotency key."""
+    """Which engines discard a duplicate of a request, by its idempotency key."""
 
     ALL = "all"
-    ZONE = "zone"
-    CELL = "cell"
+    ZONE = "zone"  # engines in the zone of the first attempt
+    CELL = "cell"  # engines in the cell of the first attempt
--- a/saffronlane/interface/settings.py
+++ b/saffronlane/interface/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one gateway. Times are in seconds, memory is in MB, work in seconds of one thread."""
+"""Settings of one gateway. Times are in seconds, memory is in MB, work is in thread seconds."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassSettings:
-    """A class of queries.
+    """Settings of a query class.
 
     Attributes:
-        name: of the class, unique within the settings.
-        latency_objective: an answer within `latency_objective + latency_objective_per_work x work / threads`
-            earns the full priority weight.
-        deadline: time after which no answer is wanted.
-        priority_weight: what an answer within the objective is worth.
-        late_priority_weight: what a later one is worth.
-        latency_objective_per_work: part of the objective that grows with a query's work.
-        threads: that a query of the class uses.
-        idempotency: whether a query may run more than once.
-        deduplication_scope: which engines discard a repeat of a keyed query.
-        idempotency_ttl: how long engines remember an idempotency key.
-        is_ordered: queries with the same ordering key run one after the other.
-        is_streaming: results are passed on while they are produced.
-        is_bulk_load: holds its table group on its engine while it runs.
-        waits_for_bulk_loads: waits for a bulk load of its table group on the same engine.
-        allowed_zones: zones it may run in, by index; None: all.
-        allowed_machine_types: machine types it may run on, by index; None: all.
+        name: Name of the class, unique within the settings.
+        latency_objective: Fixed part of the latency objective, which is
+            `latency_objective + latency_objective_per_work x work / threads`.
+        deadline: Time from arrival after which the client no longer needs an answer.
+        priority_weight: Value of an answer within the latency objective.
+        late_priority_weight: Value of an answer after the latency objective.
+        latency_objective_per_work: Part of the latency objective that grows with the work of the query.
+        threads: Threads that a query of the class uses.
+        idempotency: Whether a query may be executed more than once.
+        deduplication_scope: Which engines discard a duplicate of a query with an idempotency key.
+        idempotency_ttl: Time for which engines store an idempotency key.
+        is_ordered: Whether queries with the same ordering key run one at a time, in order of arrival.
+        is_streaming: Whether results are passed on to the client while they are produced.
+        is_bulk_load: Whether a query locks its table group on its engine while it runs.
+        waits_for_bulk_loads: Whether a query waits for a bulk load of its table group on the same engine.
+        allowed_zones: Indices of the zones in which it may run; None allows all.
+        allowed_machine_types: Indices of the machine types on which it may run; None allows all.
     """
 
     name: str
@@ -51,7 +51,11 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineType:
-    """A type of engine machine. Memory of 0 MB: not known."""
+    """A type of machine that engines run on.
+
+    Attributes:
+        memory_mb: Memory of the machine; 0 if it is unknown.
+    """
 
     name: str
     cores: float
@@ -60,7 +64,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantSettings:
-    """A tenant's rate limit, in requests a second over all gateways (0: none), and its quota of the work."""
+    """Limits of a tenant.
+
+    Attributes:
+        rate_limit: Requests per second over all gateways; 0 sets no limit.
+        quota: The tenant's quota, as a share of all work.
+    """
 
     name: str
     rate_limit: float = 0.0
@@ -69,21 +78,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Guarantees:
-    """Bounds that every decision keeps.
+    """Bounds that every decision respects.
 
     Attributes:
-        response_slack: how far past a client's timeout its answer may come.
-        drain_grace_period: after which a draining engine gets no more attempts.
-        slow_start_overload_factor: an engine that is warming up fails once it gets more than this multiple of
-            its capacity within the window; 0: it does not fail.
-        slow_start_overload_window: over which that is counted.
-        slow_start_initial_ratio: share of its capacity that an engine has at its start.
-        slow_start_duration: after which it has all of it.
-        ordering_cooldown: pause of an ordering key after an attempt that may still run.
-        retry_budget_base: retries allowed in any case within the window; None: retries are not limited.
-        retry_budget_ratio: retries allowed on top of it for each served request of the window.
-        retry_budget_window: over which both are counted.
-        subscribe_deadline: within which the endpoint list has to be subscribed to.
+        response_slack: Longest time by which an answer may exceed the client's timeout.
+        drain_grace_period: Time between the notification that an engine drains or is removed and the moment
+            from which on it must get no new attempt.
+        slow_start_overload_factor: An engine in slow start fails once it gets more than this multiple of its
+            capacity within the overload window; 0 if it can't be overloaded.
+        slow_start_overload_window: Length of the window in which that work is counted.
+        slow_start_initial_ratio: Part of its full capacity that an engine has at its start.
+        slow_start_duration: Time from its start until an engine reaches its full capacity.
+        ordering_cooldown: Pause of an ordering key after an attempt that may still be running.
+        retry_budget_base: Retries that are always allowed within the window; None does not limit retries.
+        retry_budget_ratio: Additional retries for each served request of the window.
+        retry_budget_window: Length of the window in which retries and served requests are counted.
+        subscribe_deadline: Time from the start by which the gateway has to subscribe to the endpoint list.
     """
 
     response_slack: float = 0.02
@@ -101,19 +111,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What a gateway may use.
+    """Features that a gateway may use, and their limits.
 
     Attributes:
-        can_cancel: attempts can be cancelled.
-        hedged_requests_enabled: a second copy of a request may run beside the first.
-        load_probes_enabled: engines may be asked for their load.
-        load_probe_price: price of one probe a query, in points of service.
-        gossip_enabled: gateways may exchange messages.
-        sends_retry_after: clients honour a wait in a rejection.
-        max_attempts: of one request.
-        max_retry_after: longest wait that clients honour.
-        connect_timeout: of a connection to an engine.
-        max_concurrent_streams: on one connection; 0: not limited.
+        can_cancel: Whether attempts can be cancelled.
+        hedged_requests_enabled: Whether two attempts of one request may run at the same time.
+        load_probes_enabled: Whether engines may be probed for their load.
+        load_probe_price: Price of one probe per query, in points of the service score.
+        gossip_enabled: Whether gateways may exchange messages.
+        sends_retry_after: Whether clients respect the delay that a rejection asks for.
+        max_attempts: Highest number of attempts of one request.
+        max_retry_after: Longest delay that clients respect.
+        connect_timeout: Timeout for opening a connection to an engine.
+        max_concurrent_streams: Highest number of concurrent streams on one connection; 0 sets no limit.
     """
 
     can_cancel: bool = False
@@ -133,29 +143,30 @@
     """All settings of one gateway.
 
     Attributes:
-        classes: of queries; events name them by index.
-        machine_types: of engines; endpoint list entries name them by index.
-        gateway_count: gateways of the deployment.
-        gateway_index: of this one among them.
-        zone: of this gateway, as an index into `zones`.
-        zones: names of all zones.
-        tenants: events name them by index.
-        guarantees: bounds that decisions keep.
-        limits: what decisions may use.
-        memory_grants_enabled: engines honour a memory grant.
-        priorities_enabled: engines honour a priority.
-        max_memory_grant_ratio: largest grant as a share of the largest machine's memory.
-        memory_overcommit: what an engine does when grants exceed its memory.
-        progress_interval: between two progress reports of an attempt; 0: there are none.
-        reports_work: answers tell the work done and the memory used.
-        over_quota_weight: share of its weight that a request beyond its tenant's quota earns.
-        subscribes_to_endpoints: the endpoint list has to be subscribed to.
-        report_columns: names of the figures in a load report.
-        cross_zone_price: price of each query crossing zones once, in points of service.
-        min_step_interval: shortest time between two steps.
+        classes: Query classes; events refer to them by index.
+        machine_types: Machine types of the engines; endpoint list entries refer to them by index.
+        gateway_count: Number of gateways in the deployment.
+        gateway_index: Index of this gateway among them.
+        zone: Zone of this gateway, as an index into `zones`.
+        zones: Names of all zones.
+        tenants: Tenants; events refer to them by index.
+        guarantees: Bounds that decisions respect.
+        limits: Features that decisions may use.
+        memory_grants_enabled: Whether engines respect memory grants.
+        priorities_enabled: Whether engines respect priorities.
+        max_memory_grant_ratio: Largest memory grant over the memory of the largest machine type.
+        memory_overcommit: How an engine handles memory grants that exceed its memory.
+        progress_interval: Time between two progress reports of an attempt; 0 if engines send none.
+        reports_work: Whether responses report the work done and the memory used.
+        over_quota_weight: Factor on the priority weight of a request beyond its tenant's quota.
+        subscribes_to_endpoints: Whether the gateway has to subscribe to the endpoint list.
+        report_columns: Names of the numbers in a load report, in order.
+        cross_zone_price: Price of sending every query to another zone once, in points of the service score.
+        min_step_interval: Shortest time between two steps.
 
     Raises:
-        ValueError: there is no class, no machine type or no gateway, or one has neither cores nor threads.
+        ValueError: There is no class, machine type or gateway, a machine type has no cores, or a class has no
+            threads.
     """
 
     classes: tuple[ClassSettings, ...]
@@ -183,12 +194,12 @@
         if not self.classes or not self.machine_types or self.gateway_count < 1:
             raise ValueError("settings need at least one class, one machine type and one gateway")
         if any(machine_type.cores <= 0 for machine_type in self.machine_types):
-            raise ValueError("every machine type needs cores")
+            raise ValueError("every machine type needs a positive number of cores")
         if any(class_settings.threads < 1 for class_settings in self.classes):
             raise ValueError("every class needs at least one thread")
 
     @property
     def max_memory_grant(self) -> float:
-        """Largest memory grant of one query in MB; 0: not known."""
+        """Largest memory grant of one query in MB; 0 if no machine type's memory is known."""
         largest = max(machine_type.memory_mb for machine_type in self.machine_types)
         return largest * self.max_memory_grant_ratio
--- a/saffronlane/learned_state/confidence.py
+++ b/saffronlane/learned_state/confidence.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from ..policy.estimation.run_time_estimator import DECAY, SEED_ANSWERS
-from ..policy.health.outlier_detection import FAIL_MEMORY
+from ..policy.health.outlier_detection import FAILURE_RATIO_DECAY_TIME
 from .clock import Gap
 
 DRIFT_TIME = 28_800.0  # seconds in which a class's pace drifts as far as one answer lies beside the mean
@@ -95,7 +95,7 @@
     """Return a failure ratio as unobserved outcomes would have decayed it; 0 if it is too old to count."""
     if age > MAX_HEALTH_AGE:
         return 0.0
-    return failure_ratio * math.exp(-max(0.0, age) / FAIL_MEMORY / HEALTH_DECAY_TIME_RATIO)
+    return failure_ratio * math.exp(-max(0.0, age) / FAILURE_RATIO_DECAY_TIME / HEALTH_DECAY_TIME_RATIO)
 
 
 def recovered_concurrency_limit(threads: float, age: float) -> float:
--- a/saffronlane/policy/__init__.py
+++ b/saffronlane/policy/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of a gateway, a package for each concern; users need only `Gateway`."""
+"""The decision logic of a gateway, with a subpackage for each concern. The public class is `Gateway`."""
 
 from .gateway import Gateway
 
--- a/saffronlane/policy/estimation/load_reports.py
+++ b/saffronlane/policy/estimation/load_reports.py
@@ -1,4 +1,4 @@
-"""Load that engines report, either with their responses or when they are probed."""
+"""Load reports of engines, sent with responses or as results of load probes."""
 
 import math
 
@@ -8,13 +8,13 @@
 MAX_PROBED_ENGINES = 3  # engines probed for one heavy request
 MIN_PROBE_INTERVAL = 0.1  # seconds between two probes of the same engine
 PROBE_TIMEOUT = 0.025  # seconds that a request waits for the results of its probes
-MAX_PROBE_PRICE = 0.02  # points of service for one probe a request, up to which probing is worth its price
-MAX_REPORTED_THREADS_PER_CORE = 100.0  # threads per core; a higher report is taken for this
-REPORT_DECAY_TIME = 15.0  # seconds in which the weight of a report falls to 1/e
+MAX_PROBE_PRICE = 0.02  # points of the service score for one probe per request, up to which probing pays off
+MAX_REPORTED_THREADS_PER_CORE = 100.0  # threads per core; higher reported values are limited to this
+REPORT_DECAY_TIME = 15.0  # seconds in which the weight of a report decays to 1/e
 
 
 class LoadReports:
-    """Records the load reports of engines and decides which engines are probed for one."""
+    """Records the load reports of engines and selects the engines to probe."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
             report: One number for each of the configured report columns.
 
         Returns:
-            Threads per core that the engine runs, or 0 if the report doesn't say.
+            Threads per core that the engine runs, or 0 if the report contains no valid value.
         """
         active_requests = self._active_requests(report)
         if active_requests is None:
@@ -54,14 +54,14 @@
         return engine.reported_threads_per_core
 
     def _active_requests(self, report: tuple[float, ...]) -> float | None:
-        """Return the number of active requests in a report, or None without a valid one."""
+        """Return the number of active requests in a report, or None if it contains no valid number."""
         column = self.active_column
         if column is None or column >= len(report):
             return None
         return report[column] if 0.0 < report[column] < math.inf else None
 
     def _mean_threads(self) -> float:
-        """Return the threads of the mean active request: classes weighted by the time they run."""
+        """Return the mean threads of an active request; classes are weighted by answer count and run time."""
         estimators = self.workload_estimates.estimators
         run_times = [max(1, estimator.answer_count) * estimator.exec_time() for estimator in estimators]
         thread_times = (
@@ -71,15 +71,15 @@
         return sum(thread_times) / sum(run_times)
 
     def threads_per_core(self, engine: Engine) -> float:
-        """Return the threads per core of the engine's last report, which decays to the mean as it ages."""
+        """Return the threads per core of the engine's last report, which decays to the mean with its age."""
         mean = self.engine_registry.mean_reported_threads
         weight = math.exp(min(0.0, engine.reported_at - self.step_context.now) / REPORT_DECAY_TIME)
         return mean + weight * (engine.reported_threads_per_core - mean)
 
     def select_probe_targets(self, request: Request, engines: list[Engine]) -> list[Engine]:
-        """Return the engines to probe and let the request wait for their results.
+        """Return the engines to probe, and keep the request queued until their results are due.
 
-        Engines that were probed or have reported within `MIN_PROBE_INTERVAL` are left out.
+        Engines that were probed or sent a report within `MIN_PROBE_INTERVAL` are left out.
         """
         now = self.step_context.now
         targets = [
--- a/saffronlane/policy/estimation/workload_estimates.py
+++ b/saffronlane/policy/estimation/workload_estimates.py
@@ -1,4 +1,4 @@
-"""Estimates over all classes: run time, work and resource grant of any request."""
+"""Estimates for all classes: run time, work and resource grant of a request."""
 
 from typing import NamedTuple
 
@@ -6,29 +6,29 @@
 from ...state import Request
 from .run_time_estimator import INITIAL_MEMORY_RATIO, RunTimeEstimator
 
-HEAVY_WORK_RATIO = 2.0  # work of a heavy request, in works of the mean request
+HEAVY_WORK_RATIO = 2.0  # lowest work of a heavy request over the mean work
 MEMORY_MARGIN_RATIO = 1.1  # memory granted over memory required, where clients give no estimates
 MIN_WORK = 1e-3  # thread seconds
-DEFAULT_PRIORITY = 1  # priority while nothing is known of the usual requests
-PRIORITY_THRESHOLDS = (2.0, 1.0, 0.4)  # weight per work over the mean, for priority 3, 2 and 1
+DEFAULT_PRIORITY = 1  # priority until the mean request is known
+PRIORITY_THRESHOLDS = (2.0, 1.0, 0.4)  # lowest priority weight per work, over the mean, for 3, 2 and 1
 
 
 class MeanQuery(NamedTuple):
-    """Work in thread seconds, and priority weight, of the mean request."""
+    """Mean work in thread seconds and mean priority weight of all requests."""
 
     work: float
     priority_weight: float
 
 
 class ResourceGrant(NamedTuple):
-    """Memory in MB that a request gets, and its priority (0 to 3)."""
+    """Memory in MB and priority (0 to 3) that a request gets."""
 
     memory_mb: float
     priority: int
 
 
 class WorkloadEstimates:
-    """One estimator for each class, in the order of the settings."""
+    """The estimators of all classes, in the order of the settings."""
 
     def __init__(self, settings: api.Settings) -> None:
         self.settings = settings
@@ -39,12 +39,15 @@
         return self.estimators[request.class_index].exec_time(request.estimated_cost)
 
     def work(self, request: Request) -> float:
-        """Return the request's thread seconds of work, at least the mean of its class."""
+        """Return the request's work in thread seconds, at least the mean of its class."""
         estimator = self.estimators[request.class_index]
         return max(estimator.work(), estimator.work(request.estimated_cost))
 
     def is_heavy(self, request: Request) -> bool:
-        """Return whether peers are notified of the request; each message costs all gateways time."""
+        """Return whether the request is a bulk load or takes far more work than the mean.
+
+        Only heavy requests are reported to the peers, since each message takes time at all gateways.
+        """
         if request.class_settings.is_bulk_load:
             return True
         return 0.0 < HEAVY_WORK_RATIO * self.mean_query().work < self.work(request)
@@ -57,11 +60,11 @@
         return MeanQuery(total_work / count, total_weight / count)
 
     def resource_grant(self, request: Request) -> ResourceGrant:
-        """Return the memory for a request and its priority."""
+        """Return the memory and the priority of a request."""
         return ResourceGrant(self._memory_grant(request), self._priority(request))
 
     def _memory_grant(self, request: Request) -> float:
-        """Return the memory in MB that the request probably requires, as far as it may be granted."""
+        """Return the memory in MB that the request probably requires, up to the largest allowed grant."""
         requirement = self.estimators[request.class_index].memory_requirement
         if request.estimated_memory_mb:
             grant = (requirement or INITIAL_MEMORY_RATIO) * request.estimated_memory_mb
@@ -72,7 +75,7 @@
         return grant
 
     def _priority(self, request: Request) -> int:
-        """Return the priority: by weight per second of work, compared with the mean request."""
+        """Return the priority by priority weight per work, compared with the mean request."""
         mean = self.mean_query()
         if not self.settings.priorities_enabled or not mean.work or not mean.priority_weight:
             return DEFAULT_PRIORITY
--- a/saffronlane/policy/execution/__init__.py
+++ b/saffronlane/policy/execution/__init__.py
@@ -1,1 +1,1 @@
-"""Attempts of requests, from their start to the final answer."""
+"""Attempts of requests, from the first dispatch to the final answer."""
--- a/saffronlane/policy/execution/attempts.py
+++ b/saffronlane/policy/execution/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of requests: their start, their outcome, and what follows for the request."""
+"""Attempts of requests: dispatch, outcome, and the effect of the outcome on the request."""
 
 from ... import interface as api
 from ...interface import Outcome
@@ -8,10 +8,10 @@
 from ..scheduling.concurrency_limit import CONGESTED_INFLATION
 from .completion import EXPIRY_MARGIN, RequestCompletion
 
-UNRESPONSIVE_REPORT_PERIODS = 1.1  # progress intervals without a report, besides up to one of run time
-UNRESPONSIVE_EXEC_TIMES = 5.0  # ExecTimes until an attempt is overdue where engines report no progress
-MIN_UNRESPONSIVE_TIMEOUT = 0.5  # seconds; the least of the same
-UNHEDGED_TIMEOUT_RATIO = 2.0  # factor on the same where a retry has to cancel the first attempt
+UNRESPONSIVE_REPORT_PERIODS = 1.1  # progress intervals without a report, plus the run time up to one more
+UNRESPONSIVE_EXEC_TIMES = 5.0  # ExecTimes until an attempt is overdue if engines send no progress reports
+MIN_UNRESPONSIVE_TIMEOUT = 0.5  # seconds; lower bound of the same timeout
+UNHEDGED_TIMEOUT_RATIO = 2.0  # factor on the same timeout if a retry has to cancel the first attempt
 MIN_DISPATCH_TIMEOUT = 1e-3  # seconds
 MIN_ELAPSED = 1e-4  # seconds; a shorter reported duration counts as this
 MAX_ELAPSED = 1e4  # seconds; a longer reported duration counts as this
@@ -98,22 +98,22 @@
             self.ordering.release(request)
         elif event.outcome is Outcome.OK:
             self._record_served(request)
-            self.completion.finish(request, answer=False)
+            self.completion.finish(request, needs_answer=False)
         elif event.is_final:
-            self.completion.finish(request, answer=False)
+            self.completion.finish(request, needs_answer=False)
         elif not request.in_flight_count:
             self.requeue_or_finish(attempt)
 
     def _update_retry_state(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Start the cool-down of an ordering key, or give back the budget of a retry that was not sent."""
+        """Start the cool-down of the ordering key, or refund the budget of a retry that was not sent."""
         if outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED):
             cooldown_end = self.step_context.now + self.step_context.guarantees.ordering_cooldown
             self.ordering.start_cooldown(attempt.request, cooldown_end)
         if outcome is Outcome.NOT_SENT and attempt.index:
-            self.retry_policy.budget.forget_unsent(attempt.sent_at)
+            self.retry_policy.budget.remove_unsent_retry(attempt.sent_at)
 
     def _record_rejection(self, engine: Engine, outcome: Outcome) -> None:
-        """Treat a rejection or timeout as congestion of the engine."""
+        """Count a rejection or timeout as congestion of the engine."""
         if outcome not in (Outcome.REJECTED, Outcome.TIMEOUT):
             return
         self.concurrency_limit.record_latency_inflation(CONGESTED_INFLATION * 2.0)
@@ -127,7 +127,7 @@
         self.retry_policy.budget.record_served(request.arrived_at, window_start)
 
     def record_measurements(self, attempt: Attempt, event: api.AttemptEnded) -> None:
-        """Learn from the duration, work, memory and load that came with an outcome."""
+        """Update the estimates from the duration, work, memory and load reported with an outcome."""
         request = attempt.request
         threads_per_core = self.load_reports.record(attempt.engine, event.load_report)
         estimator = self.workload_estimates.estimators[request.class_index]
--- a/saffronlane/policy/execution/completion.py
+++ b/saffronlane/policy/execution/completion.py
@@ -1,4 +1,4 @@
-"""Completion of requests: one final answer for each, with the time after which its client may retry."""
+"""Completion of requests: one final answer for each, with the delay after which its client may retry."""
 
 import math
 
@@ -8,8 +8,8 @@
 from ..estimation.workload_estimates import WorkloadEstimates
 from ..scheduling.retry_policy import RetryPolicy
 
-DEADLINE_EXEC_TIMES = 10.0  # ExecTimes from arrival to deadline; the value of the paper
-EXPIRY_MARGIN = 0.03  # seconds before a client's timeout by which its answer leaves
+DEADLINE_EXEC_TIMES = 10.0  # ExecTimes from arrival to deadline, as in the paper
+EXPIRY_MARGIN = 0.03  # seconds before the client's timeout at which the final answer is sent
 TIMER_TOLERANCE = 1e-6  # seconds by which a timer may fire early
 
 
@@ -27,12 +27,11 @@
         self.workload_estimates = workload_estimates
         self.retry_policy = RetryPolicy(step_context)
         self.pending = PendingRequests()
-        self.queued_thread_seconds: float | None = (
-            None  # summed at most once a step, since many may be rejected
-        )
+        # The sum over the queue is computed at most once per step, since many requests may be rejected in it.
+        self.queued_thread_seconds: float | None = None
 
     def begin_step(self) -> None:
-        """Drop what holds for one step only."""
+        """Discard the values that are cached for one step."""
         self.queued_thread_seconds = None
 
     def deadline(self, request: Request) -> float:
@@ -41,7 +40,7 @@
         return self.step_context.now + DEADLINE_EXEC_TIMES * exec_time
 
     def add_pending(self, request: Request) -> None:
-        """Queue a request that has arrived, with a timer for its expiry."""
+        """Queue a new request and set a timer for its expiry."""
         request.deadline = self.deadline(request)
         self.pending.add(request)
         self.step_context.schedule(request.expires_at - EXPIRY_MARGIN, request)
@@ -51,19 +50,19 @@
         request.deadline = max(request.deadline, self.deadline(request))
         self.pending.queued[request.id] = request
 
-    def finish(self, request: Request, answer: bool = True) -> None:
-        """End a request at once and cancel its attempts.
+    def finish(self, request: Request, needs_answer: bool = True) -> None:
+        """End a request immediately and cancel its attempts.
 
         Args:
-            request: The request; nothing happens if it has ended before.
-            answer: Whether its client still needs the final answer.
+            request: The request; the call has no effect if it has already ended.
+            needs_answer: Whether the client still needs the final answer.
         """
         if request.is_ended:
             return
         request.is_ended = True
         self.pending.requests.pop(request.id, None)
         self.dequeue(request)
-        if answer:
+        if needs_answer:
             self.step_context.emit(self._final_answer(request))
         for attempt in request.attempts:
             if attempt.outcome is None:
@@ -71,7 +70,7 @@
         self.pending.ordering.release(request)
 
     def _final_answer(self, request: Request) -> api.Reject | api.Fail:
-        """Return a rejection where the client may retry safely, else a failure."""
+        """Return a rejection if the client can retry safely, otherwise a failure."""
         if not self.retry_policy.is_retry_safe(request):
             return api.Fail(request.id)
         settings = request.class_settings
@@ -85,12 +84,12 @@
         return api.Reject(request.id, self.retry_after(request))
 
     def dequeue(self, request: Request) -> None:
-        """Take a request out of the queue."""
+        """Remove a request from the queue."""
         if self.pending.queued.pop(request.id, None) and self.queued_thread_seconds is not None:
             self.queued_thread_seconds -= self._thread_seconds(request)
 
     def retry_after(self, request: Request) -> float:
-        """Return the seconds in which the queue would drain, within what clients honour; 0 if they don't."""
+        """Return the seconds until the queue has drained, up to the delay that clients respect."""
         if self.queued_thread_seconds is None:
             self.queued_thread_seconds = sum(map(self._thread_seconds, self.pending.queued.values()))
         cores = self.engine_registry.ready_cores
@@ -103,11 +102,11 @@
         return min(max_retry_after, max(drain_time, self.workload_estimates.exec_time(request)))
 
     def _thread_seconds(self, request: Request) -> float:
-        """Return the thread seconds for which the request would occupy engines."""
+        """Return the thread seconds for which the request will occupy engines."""
         return self.workload_estimates.exec_time(request) * request.class_settings.threads
 
     def cancel(self, attempt: Attempt) -> None:
-        """Cancel an attempt unless its response is streaming already."""
+        """Cancel an attempt if that is possible and its result is not being sent to the client."""
         if not self.step_context.limits.can_cancel:
             return
         if not attempt.is_cancelled and not attempt.request.is_streaming:
--- a/saffronlane/policy/execution/hedging.py
+++ b/saffronlane/policy/execution/hedging.py
@@ -1,4 +1,4 @@
-"""Supervision of running attempts: unresponsive, waiting at the engine, or far behind."""
+"""Supervision of attempts that are unresponsive, wait on the engine, or make far too little progress."""
 
 from ... import interface as api
 from ...interface import Idempotency, ProgressKind
@@ -7,14 +7,14 @@
 from .attempts import AttemptManager
 from .completion import TIMER_TOLERANCE
 
-MAX_REMAINING_EXEC_TIMES = 4.0  # ExecTimes that the rest may take before a fresh run is better
-MAX_REMAINING_TIME_RATIO = 1.5  # rest over the time left, above which the request is given up
-MAX_CONCURRENT_ATTEMPTS = 2  # attempts of one request in flight
-MIN_PROGRESS = 1e-3  # lowest reported progress, of 1
+MAX_REMAINING_EXEC_TIMES = 4.0  # ExecTimes that the remaining run may take before a new attempt is better
+MAX_REMAINING_TIME_RATIO = 1.5  # remaining run time over the time left, above which the request is ended
+MAX_CONCURRENT_ATTEMPTS = 2  # attempts of one request in flight at the same time
+MIN_PROGRESS = 1e-3  # lower bound of the reported progress, to avoid a division by zero
 
 
 class HedgingAndRetry:
-    """Cancels or hedges attempts that another engine would probably complete earlier."""
+    """Cancels or hedges attempts that another engine will probably complete earlier."""
 
     def __init__(self, attempt_manager: AttemptManager) -> None:
         self.attempt_manager = attempt_manager
@@ -27,9 +27,9 @@
         self.eligibility = attempt_manager.engine_selector.eligibility
 
     def check_timeout(self, attempt: Attempt) -> None:
-        """Retry or hedge an attempt without progress for its timeout; else set the timer again.
+        """Retry or hedge an attempt that made no progress within its timeout; otherwise set the timer again.
 
-        The cause may be a lost response, a hanging engine, a broken network link or an unseen restart.
+        The cause may be a lost response, a hanging engine, a broken network link or an undetected restart.
         """
         request = attempt.request
         now = self.step_context.now
@@ -46,12 +46,12 @@
             self._retry_or_hedge(attempt)
 
     def _is_supervised(self, attempt: Attempt) -> bool:
-        """Return whether the attempt may still be cancelled for the good of its request."""
+        """Return whether the attempt can still be retried or hedged."""
         request = attempt.request
         return not (attempt.is_cancelled or request.is_ended or request.is_streaming)
 
     def _record_unresponsive(self, attempt: Attempt) -> None:
-        """Count a missing progress report against an engine that hasn't responded since the dispatch."""
+        """Count the missing progress as a failure if the engine has sent no response since the dispatch."""
         engine = attempt.engine
         if self.step_context.settings.progress_interval <= 0.0 or engine.is_ejected:
             return
@@ -60,7 +60,7 @@
             self._cancel_without_progress(engine)
 
     def _cancel_without_progress(self, engine: Engine) -> None:
-        """Cancel the attempts at an ejected engine that never reported progress, where a retry may follow."""
+        """Cancel the attempts without progress on an ejected engine whose requests may be retried."""
         for attempt in engine.in_flight.values():
             has_progress = attempt.last_progress_at > attempt.sent_at
             if not has_progress and self.retry_policy.can_retry(attempt.request):
@@ -69,7 +69,7 @@
     def _retry_or_hedge(self, attempt: Attempt) -> None:
         """Cancel an overdue attempt for a retry, or queue its request for a hedged attempt.
 
-        Without progress reports a long run is no sign of a fault, so that the first attempt goes on.
+        Without progress reports a long run time does not indicate a fault, so the first attempt continues.
         """
         request = attempt.request
         settings = self.step_context.settings
@@ -92,9 +92,10 @@
             self.retry_waiting(attempt)
 
     def retry_waiting(self, attempt: Attempt) -> None:
-        """Cancel an attempt that waits for memory or a bulk load, if another engine may take it.
+        """Cancel an attempt that waits for memory or a bulk load, if another engine is eligible.
 
-        Each engine is left once only, since the attempt may lose a good place in the queue.
+        A request is withdrawn from each engine at most once, since it may lose a good position in the queue
+        there.
         """
         request = attempt.request
         engine = attempt.engine
@@ -106,14 +107,14 @@
             self.completion.cancel(attempt)
 
     def check_progress(self, attempt: Attempt, progress: float) -> None:
-        """Cancel an attempt whose rest would take far longer than a fresh run.
+        """Cancel an attempt whose remaining run would take far longer than a new attempt.
 
-        If a second run is as slow, the request itself is long: it is given up if it can't finish in time
-        or if others wait.
+        If a second attempt is as slow, the request itself is long. It is then ended if it can't complete in
+        time or if other requests wait for an engine.
 
         Args:
             attempt: The running attempt.
-            progress: The part done, from 0 to 1.
+            progress: The completed part, from 0 to 1.
         """
         request = attempt.request
         now = self.step_context.now
--- a/saffronlane/policy/gateway.py
+++ b/saffronlane/policy/gateway.py
@@ -1,8 +1,9 @@
-"""The gateway: wires the parts of the decision package together and dispatches events to them.
+"""The gateway: connects the parts of the policy package and passes events to them.
 
-Group EDF after the paper: a deadline is arrival + 10 x ExecTime; the earliest deadline names a group, whose
-shortest request goes to the less loaded of the first two engines in the hash order of its table group.
-Events, actions and settings are those of `saffronlane/interface.py`.
+Scheduling is group EDF as in the paper. The deadline of a request is its arrival time + 10 x ExecTime. The
+earliest deadline selects a group of requests, and the shortest request of this group is dispatched first. It
+goes to the less loaded of the first two eligible engines in the rendezvous order of its table group.
+Events, actions and settings are defined in `saffronlane/interface/`.
 """
 
 import math
@@ -21,23 +22,23 @@
 from .scheduling.group_edf import GroupEdfScheduler
 
 MAINTENANCE_INTERVAL = 0.15  # seconds between timers while requests are queued or a subscription is due
-SUBSCRIBE_RETRY_INTERVAL = 0.5  # seconds until a failed subscription is retried
-MAX_REMOVED_ENGINES = 1024  # removed engines that are remembered, the latest
-DEFERRED_EVENTS = (api.PeerMessage, api.ProgressReport, api.ProbeResult)  # release no requests by themselves
+SUBSCRIBE_RETRY_INTERVAL = 0.5  # seconds until a failed subscription is repeated
+MAX_REMOVED_ENGINES = 1024  # removed engines without attempts in flight that stay registered
+DEFERRED_EVENTS = (api.PeerMessage, api.ProgressReport, api.ProbeResult)  # start no queued requests
 
 
 class Gateway:
-    """The decisions of one gateway: feed `step` with events and carry out the actions it returns."""
+    """The policy of one gateway: `step` processes events and returns the actions to carry out."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.step_context = StepContext(settings, seed)
         self.engine_registry = EngineRegistry(settings.machine_types)
         self.workload_estimates = WorkloadEstimates(settings)
-        shared = (self.step_context, self.engine_registry, self.workload_estimates)
-        self.load_reports = LoadReports(*shared)
-        self.outlier_detector = OutlierDetector(*shared)
-        self.load_gossip = LoadGossip(*shared)
-        self.completion = RequestCompletion(*shared)
+        shared_state = (self.step_context, self.engine_registry, self.workload_estimates)
+        self.load_reports = LoadReports(*shared_state)
+        self.outlier_detector = OutlierDetector(*shared_state)
+        self.load_gossip = LoadGossip(*shared_state)
+        self.completion = RequestCompletion(*shared_state)
         self.engine_selector = EngineSelector(
             self.load_reports, self.outlier_detector, self.load_gossip.peer_load
         )
@@ -53,7 +54,7 @@
         self.next_maintenance_at = -math.inf
 
     def step(self, now: float, events: list[api.Event]) -> list[api.Action]:
-        """Process the events of a step, then release once, so that requests compete by deadline.
+        """Process all events of a step, then start queued requests once, so that they compete by deadline.
 
         Args:
             now: Time of the step in seconds.
@@ -96,7 +97,7 @@
                 self._on_shutdown()
 
     def _on_endpoint_list(self, event: api.EndpointListUpdate) -> None:
-        """Apply an update of the endpoint list, or plan the next subscription after a failed one."""
+        """Apply an update of the endpoint list; after a failure, schedule a new subscription."""
         if event.mode is api.EndpointListMode.FAILED:
             self.is_subscribed = False
             self.next_subscribe_at = self.step_context.now + SUBSCRIBE_RETRY_INTERVAL
@@ -117,10 +118,10 @@
                 self.completion.finish(request)
 
     def _on_client_disconnected(self, event: api.ClientDisconnected) -> None:
-        """End a request without an answer."""
+        """End the request of a disconnected client without an answer."""
         request = self.pending.requests.get(event.request)
         if request is not None:
-            self.completion.finish(request, answer=False)
+            self.completion.finish(request, needs_answer=False)
 
     def _on_shutdown(self) -> None:
         """Give every pending request its final answer."""
@@ -128,13 +129,13 @@
             self.completion.finish(request)
 
     def _on_stream_started(self, event: api.StreamStarted) -> None:
-        """Mark a request whose response has begun: it can't be retried any more."""
+        """Mark a request whose result is being sent to the client; it can no longer be retried."""
         request = self.pending.requests.get(event.request)
         if request is not None:
             request.is_streaming = True
 
     def _schedule_maintenance(self) -> None:
-        """Subscribe to the endpoint list if due; keep a timer while something waits for one."""
+        """Subscribe to the endpoint list if due, and set the next maintenance timer if one is needed."""
         now = self.step_context.now
         needs_subscription = self.step_context.settings.subscribes_to_endpoints and not self.is_subscribed
         if needs_subscription and now >= self.next_subscribe_at:
--- a/saffronlane/policy/gossip/__init__.py
+++ b/saffronlane/policy/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Load information exchanged among gateways."""
+"""Load information that gateways exchange."""
--- a/saffronlane/policy/gossip/load_gossip.py
+++ b/saffronlane/policy/gossip/load_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip among gateways: heavy attempts and full engines."""
+"""Gossip between gateways about heavy attempts and full engines."""
 
 from ... import gossip_messages as messages
 from ... import interface as api
@@ -6,17 +6,15 @@
 from ..estimation.workload_estimates import HEAVY_WORK_RATIO, WorkloadEstimates
 from ..routing.eligibility import REJECTION_COOLDOWN
 
-BUSY_PEER_ATTEMPTS = (
-    512  # attempts of peers above which only heavier ones are reported; messages cost all time
-)
-REPORT_LIFETIME_RATIO = 3.0  # expected run times after which a report without an end expires
-RENEWAL_RATIO = 2.0  # time since the dispatch over which a renewed report expires
-MAX_SENDERS_RATIO = 2  # highest accepted sender over the gateway count, which may be out of date
-GOSSIP_NUMBERS = 256  # numbers of reported attempts, then they start again
+BUSY_PEER_ATTEMPTS = 512  # peers' attempts above which only heavier requests are reported; limits messages
+REPORT_LIFETIME_RATIO = 3.0  # expected run times after which a report expires if no end was reported
+RENEWAL_RATIO = 2.0  # lifetime of a renewed report over the time since the dispatch
+MAX_SENDERS_RATIO = 2  # upper bound of a sender's index over the gateway count, which may be out of date
+GOSSIP_NUMBERS = 256  # number of distinct attempt numbers in messages; they are reused after that
 
 
 class LoadGossip:
-    """Reports own work to the peers and keeps what they report."""
+    """Reports the heavy attempts of this gateway to its peers and stores their reports."""
 
     def __init__(
         self,
@@ -35,7 +33,7 @@
         self.step_context.emit(api.SendGossip(None, messages.encode(message)))
 
     def on_attempt_started(self, attempt: Attempt) -> None:
-        """Report an attempt of a heavy request."""
+        """Report an attempt if its request is heavy."""
         if not self.step_context.limits.gossip_enabled or not self._should_report(attempt):
             return
         self.last_gossip_number = (self.last_gossip_number + 1) % GOSSIP_NUMBERS
@@ -47,7 +45,7 @@
         self.report_attempt(attempt, lifetime)
 
     def _should_report(self, attempt: Attempt) -> bool:
-        """Return whether the request is heavy enough for a report, given the number in force."""
+        """Return whether the request is heavy enough; the threshold rises with the peers' attempts."""
         request = attempt.request
         if request.class_settings.is_bulk_load:
             return True
@@ -62,7 +60,7 @@
 
         Args:
             attempt: An attempt that has a gossip number.
-            lifetime: Seconds after which the report expires unless renewed.
+            lifetime: Seconds after which the report expires unless it is renewed.
         """
         request = attempt.request
         engine = attempt.engine
@@ -80,9 +78,9 @@
         self.step_context.schedule(self.step_context.now + lifetime, GossipExpiry(attempt))
 
     def renew_report(self, attempt: Attempt) -> None:
-        """Report an attempt again that still runs when its report expires.
+        """Renew the expired report of an attempt that is still in flight.
 
-        Without this, congested engines would look empty to the peers.
+        Otherwise the peers would consider congested engines idle.
         """
         if attempt.outcome is None:
             self.report_attempt(attempt, RENEWAL_RATIO * (self.step_context.now - attempt.sent_at))
@@ -93,7 +91,7 @@
             self.broadcast(messages.GossipMessage(attempt.gossip_number))
 
     def report_rejection(self, engine: Engine) -> None:
-        """Report an engine that is full, so that the peers avoid it without a rejection each."""
+        """Report a full engine, so that the peers avoid it before it rejects their requests."""
         if not self.step_context.limits.gossip_enabled:
             return
         if engine.last_rejection_at <= self.step_context.now - REJECTION_COOLDOWN / 2.0:
@@ -101,7 +99,7 @@
             self.broadcast(messages.GossipMessage(0, duration=REJECTION_COOLDOWN, engine_digest=digest))
 
     def on_peer_message(self, event: api.PeerMessage) -> None:
-        """Process a message of a peer; invalid ones are ignored."""
+        """Process a message from a peer; invalid messages are ignored."""
         message = messages.decode(event.data)
         max_senders = MAX_SENDERS_RATIO * self.step_context.settings.gateway_count
         if message is None or not 0 <= event.sender < max_senders:
@@ -112,14 +110,14 @@
                 self._avoid_full_engine(engine)
             return
         key = (event.sender, message.number)
-        self.peer_load.remove(key)  # ended, or its number is used again
+        self.peer_load.remove(key)  # the attempt ended, or its number is reused
         is_from_itself = event.sender == self.step_context.settings.gateway_index
         if message.duration and engine is not None and not is_from_itself:
             expires_at = self.step_context.now + message.duration
             self.peer_load.add(key, expires_at, engine, message)
 
     def _avoid_full_engine(self, engine: Engine) -> None:
-        """Avoid an engine for a random time, so that the gateways don't come back all at once."""
+        """Avoid a full engine for a random time, so that the gateways don't return to it all at once."""
         cooldown_offset = self.step_context.random.random() * REJECTION_COOLDOWN
         rejected_at = self.step_context.now + cooldown_offset
         engine.last_rejection_at = max(engine.last_rejection_at, rejected_at)
--- a/saffronlane/policy/health/__init__.py
+++ b/saffronlane/policy/health/__init__.py
@@ -1,1 +1,1 @@
-"""Health of engines as seen through the outcomes of attempts."""
+"""Health of engines, derived from the outcomes of attempts."""
--- a/saffronlane/policy/health/outlier_detection.py
+++ b/saffronlane/policy/health/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: engines that fail are ejected, tried with probe requests, and taken back."""
+"""Outlier detection: failing engines are ejected and readmitted after successful half-open probe requests."""
 
 import math
 
@@ -7,26 +7,26 @@
 from ...state import Attempt, Engine, EngineRegistry, Request, StepContext
 from ..estimation.workload_estimates import WorkloadEstimates
 
-MIN_OUTCOME_WEIGHT = 0.2  # lowest weight of one outcome in the failure ratio
-MIN_CONNECTION_LOSS_WEIGHT = 0.4  # the same for a lost connection or no response: two of them eject
-FAIL_MEMORY = 10.0  # seconds in which the weight of earlier outcomes falls to 1/e
+MIN_OUTCOME_WEIGHT = 0.2  # lower bound of the weight of one outcome in the failure ratio
+MIN_CONNECTION_LOSS_WEIGHT = 0.4  # the same for a lost connection or a missing response; two of them eject
+FAILURE_RATIO_DECAY_TIME = 10.0  # seconds in which the weight of earlier outcomes decays to 1/e
 EJECTION_THRESHOLD = 0.5  # failure ratio above which an engine is ejected
-RECOVERY_THRESHOLD = 0.2  # failure ratio below which it is taken back
-PANIC_THRESHOLD = 0.5  # ratio of ejected engines above which ejections are ignored: the cause is elsewhere
+RECOVERY_THRESHOLD = 0.2  # failure ratio below which an ejected engine is readmitted
+PANIC_THRESHOLD = 0.5  # ratio of ejected engines above which ejections are ignored
 MIN_PROBE_REQUEST_INTERVAL = 0.4  # seconds between probe requests to an ejected engine
 MAX_PROBE_REQUEST_INTERVAL = 3.0  # seconds; the interval doubles while probe requests fail
-PROBE_REQUEST_JITTER = 0.2  # part of the interval by which it varies either way
-PROBE_REQUEST_RATIO = 0.2  # probe requests per dispatch: ejected engines must not take all requests
-MAX_PROBE_REQUEST_CREDIT = 3.0  # probe requests that may be made at once
-MAX_PROBE_EXEC_TIME_RATIO = 2.0  # ExecTime of a probe request over that of the shortest class
-MIN_RESTART_DURATION = 0.25  # seconds that a process needs to restart; a refused connection shortens this
-LATE_RESPONSE_MARGIN = 0.1  # seconds after a connection loss in which earlier responses may still arrive
+PROBE_REQUEST_JITTER = 0.2  # highest relative deviation from the interval, in either direction
+PROBE_REQUEST_RATIO = 0.2  # probe requests per dispatch, so that ejected engines don't get all requests
+MAX_PROBE_REQUEST_CREDIT = 3.0  # unused probe requests that may accumulate
+MAX_PROBE_EXEC_TIME_RATIO = 2.0  # highest ExecTime of a probe request over that of the shortest class
+MIN_RESTART_DURATION = 0.25  # seconds that a process needs to restart; not applied after a refused connection
+LATE_RESPONSE_MARGIN = 0.1  # seconds after a connection loss for which responses sent before may still arrive
 SUCCESS = 0.0  # value of a successful outcome in the failure ratio
 FAILURE = 1.0  # value of a failed outcome in the failure ratio
 
 
 class OutlierDetector:
-    """Keeps a decayed failure ratio of each engine; ejects and takes back with hysteresis."""
+    """Ejects and readmits engines with hysteresis, by a decayed failure ratio of each engine."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         self.is_panic_mode = False
 
     def admits(self, engine: Engine, request: Request) -> bool:
-        """Return whether the engine may get the request; an ejected one gets single probe requests."""
+        """Return whether the engine may get the request; an ejected one gets one probe request at a time."""
         if not engine.is_ejected or (self.is_panic_mode and not engine.is_unresponsive):
             return True
         if engine.in_flight or self.step_context.now < engine.next_probe_request_at:
@@ -52,7 +52,7 @@
         return self._is_probe_request(request)
 
     def _is_probe_request(self, request: Request) -> bool:
-        """Return whether the request is short and safe enough to try an ejected engine with it now."""
+        """Return whether the request may be a probe request: short, safe and not attempted before."""
         if request.class_index not in self.probe_request_classes:
             return False
         if request.attempts or self.probe_request_credit < 1.0:
@@ -62,7 +62,7 @@
         return self.workload_estimates.exec_time(request) <= MAX_PROBE_EXEC_TIME_RATIO * min_exec_time
 
     def record_dispatch(self, engine: Engine) -> None:
-        """Count a dispatch towards the credit for probe requests, and a probe request against it."""
+        """Add to the credit for probe requests; a dispatch to an ejected engine uses some of it."""
         credit = self.probe_request_credit + PROBE_REQUEST_RATIO
         self.probe_request_credit = min(MAX_PROBE_REQUEST_CREDIT, credit)
         if engine.is_ejected:
@@ -70,10 +70,10 @@
             self.probe_request_credit -= 1.0
 
     def record_outcome(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Update the engine's connection state and failure ratio; eject it or take it back."""
+        """Update the engine's connection state and failure ratio; eject or readmit it accordingly."""
         engine = attempt.engine
         self._record_connection_state(attempt, outcome)
-        if outcome is Outcome.OK:  # one response disproves unresponsiveness; a failure ratio has to decay
+        if outcome is Outcome.OK:  # one response ends unresponsiveness, while failures decay
             weight = 1.0 if engine.is_unresponsive else MIN_OUTCOME_WEIGHT
             self.update_failure_ratio(engine, weight, SUCCESS)
         if not engine.is_ejected:
@@ -86,12 +86,12 @@
             self.schedule_probe_request(engine)
 
     def _record_connection_state(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Record what an outcome shows of the engine's connections and process."""
+        """Update the connection state of the engine, and detect restarts of its process."""
         now = self.step_context.now
         engine = attempt.engine
         lost_at = max(engine.connection_lost_at, engine.inferred_restart_at)
         if outcome is Outcome.OK and attempt.sent_at < lost_at < now - LATE_RESPONSE_MARGIN:
-            # The process kept work from before the loss: only a connection broke.
+            # The process completed work from before the loss, so it has not restarted.
             engine.connection_lost_at = -math.inf
             engine.inferred_restart_at = -math.inf
         match outcome:
@@ -105,10 +105,10 @@
                     self.update_failure_ratio(engine, MIN_CONNECTION_LOSS_WEIGHT, FAILURE)
 
     def attribute_errors(self, attempt: Attempt, is_last_attempt: bool) -> None:
-        """Count errors against their engines once another engine has served the request.
+        """Count errors as failures of their engines once another engine has served the request.
 
-        The only attempt of a request counts as well; else the request may be the cause, and a flood of
-        requests that fail everywhere must not eject the engines.
+        The error of a request that can have no second attempt counts as well. Other errors may be caused by
+        the request itself, and many requests that fail on every engine must not eject the engines.
         """
         attempts = attempt.request.attempts
         is_only_attempt = len(attempts) == 1 and is_last_attempt
@@ -119,32 +119,32 @@
                     self._eject_if_failing(engine)
 
     def record_unresponsive(self, engine: Engine) -> bool:
-        """Record an attempt without a response; return whether the engine is ejected now."""
+        """Record an attempt without a response and return whether the engine is now ejected."""
         self.update_failure_ratio(engine, MIN_CONNECTION_LOSS_WEIGHT, FAILURE)
         if engine.failure_ratio > EJECTION_THRESHOLD:
             self.eject(engine, "unresponsive")
         return engine.is_ejected
 
     def update_failure_ratio(self, engine: Engine, min_weight: float, value: float) -> None:
-        """Add an outcome to the failure ratio; it weighs more the longer ago the last one was.
+        """Add an outcome to the failure ratio; its weight grows with the time since the last outcome.
 
         Args:
             engine: The engine of the attempt.
-            min_weight: The lowest weight, between 0 and 1.
+            min_weight: Lower bound of its weight, between 0 and 1.
             value: `FAILURE` or `SUCCESS`.
         """
         elapsed = max(engine.last_outcome_at - self.step_context.now, -1e3)
-        weight = max(min_weight, 1.0 - math.exp(elapsed / FAIL_MEMORY))
+        weight = max(min_weight, 1.0 - math.exp(elapsed / FAILURE_RATIO_DECAY_TIME))
         engine.failure_ratio += weight * (value - engine.failure_ratio)
         engine.last_outcome_at = self.step_context.now
 
     def _eject_if_failing(self, engine: Engine) -> None:
-        """Eject an engine whose failure ratio passes the threshold."""
+        """Eject an engine whose failure ratio exceeds the threshold."""
         if engine.failure_ratio > EJECTION_THRESHOLD:
             self.eject(engine, "failing")
 
     def eject(self, engine: Engine, reason: str) -> None:
-        """Eject an engine, as "failing" or "unresponsive"."""
+        """Eject an engine; the reason is "failing" or "unresponsive"."""
         engine.is_ejected = True
         engine.failure_ratio = 1.0
         engine.is_unresponsive = reason == "unresponsive"
@@ -167,7 +167,10 @@
         engine.next_probe_request_at = self.step_context.now + engine.probe_request_interval * jitter
 
     def update_panic_mode(self) -> None:
-        """Ignore ejections while too many of the ready engines are ejected as failing."""
+        """Enter panic mode while too many ready engines are ejected as failing, and leave it after that.
+
+        In panic mode these ejections are ignored, since the cause is probably not in the engines.
+        """
         was_panic_mode = self.is_panic_mode
         ready = self.engine_registry.ready
         ejected_count = sum(engine.is_ejected and not engine.is_unresponsive for engine in ready)
--- a/saffronlane/policy/routing/__init__.py
+++ b/saffronlane/policy/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which engine a request goes to."""
+"""Selection of the engine for a request."""
--- a/saffronlane/policy/routing/capacity.py
+++ b/saffronlane/policy/routing/capacity.py
@@ -1,4 +1,4 @@
-"""Capacity of engines: whether one has the threads and the memory for a request."""
+"""Capacity check: whether an engine has the threads and the memory for a request."""
 
 from ...state import Engine, Request
 from ..estimation.load_reports import LoadReports
@@ -9,7 +9,7 @@
 
 
 class EngineCapacity:
-    """Checks the capacity that own and reported work leaves at an engine."""
+    """Checks the capacity that this gateway's and the peers' attempts leave on an engine."""
 
     def __init__(self, load_reports: LoadReports, concurrency_limit: AdaptiveConcurrencyLimit) -> None:
         self.step_context = load_reports.step_context
@@ -24,7 +24,7 @@
             engine: The engine.
             request: The request.
             is_heavy: Whether the request is heavy.
-            memory_mb: Memory that the request requires; without it, it spills and repeats its work.
+            memory_mb: Memory in MB that the request requires; with less, it spills and repeats work.
         """
         if self.is_gossip_enabled and is_heavy and not self._has_threads(engine, request):
             return False
@@ -39,10 +39,11 @@
         return threads <= cores * self.concurrency_limit.max_threads_per_core()
 
     def _has_memory(self, engine: Engine, memory_mb: float) -> bool:
-        """Return whether the memory is free; without gossip, each gateway has an even part of an engine's.
+        """Return whether the engine has enough free memory.
 
-        With gossip, half of the memory is enough for the largest request: one of many gateways never
-        sees an engine empty.
+        Without gossip, each gateway may use an equal part of the engine's memory. With gossip, half of the
+        engine's memory is enough for the largest request: with many gateways an engine is never idle and would
+        otherwise never get it.
         """
         if not engine.memory_mb:
             return True
--- a/saffronlane/policy/routing/eligibility.py
+++ b/saffronlane/policy/routing/eligibility.py
@@ -1,4 +1,4 @@
-"""Eligibility of engines: where a request may go by the rules, and where it had better go."""
+"""Eligibility of engines for a request: where it is allowed to run, and which engines it should avoid."""
 
 from collections.abc import Iterator
 
@@ -10,11 +10,11 @@
 from .capacity import EngineCapacity
 from .rendezvous import RendezvousOrder
 
-REJECTION_COOLDOWN = 1.0  # seconds for which an engine is avoided after it had a request wait
+REJECTION_COOLDOWN = 1.0  # seconds for which an engine is avoided after a sign of congestion
 
 
 class EngineEligibility:
-    """Lists the engines that a request may use, in the order of preference."""
+    """Lists the engines that a request may use, in order of preference."""
 
     def __init__(
         self,
@@ -29,7 +29,11 @@
         self.rendezvous_order = RendezvousOrder(load_reports.step_context, load_reports.engine_registry)
 
     def is_allowed(self, engine: Engine, request: Request) -> bool:
-        """Return whether rules 2 and 6 allow the request on the engine."""
+        """Return whether the request may run on the engine.
+
+        The restrictions of its class to zones and machine types must hold. If an earlier attempt may have
+        been executed, the engine must also be able to discard a duplicate.
+        """
         settings = request.class_settings
         if settings.allowed_zones is not None and engine.zone not in settings.allowed_zones:
             return False
@@ -39,7 +43,7 @@
         return self._is_in_deduplication_scope(engine, request)
 
     def _is_in_deduplication_scope(self, engine: Engine, request: Request) -> bool:
-        """Return whether the engine would discard the request if an earlier attempt was executed."""
+        """Return whether the engine discards the request if an earlier attempt was executed."""
         settings = request.class_settings
         if settings.idempotency is not Idempotency.KEYED:
             return True
@@ -55,12 +59,12 @@
     def eligible_engines(
         self, request: Request, strict: bool, candidates: list[Engine] | None = None
     ) -> Iterator[Engine]:
-        """Yield the engines that the request may use now, in the order of preference.
+        """Yield the engines that the request may use now, in order of preference.
 
         Args:
             request: The request.
-            strict: Whether to leave out engines that had better be avoided, too.
-            candidates: The engines to choose from; by default all in hash order.
+            strict: Whether to also leave out the engines that should be avoided.
+            candidates: The engines to choose from; by default all ready engines in rendezvous order.
         """
         is_heavy = self.workload_estimates.is_heavy(request)
         memory_mb = self.workload_estimates.resource_grant(request).memory_mb
@@ -75,16 +79,17 @@
                 yield engine
 
     def _ordered_engines(self, request: Request) -> list[Engine]:
-        """Return the ready engines in hash order.
+        """Return the ready engines in rendezvous order.
 
-        Bulk loads have an order of each gateway's own: two of one table group would wait for each other.
+        The order for bulk loads differs between gateways, since two bulk loads of the same table group would
+        wait for each other on one engine.
         """
         is_bulk_load = request.class_settings.is_bulk_load
         hash_seed = self.step_context.settings.gateway_index + 1 if is_bulk_load else 0
         return self.rendezvous_order(request.table_group, hash_seed)
 
     def _should_avoid(self, engine: Engine, request: Request) -> bool:
-        """Return whether the engine failed the request, was full lately or holds the tables that it needs."""
+        """Return whether the engine was full recently, failed the request or runs a conflicting bulk load."""
         if engine.last_rejection_at > self.step_context.now - REJECTION_COOLDOWN:
             return True
         if engine.id in request.failed_engines:
--- a/saffronlane/policy/routing/engine_selection.py
+++ b/saffronlane/policy/routing/engine_selection.py
@@ -1,4 +1,4 @@
-"""Selection of an engine for a request among those that are eligible."""
+"""Selection of an engine for a request from the eligible engines."""
 
 from ...state import Engine, InFlightWork, PeerLoadTable, Request
 from ..estimation.load_reports import LoadReports
@@ -6,12 +6,12 @@
 from ..scheduling.concurrency_limit import AdaptiveConcurrencyLimit
 from .eligibility import EngineEligibility
 
-OVERLOAD_FACTOR = 1.25  # load of an engine over the mean, besides one request, above which it is passed over
-RECENT_WORK_HORIZON = 10.0  # seconds for which dispatched work counts as load, since little may be in flight
+OVERLOAD_FACTOR = 1.25  # load over the mean load, apart from one request, above which an engine is skipped
+RECENT_WORK_HORIZON = 10.0  # decay time in seconds of dispatched work as load; little may be in flight
 
 
 class EngineSelector:
-    """Bounded-load hashing: the less loaded of two neighbours in hash order, without overloaded ones."""
+    """Bounded-load hashing: selects the less loaded of two neighbours in rendezvous order."""
 
     def __init__(
         self, load_reports: LoadReports, outlier_detector: OutlierDetector, peer_load: PeerLoadTable
@@ -26,23 +26,26 @@
         self.eligibility = EngineEligibility(load_reports, outlier_detector, self.concurrency_limit)
 
     def on_engines_changed(self) -> None:
-        """Drop what depends on the set of ready engines."""
+        """Discard cached data that depends on the set of ready engines."""
         self.eligibility.rendezvous_order.clear()
 
     def load(self, engine: Engine) -> float:
-        """Return the threads per core of own, peers' and reported work, higher in zones costly to reach."""
+        """Return the engine's load in threads per core, increased if its zone is costly to reach.
+
+        It is the sum of this gateway's work, the peers' attempts and the load that the engine reported.
+        """
         now = self.step_context.now
         own_threads = engine.in_flight_threads + engine.recent_work.read(now, RECENT_WORK_HORIZON)
         reported_threads = self.load_reports.threads_per_core(engine) * engine.cores
         threads = own_threads + engine.peer_threads + reported_threads
         load = threads / engine.effective_cores(now, self.step_context.guarantees)
-        is_crossing_costly = self.eligibility.rendezvous_order.crossing_costs
+        is_crossing_costly = self.eligibility.rendezvous_order.is_crossing_costly
         if is_crossing_costly and engine.zone != self.step_context.settings.zone:
             return load * OVERLOAD_FACTOR
         return load
 
     def select(self, request: Request) -> Engine | None:
-        """Return the engine for the request, or None if it has to wait."""
+        """Return an engine for the request, or None if the request has to wait."""
         if not self.engine_registry.ready_cores or not self.concurrency_limit.admits(request):
             return None
         return (
@@ -52,9 +55,10 @@
         )
 
     def _select_warming_up(self, request: Request) -> Engine | None:
-        """Return an engine in slow start that has room for the request: its turns are short.
+        """Return an engine in slow start with capacity for the request; the gateway's turns on it are short.
 
-        The hash order is of each gateway's own: in a common one, all gateways would use the first engine.
+        The rendezvous order differs between gateways. With the same order, all gateways would use the same
+        engine first.
         """
         now = self.step_context.now
         if now >= self.engine_registry.warmups_end_at:
@@ -71,7 +75,10 @@
         return None
 
     def _select_in_order(self, request: Request, strict: bool) -> Engine | None:
-        """Return the less loaded of two neighbours in order that is not overloaded, else the least loaded."""
+        """Return the less loaded engine of the first pair of neighbours that is not overloaded.
+
+        If there is none, return the least loaded engine.
+        """
         previous: Engine | None = None
         least_loaded: Engine | None = None
         for engine in self.eligibility.eligible_engines(request, strict):
@@ -83,7 +90,7 @@
         return least_loaded
 
     def _is_overloaded(self, engine: Engine, request: Request) -> bool:
-        """Return whether threads, reported load or recent work pass the engine's share by too much."""
+        """Return whether the engine's threads, reported load or recent work exceed its share."""
         if not self._is_within_share(engine, request):
             return True
         mean_threads = self.engine_registry.mean_reported_threads
@@ -98,12 +105,12 @@
         return engine.recent_work.read(now, RECENT_WORK_HORIZON) > max_work
 
     def _is_within_share(self, engine: Engine, request: Request) -> bool:
-        """Return whether the engine's threads are within its share of all, besides one request."""
+        """Return whether the engine's threads are within its share of all threads plus one request."""
         total_threads = self.in_flight.threads + self.peer_load.threads
         max_threads = self._share(engine) * total_threads + request.class_settings.threads
         return engine.in_flight_threads + engine.peer_threads <= max_threads
 
     def _share(self, engine: Engine) -> float:
-        """Return the highest part of all load that the engine should have."""
+        """Return the highest part of the total load that the engine should carry."""
         effective_cores = engine.effective_cores(self.step_context.now, self.step_context.guarantees)
         return OVERLOAD_FACTOR * effective_cores / self.engine_registry.ready_cores
--- a/saffronlane/policy/routing/rendezvous.py
+++ b/saffronlane/policy/routing/rendezvous.py
@@ -1,26 +1,26 @@
-"""Rendezvous hashing: the order in which ready engines are preferred for a table group."""
+"""Rendezvous hashing: the order of preference of the ready engines for a table group."""
 
 from hashlib import blake2b
 
 from ...state import Engine, EngineRegistry, StepContext
 
-HOME_ENGINES = 4  # first engines of an order, among which those of the own zone lead
-MIN_CROSS_ZONE_PRICE = 0.03  # points of service from which on crossing zones counts as costly
-MAX_CACHED_ORDERS = 4096  # orders; table groups come from clients and are unbounded
+HOME_ENGINES = 4  # first engines of an order, of which those in the gateway's own zone come first
+MIN_CROSS_ZONE_PRICE = 0.03  # points of the service score from which on crossing zones counts as costly
+MAX_CACHED_ORDERS = 4096  # orders; the number of table groups is up to the clients
 DIGEST_SIZE = 8  # bytes
 
 
 class RendezvousOrder:
-    """Computes and caches the orders. With seed 0 they are the same at all gateways of a zone."""
+    """Computes and caches the orders. With a hash seed of 0 all gateways of a zone have the same order."""
 
     def __init__(self, step_context: StepContext, engine_registry: EngineRegistry) -> None:
         self.step_context = step_context
         self.engine_registry = engine_registry
         self.cached_orders: dict[tuple[float, int], list[Engine]] = {}
-        self.crossing_costs = step_context.settings.cross_zone_price >= MIN_CROSS_ZONE_PRICE
+        self.is_crossing_costly = step_context.settings.cross_zone_price >= MIN_CROSS_ZONE_PRICE
 
     def __call__(self, table_group: float, hash_seed: int = 0) -> list[Engine]:
-        """Return the ready engines in the order for a table group; callers must not change the list."""
+        """Return the ready engines in the order for a table group; callers must not modify the list."""
         order = self.cached_orders.get((table_group, hash_seed))
         if order is None:
             order = self._compute(table_group, hash_seed)
@@ -37,11 +37,11 @@
             return blake2b(prefix + engine.id, digest_size=DIGEST_SIZE).digest()
 
         order = sorted(self.engine_registry.ready, key=digest)
-        if self.crossing_costs:
+        if self.is_crossing_costly:
             own_zone = self.step_context.settings.zone
             order[:HOME_ENGINES] = sorted(order[:HOME_ENGINES], key=lambda engine: engine.zone != own_zone)
         return order
 
     def clear(self) -> None:
-        """Drop the cached orders, after the ready engines have changed."""
+        """Discard the cached orders; called when the set of ready engines has changed."""
         self.cached_orders.clear()
--- a/saffronlane/policy/routing/slow_start.py
+++ b/saffronlane/policy/routing/slow_start.py
@@ -1,18 +1,18 @@
-"""Rule 4, slow start: the work that an engine may get while it warms up."""
+"""Slow start: limits the work that all gateways together send to an engine while it warms up."""
 
 from ...state import Engine, Request, StepContext
 from ..estimation.workload_estimates import WorkloadEstimates
 
-UTILIZATION_LIMIT = 0.85  # part of busy cores at which an engine does all it can
-BUDGET_MARGIN = 0.85  # part of the budget that is used, since work is estimated
-TURN_MARGIN = 0.42  # the same for single requests in turns, of which two may fall into one window
-MAX_REQUEST_RATIO = 0.33  # largest request over the budget of a window, so that all turns and one more fit
+UTILIZATION_LIMIT = 0.85  # ratio of busy cores at which an engine works at full capacity
+BUDGET_MARGIN = 0.85  # part of the budget that is used, since the work is only estimated
+TURN_MARGIN = 0.42  # the same for requests sent in turns, of which two may fall into one window
+MAX_REQUEST_RATIO = 0.33  # largest request over the limit of a window, so that all turns and one more fit
 
 
 class SlowStartBudget:
-    """A gateway's part of the work that one engine may get in a window while it warms up.
+    """This gateway's part of the work that an engine in slow start may get within a window.
 
-    The budget grows as the engine warms up, and counts dispatched work whatever becomes of it. Times are in
+    The budget grows as the engine warms up. Dispatched work counts whatever its outcome is. Times are in
     seconds, work is in thread seconds.
     """
 
@@ -27,7 +27,7 @@
         self.window = step_context.guarantees.slow_start_overload_window
         self.warmup_started_at = engine.warmup_started_at(step_context.now)
         self.load_limit = UTILIZATION_LIMIT * step_context.guarantees.slow_start_overload_factor
-        # A budget of many small requests counts each as the mean, whose number needs no margin.
+        # A small request counts as the mean request, without margins: a sum over many requests needs none.
         self.min_work = BUDGET_MARGIN * UTILIZATION_LIMIT * workload_estimates.mean_query().work
         cores = engine.effective_cores(step_context.now - self.window, step_context.guarantees)
         self.window_core_seconds = cores * self.window
@@ -49,15 +49,16 @@
         return is_engine_older and self.step_context.now < gateway_started_at + self.window
 
     def _recent_work(self) -> float:
-        """Return the work dispatched to the engine within the window."""
+        """Return the work that was dispatched to the engine within the window."""
         since = self.step_context.now - self.window - self.step_context.settings.min_step_interval
         recent_works = (work for sent_at, work in self.engine.recent_dispatches if sent_at >= since)
         return sum(max(work, self.min_work) for work in recent_works)
 
     def _has_turn(self, work: float) -> bool:
-        """Return whether it is the gateway's turn to dispatch one request that is larger than its budget.
+        """Return whether it is the gateway's turn to dispatch one request that exceeds its budget.
 
-        The turns of the gateways are spread evenly; a request fits if its turn is within the window.
+        The gateways take turns at even distances, measured in core seconds of the engine. A request may be
+        dispatched from the start of the gateway's turn for the length of a window.
         """
         if work > MAX_REQUEST_RATIO * self.load_limit * self.window_core_seconds:
             return False
@@ -70,7 +71,7 @@
         return turn % 1.0 * core_seconds_per_work * work < self.window_core_seconds
 
     def _next_turn_core_seconds(self, core_seconds_per_work: float) -> float:
-        """Return the core seconds since the engine's start after which the last dispatch allows another."""
+        """Return the core seconds since the engine's start from which on another dispatch is allowed."""
         sent_at = self.warmup_started_at
         cooldown = 0.0
         if self.engine.recent_dispatches:
@@ -84,7 +85,10 @@
 def has_slow_start_capacity(
     step_context: StepContext, workload_estimates: WorkloadEstimates, engine: Engine, request: Request
 ) -> bool:
-    """Return whether rule 4 allows the request on the engine; always once it has warmed up."""
+    """Return whether the engine may get the request without overload in slow start.
+
+    An engine that has warmed up is not limited here.
+    """
     guarantees = step_context.guarantees
     if not guarantees.slow_start_overload_factor:
         return True
--- a/saffronlane/policy/scheduling/__init__.py
+++ b/saffronlane/policy/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""When requests are admitted, released and retried."""
+"""Admission, scheduling and retries of requests."""
--- a/saffronlane/policy/scheduling/admission.py
+++ b/saffronlane/policy/scheduling/admission.py
@@ -1,4 +1,4 @@
-"""Admission of arriving requests: deadline, tenant rate limit and load probes."""
+"""Admission of new requests: deadline, tenant rate limit and load probes."""
 
 from itertools import islice
 
@@ -8,13 +8,13 @@
 from ..execution.completion import RequestCompletion
 from ..routing.engine_selection import EngineSelector
 
-TENANT_RATE_MARGIN = 1.3  # rate allowed over a gateway's even share, since traffic is uneven
-TENANT_BURST_REQUESTS = 3.0  # requests of a burst at any rate
-TENANT_BURST_DURATION = 2.0  # seconds of the allowed rate that a burst may add
+TENANT_RATE_MARGIN = 1.3  # allowed rate over a gateway's equal share of the limit, since traffic is uneven
+TENANT_BURST_REQUESTS = 3.0  # requests that a burst may have at any rate limit
+TENANT_BURST_DURATION = 2.0  # seconds at the allowed rate that a burst may have in addition
 
 
 class AdmissionController:
-    """Takes in requests and the results of the probes made for them."""
+    """Admits requests and processes the results of load probes."""
 
     def __init__(self, completion: RequestCompletion, engine_selector: EngineSelector) -> None:
         self.step_context = completion.step_context
@@ -25,7 +25,7 @@
         self.token_buckets = [TokenBucket() for _ in self.settings.tenants]
 
     def on_arrival(self, event: api.Arrival) -> None:
-        """Queue a request; finish it at once where an earlier attempt allows no other."""
+        """Queue a request; finish it immediately if an earlier attempt rules out any further one."""
         request = self._create_request(event)
         self.completion.add_pending(request)
         if request.previous_attempt_count and self.completion.retry_policy.is_exhausted(request):
@@ -34,7 +34,7 @@
             self._probe_load(request)
 
     def _create_request(self, event: api.Arrival) -> Request:
-        """Create the request of an arrival and record its estimated cost."""
+        """Create the request for an arrival and record its estimated cost."""
         class_index = min(event.class_index, len(self.settings.classes) - 1)
         request = Request(event, class_index, self.settings.classes[class_index], self.step_context.now)
         estimator = self.completion.workload_estimates.estimators[class_index]
@@ -45,7 +45,7 @@
         return request
 
     def _probe_load(self, request: Request) -> None:
-        """Probe the first engines that the request may go to."""
+        """Probe the load of the first engines that the request may use."""
         engines = list(islice(self.eligibility.eligible_engines(request, strict=True), MAX_PROBED_ENGINES))
         for engine in self.load_reports.select_probe_targets(request, engines):
             self.step_context.emit(api.ProbeLoad(engine.id))
@@ -53,7 +53,7 @@
             self.step_context.schedule(request.probing_until, None)
 
     def exceeds_quota(self, tenant: int) -> bool:
-        """Count a request; return whether it is beyond its tenant's rate limit and yields to others."""
+        """Count a request and return whether it exceeds its tenant's rate limit; it then yields to others."""
         if not 0 <= tenant < len(self.settings.tenants):
             return False
         rate_limit = self.settings.tenants[tenant].rate_limit
@@ -64,7 +64,7 @@
         return self.token_buckets[tenant].overflows(self.step_context.now, rate, depth)
 
     def on_probe_result(self, event: api.ProbeResult) -> None:
-        """Record the load report of a probe; an engine that fails it is avoided for a while."""
+        """Record the load report of a probe, or avoid an engine that failed to answer it."""
         engine = self.load_reports.engine_registry.engines.get(event.engine)
         if engine is None:
             return
--- a/saffronlane/policy/scheduling/concurrency_limit.py
+++ b/saffronlane/policy/scheduling/concurrency_limit.py
@@ -1,4 +1,4 @@
-"""Adaptive limit on the gateway's own threads over all engines, moved by latency inflation."""
+"""Adaptive limit on the threads that a gateway uses on all engines, controlled by latency inflation."""
 
 import math
 
@@ -6,7 +6,7 @@
 from ..estimation.load_reports import LoadReports
 
 FAIR_SHARE_THREADS_PER_CORE = 1.3  # threads per core under congestion, shared by all gateways
-FAIR_SHARE_DEVIATIONS = 1.5  # standard deviations above the fair share, for requests that coincide by chance
+FAIR_SHARE_DEVIATIONS = 1.5  # standard deviations added to the fair share, since requests coincide by chance
 CONGESTED_INFLATION = 4.0  # latency inflation above which the limit falls
 RECOVERED_INFLATION = 2.5  # latency inflation below which the limit grows
 CONGESTED_THREADS_PER_CORE = 2.0  # reported threads per core that count as `CONGESTED_INFLATION`
@@ -17,7 +17,7 @@
 
 
 class AdaptiveConcurrencyLimit:
-    """Multiplicative decrease while responses are late, additive increase once they are not."""
+    """Decreases the limit by a factor while latency is inflated, and increases it in steps otherwise."""
 
     def __init__(self, in_flight: InFlightWork, load_reports: LoadReports) -> None:
         self.in_flight = in_flight
@@ -25,14 +25,14 @@
         self.step_context = load_reports.step_context
         self.engine_registry = load_reports.engine_registry
         self.latency_inflation = 1.0  # smoothed, over all engines
-        self.limit = math.inf  # own threads
+        self.limit = math.inf  # threads of the attempts of this gateway
         self.last_decrease_at = -math.inf
-        self.is_blocked = False  # the last release left a request without an engine
+        self.is_blocked = False  # whether the last scheduling pass left a request without an engine
 
     def admits(self, request: Request) -> bool:
-        """Return whether the limit has room for at least half of the request.
+        """Return whether the limit leaves room for at least half of the request's threads.
 
-        Longer requests in flight don't count, so that short ones pass them.
+        Attempts of classes with a longer ExecTime don't count, so that short requests can overtake them.
         """
         estimators = self.load_reports.workload_estimates.estimators
         exec_time = estimators[request.class_index].exec_time()
@@ -44,19 +44,19 @@
         return not threads or threads + request.class_settings.threads / 2.0 <= self.limit
 
     def max_threads_per_core(self) -> float:
-        """Return the threads per core of an engine up to which it gets heavy requests.
+        """Return the highest number of threads per core at which an engine gets heavy requests.
 
         The limit falls from the congested threshold to the fair share as latency inflation rises.
         """
-        quick_ratio = clamp(RECOVERED_INFLATION - self.latency_inflation, 0.0, 1.0)
+        low_inflation_ratio = clamp(RECOVERED_INFLATION - self.latency_inflation, 0.0, 1.0)
         span = CONGESTED_THREADS_PER_CORE - FAIR_SHARE_THREADS_PER_CORE
-        return FAIR_SHARE_THREADS_PER_CORE + quick_ratio * span
+        return FAIR_SHARE_THREADS_PER_CORE + low_inflation_ratio * span
 
     def record_response(self, engine: Engine, inflation: float, threads_per_core: float) -> None:
-        """Record a response by the load reported with it, else by its latency inflation.
+        """Record the reported load of a response or, without a report, its latency inflation.
 
         Args:
-            engine: The engine that responded; while it warms up it is slow, not congested.
+            engine: The engine that responded. It is slow while it warms up, which is not congestion.
             inflation: Latency over the uncontended latency.
             threads_per_core: Load that the engine reported; 0 if not reported.
         """
@@ -67,7 +67,7 @@
         self.record_latency_inflation(inflation * effective_cores / engine.cores)
 
     def record_latency_inflation(self, inflation: float) -> None:
-        """Update the smoothed latency inflation and move the limit accordingly."""
+        """Update the smoothed latency inflation and adjust the limit."""
         bounded_inflation = min(inflation, CONGESTED_INFLATION * 2.0)
         self.latency_inflation += INFLATION_SMOOTHING * (bounded_inflation - self.latency_inflation)
         now = self.step_context.now
@@ -82,7 +82,7 @@
             self.limit += LIMIT_INCREASE
 
     def _min_limit(self) -> float:
-        """Return the lowest limit in threads: the fair share, or 1 where engines report their load."""
+        """Return the lowest limit in threads: the fair share, or 1 if engines report their load."""
         if self.load_reports.active_column is not None:
             return 1.0
         gateway_count = self.step_context.settings.gateway_count
--- a/saffronlane/policy/scheduling/group_edf.py
+++ b/saffronlane/policy/scheduling/group_edf.py
@@ -1,4 +1,4 @@
-"""Group EDF over the queued requests, and the end of those that can't finish in time."""
+"""Group EDF scheduling of queued requests; those that can't complete in time are ended."""
 
 import math
 
@@ -7,15 +7,13 @@
 from ..execution.attempts import AttemptManager
 from ..execution.completion import EXPIRY_MARGIN, TIMER_TOLERANCE
 
-GROUP_RANGE_RATIO = (
-    0.4  # Gr of the paper: a group's range past the earliest deadline, in its time to deadline
-)
-MIN_LATE_PRIORITY_WEIGHT = 0.4  # while engines are full, classes below this expire at their objective
-EXPIRY_CHECK_INTERVAL = 0.05  # seconds; checking at each step would cost too much with long queues
+GROUP_RANGE_RATIO = 0.4  # Gr in the paper: deadline range of a group over its first time to deadline
+MIN_LATE_PRIORITY_WEIGHT = 0.4  # while engines are full, classes below it expire at their latency objective
+EXPIRY_CHECK_INTERVAL = 0.05  # seconds; a check in every step takes too long with long queues
 
 
 class GroupEdfScheduler:
-    """Releases queued requests: the earliest deadline names a group, its shortest request goes first."""
+    """Releases queued requests: the earliest deadline selects a group; its shortest request is first."""
 
     def __init__(self, attempt_manager: AttemptManager) -> None:
         self.attempt_manager = attempt_manager
@@ -29,7 +27,7 @@
         self.next_expiry_check_at = -math.inf
 
     def is_expired(self, request: Request) -> bool:
-        """Return whether now + ExecTime passes the limit of the request, its class or its client."""
+        """Return whether now + ExecTime exceeds the time limit of the request, its class or its client."""
         estimator = self.workload_estimates.estimators[request.class_index]
         exec_time = 0.0
         if estimator.answer_count >= SEED_ANSWERS:
@@ -37,7 +35,7 @@
         return self.step_context.now + exec_time > self._completion_limit(request)
 
     def _completion_limit(self, request: Request) -> float:
-        """Return the time by which the request has to be completed to be worth an attempt."""
+        """Return the latest time of completion at which an attempt is still worthwhile."""
         is_blocked = self.concurrency_limit.is_blocked
         if is_blocked and request.is_over_quota:
             return -math.inf
@@ -50,7 +48,7 @@
         return limit
 
     def release(self) -> None:
-        """Start attempts of queued requests until none of those left has an engine."""
+        """Start attempts of queued requests until there is no engine for any of the remaining requests."""
         now = self.step_context.now
         if now >= self.next_expiry_check_at:
             self.next_expiry_check_at = now + EXPIRY_CHECK_INTERVAL
@@ -66,24 +64,24 @@
             if engine is None:
                 self.concurrency_limit.is_blocked = True
                 waiting = self._without_similar(waiting, request)
-            elif self.retry_policy.can_retry(request):  # its key may have expired since the last check
+            elif self.retry_policy.can_retry(request):  # its idempotency key may have expired meanwhile
                 self.attempt_manager.start(request, engine)
 
     def _finish_expired(self) -> None:
-        """End the queued requests that can have no further attempt or can't finish in time."""
+        """End the queued requests that can have no further attempt or can't complete in time."""
         expired = [
             request
             for request in self.pending.queued.values()
             if self.retry_policy.is_exhausted(request) or self.is_expired(request)
         ]
         for request in expired:
-            if request.in_flight_count:  # queued for a hedged attempt; the first may still complete
+            if request.in_flight_count:  # queued for a hedged attempt; the first attempt may still complete
                 del self.pending.queued[request.id]
             else:
                 self.completion.finish(request)
 
     def _releasable_requests(self) -> list[Request]:
-        """Return the queued requests that may start now, by quota and deadline."""
+        """Return the queued requests that may start now, sorted by quota and deadline."""
         now = self.step_context.now
         requests = [
             request
@@ -96,7 +94,7 @@
         return requests
 
     def _next_request(self, waiting: list[Request]) -> Request:
-        """Return the shortest request of the group that the first of the sorted requests names."""
+        """Return the shortest request of the group that the first of the sorted requests defines."""
         first = waiting[0]
         group_end = first.deadline + GROUP_RANGE_RATIO * (first.deadline - first.arrived_at)
         group = [
@@ -108,9 +106,10 @@
         return min(group, key=lambda request: (exec_time(request), request.deadline, request.id))
 
     def _without_similar(self, waiting: list[Request], blocked: Request) -> list[Request]:
-        """Return the requests that may find an engine where the blocked one found none.
+        """Return the requests for which there may be an engine although the blocked request has none.
 
-        Trying each request of its class costs too much; a retry may use fewer engines than a first attempt.
+        They exclude its class, since trying each request of a class would take too long. If the blocked
+        request is a retry, first attempts of its class remain: they may use more engines than a retry.
         """
         return [
             request
--- a/saffronlane/policy/scheduling/retry_budget.py
+++ b/saffronlane/policy/scheduling/retry_budget.py
@@ -1,15 +1,15 @@
-"""Rule 7: the budget of retries over a sliding window."""
+"""Retry budget: limits the retries within a sliding window to a base and a fraction of the requests."""
 
 from ...state import Request, RetryBudgetWindow, StepContext
 
 
 def dispatch_delay(step_context: StepContext) -> float:
-    """Return the seconds within which a dispatched request has left the gateway."""
+    """Return the longest time in seconds from the dispatch of a request until it is sent to the engine."""
     return step_context.settings.min_step_interval + step_context.limits.connect_timeout
 
 
 class RetryBudget:
-    """Limits retries to a base and a ratio of the requests served within the window."""
+    """Limits the retries in a window to a base number plus a ratio of the requests served in it."""
 
     def __init__(self, step_context: StepContext) -> None:
         self.step_context = step_context
@@ -18,20 +18,20 @@
         self.window = RetryBudgetWindow()
 
     def allows(self, request: Request) -> bool:
-        """Return whether the budget allows the request's next attempt; the first one is free."""
+        """Return whether the budget allows the request's next attempt; the first is always allowed."""
         if len(request.attempts) <= request.previous_attempt_count:
             return True
         base = self.guarantees.retry_budget_base
         if base is None:
             return True
         window_start = self.step_context.now - self.guarantees.retry_budget_window
-        # Only served requests widen the budget: others may not come from the usual clients.
+        # Only served requests increase the budget, since others may not come from regular clients.
         served_count = self.window.served_arrivals.count_since(window_start + self.dispatch_delay)
         retry_count = self.window.retries.count_since(window_start - self.dispatch_delay)
         available_base = base if self._is_window_complete() else 0.0
         return retry_count + 1 <= available_base + self.guarantees.retry_budget_ratio * served_count
 
     def _is_window_complete(self) -> bool:
-        """Return whether the gateway has run for a window; before, the base may be in use already."""
+        """Return whether the gateway has run for a window; a previous run may have used the base before."""
         first_window_end = self.step_context.started_at + self.guarantees.retry_budget_window
         return self.step_context.now >= first_window_end + self.dispatch_delay
--- a/saffronlane/policy/scheduling/retry_policy.py
+++ b/saffronlane/policy/scheduling/retry_policy.py
@@ -1,4 +1,4 @@
-"""Whether a request may have another attempt: the attempt limit, rule 2 and rule 7 together."""
+"""Retry policy: combines the limit of attempts, the safety of a retry and the retry budget."""
 
 from ...state import Request, RetryBudgetWindow, StepContext
 from .retry_budget import RetryBudget
@@ -6,7 +6,7 @@
 
 
 class RetryPolicy:
-    """Combines the limit of attempts with retry safety and the retry budget."""
+    """Decides whether a request may have another attempt."""
 
     def __init__(self, step_context: StepContext) -> None:
         self.max_attempts = max(1, step_context.limits.max_attempts)
@@ -15,15 +15,15 @@
 
     @property
     def budget(self) -> RetryBudgetWindow:
-        """The served requests and retries that the retry budget counts."""
+        """Served requests and retries within the window of the retry budget."""
         return self.retry_budget.window
 
     def has_retry_budget(self, request: Request) -> bool:
-        """Return whether rule 7 allows the request's next attempt."""
+        """Return whether the retry budget allows the request's next attempt."""
         return self.retry_budget.allows(request)
 
     def is_retry_safe(self, request: Request) -> bool:
-        """Return whether rule 2 allows the request's next attempt."""
+        """Return whether the idempotency of the request's class allows its next attempt."""
         return self.retry_safety.is_retry_safe(request)
 
     def is_exhausted(self, request: Request) -> bool:
--- a/saffronlane/policy/scheduling/retry_safety.py
+++ b/saffronlane/policy/scheduling/retry_safety.py
@@ -1,21 +1,21 @@
-"""Rule 2: whether a request may be executed again after its earlier attempts."""
+"""Retry safety: whether the idempotency of a request's class allows another attempt."""
 
 from ...interface import Idempotency
 from ...state import Request, StepContext
 from .retry_budget import dispatch_delay
 
-MIN_TTL_MARGIN = 0.25  # seconds before the expiry of an idempotency key within which nothing is dispatched
+MIN_TTL_MARGIN = 0.25  # seconds before the expiry of an idempotency key in which no retry is dispatched
 
 
 class RetrySafety:
-    """Decides whether another attempt can have no second effect."""
+    """Decides whether another attempt is safe: a second effect is allowed only in idempotent classes."""
 
     def __init__(self, step_context: StepContext) -> None:
         self.step_context = step_context
         self.ttl_margin = max(MIN_TTL_MARGIN, dispatch_delay(step_context))
 
     def is_retry_safe(self, request: Request) -> bool:
-        """Return whether the request may be dispatched, as far as its earlier attempts are concerned."""
+        """Return whether the request may be dispatched again in view of its earlier attempts."""
         first = request.first_possible_execution()
         if first is None:
             return True
--- a/saffronlane/state/__init__.py
+++ b/saffronlane/state/__init__.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of engines, requests and attempts. State only: nothing here decides."""
+"""The state of a gateway: engines, requests and attempts. This package contains no decision logic."""
 
 from .class_statistics import ClassStatistics
 from .engine_registry import EngineRegistry
--- a/saffronlane/state/class_statistics.py
+++ b/saffronlane/state/class_statistics.py
@@ -1,4 +1,4 @@
-"""Sums over the answers of one class of queries."""
+"""Decayed statistics of one query class."""
 
 import math
 
@@ -6,21 +6,23 @@
 
 
 class ClassStatistics:
-    """Decayed sums over one class's answers; a prior stands for answers until there are any.
+    """Decayed sums over the successful responses of one query class, which start from a prior.
 
     Attributes:
-        class_settings: of the class.
-        answer_count: answers so far.
-        restored_answer_count: those of earlier runs among them.
-        estimated_costs, latency_total, work_total, uncontended_work_total: decayed sums. The ratios of the
-            others to the estimated costs correct the estimates. Uncontended work is work without what the
-            reported load of the engine added.
-        mean_estimated_cost: decayed mean of clients' estimates.
-        prior: the part of the four sums that no answer gave.
-        baseline_inflation: latency x threads / work without congestion, a low quantile.
-        seconds_per_cost_unit: run time over estimated cost.
-        last_answer_at: time of the last answer; -inf: none.
-        memory_requirement: memory used over memory estimated, a high quantile.
+        class_settings: Settings of the class.
+        answer_count: Number of responses so far.
+        restored_answer_count: Responses of earlier runs that are part of `answer_count`.
+        estimated_costs: Decayed sum of the estimated costs.
+        latency_total: Decayed sum of the latencies; its ratio to the estimated costs corrects the estimates.
+        work_total: Decayed sum of the work; its ratio to the estimated costs corrects the estimates.
+        uncontended_work_total: Decayed sum of the work that the requests would have taken without the load
+            that their engines reported.
+        mean_estimated_cost: Decayed mean of the clients' estimates.
+        prior: Part of the four sums that comes from no response, in the above order.
+        baseline_inflation: Low quantile of latency x threads / work, as it is without congestion.
+        seconds_per_cost_unit: Run time over estimated cost.
+        last_answer_at: Time of the last response; -inf if there was none.
+        memory_requirement: High quantile of the memory used over the memory estimated.
     """
 
     def __init__(self, class_settings: api.ClassSettings, prior_answers: float) -> None:
@@ -28,7 +30,7 @@
         self.answer_count = self.restored_answer_count = 0
         self.estimated_costs = self.mean_estimated_cost = 0.0
         self.latency_total = class_settings.latency_objective * prior_answers
-        # The prior is high, so that engines in slow start get little work of unknown classes.
+        # The prior of the work is high, so that engines in slow start get few requests of unknown classes.
         self.work_total = class_settings.latency_objective * class_settings.threads * prior_answers
         self.uncontended_work_total = self.work_total
         self.prior = (0.0, self.latency_total, self.work_total, self.uncontended_work_total)
@@ -38,7 +40,7 @@
         self.memory_requirement = 0.0
 
     def apply_first_estimate(self, cost: float, prior_cost: float, is_from_client: bool) -> None:
-        """Express the prior in units of the first estimate; a client's estimate also counts as the work."""
+        """Scale the prior to the first estimated cost; a client's estimate is also the prior of the work."""
         self.mean_estimated_cost = cost
         self.estimated_costs = prior_cost
         if is_from_client:
@@ -47,7 +49,7 @@
         self.prior = (self.estimated_costs, self.latency_total, self.work_total, self.uncontended_work_total)
 
     def add(self, decay: float, cost: float, elapsed: float, work: float, uncontended_work: float) -> None:
-        """Add an answer; `decay` is the factor by which those before it count less."""
+        """Add a response; `decay` is the factor on the weight of all earlier ones."""
         self.estimated_costs = self.estimated_costs * decay + cost
         self.latency_total = self.latency_total * decay + elapsed
         self.work_total = self.work_total * decay + work
--- a/saffronlane/state/engine_registry.py
+++ b/saffronlane/state/engine_registry.py
@@ -1,4 +1,4 @@
-"""All engines that the endpoint list has named."""
+"""The engines of the endpoint list."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class EngineRegistry:
-    """Every engine that the endpoint list has named, and sums over those that are ready.
+    """All engines that have been in the endpoint list, and totals over those that are ready.
 
     Attributes:
-        engines: by id, in the order of their first entry.
-        engine_by_digest: by the digest that gossip messages name them with.
-        restore_engine: called with each new engine, to restore what an earlier run learned of it.
-        ready: engines in state READY.
-        ready_cores: their cores.
-        warmups_end_at: time from which none of them is warming up.
-        mean_reported_threads: threads a core, over the ready engines that have sent a load report.
+        engines: Engines by id, in the order of their first entry.
+        engine_by_digest: Engines by the digest that identifies them in gossip messages.
+        restore_engine: Called with each new engine to restore its state of an earlier run.
+        ready: Engines in state READY.
+        ready_cores: Total cores of the ready engines.
+        warmups_end_at: Time from which on no ready engine is warming up.
+        mean_reported_threads: Mean threads per core over the ready engines that have sent a load report.
     """
 
     def __init__(self, machine_types: tuple[api.MachineType, ...]) -> None:
@@ -37,7 +37,7 @@
     def apply(
         self, event: api.EndpointListUpdate, now: float, slow_start_duration: float, max_removed: int
     ) -> None:
-        """Apply an update of the endpoint list; of the removed engines, the latest `max_removed` are kept."""
+        """Apply an update of the endpoint list; at most `max_removed` idle removed engines are retained."""
         for entry in event.entries:
             self._apply_entry(entry, now)
         if event.mode is not EndpointListMode.DELTA:
@@ -49,7 +49,7 @@
         self.warmups_end_at = last_start + slow_start_duration
 
     def record_load_report(self, engine: Engine, threads_per_core: float, now: float) -> None:
-        """Note an engine's load report."""
+        """Record the load report of an engine and update the mean over all."""
         engine.reported_threads_per_core = threads_per_core
         engine.reported_at = now
         reported = [e.reported_threads_per_core for e in self.ready if e.reported_at > -math.inf]
@@ -61,11 +61,11 @@
             self._add(entry)
             return
         has_restarted = entry.started_at != engine.started_at and entry.started_at > 0.0
-        is_back = engine.state is EngineState.REMOVED and entry.state is EngineState.READY
+        has_returned = engine.state is EngineState.REMOVED and entry.state is EngineState.READY
         engine.update(entry)
         if has_restarted:
             engine.restart(now)
-        elif is_back:  # it may have restarted while it was not listed; the latest possible time is now
+        elif has_returned:  # it may have restarted while it was not listed, at the latest now
             engine.inferred_restart_at = now
 
     def _add(self, entry: api.EngineEntry) -> None:
@@ -74,18 +74,18 @@
         self.engine_by_digest[messages.engine_digest(entry.engine)] = engine
         self.restore_engine(engine)
 
-    def _remove_unlisted(self, listed: set[bytes]) -> None:
+    def _remove_unlisted(self, listed_ids: set[bytes]) -> None:
         for engine in self.engines.values():
-            if engine.id not in listed:
+            if engine.id not in listed_ids:
                 engine.state = EngineState.REMOVED
 
     def _drop_oldest_removed(self, max_removed: int) -> None:
-        """Bound the memory for engines that never return."""
-        removed = [
+        """Drop the oldest removed engines, since engines that never return would use memory without bound."""
+        removed_engines = [
             engine
             for engine in self.engines.values()
             if engine.state is EngineState.REMOVED and not engine.in_flight
         ]
-        for engine in removed[:-max_removed]:
+        for engine in removed_engines[:-max_removed]:
             del self.engines[engine.id]
             self.engine_by_digest.pop(messages.engine_digest(engine.id), None)
--- a/saffronlane/state/engines.py
+++ b/saffronlane/state/engines.py
@@ -1,4 +1,4 @@
-"""One engine as a gateway knows it."""
+"""The state of one engine at a gateway."""
 
 from __future__ import annotations
 
@@ -17,31 +17,40 @@
 
 
 class RecentDispatch(NamedTuple):
-    """An attempt that was sent to an engine: when, and its work in seconds of one thread."""
+    """An attempt that was sent to an engine: the time, and its expected work in thread seconds."""
 
     time: float
     work: float
 
 
 class Engine:
-    """One engine: its endpoint list entry, what own traffic showed, and what peers reported.
+    """One engine: its endpoint list entry, observations of own attempts, and the load that peers reported.
 
     Attributes:
-        in_flight_threads, in_flight_memory_mb: used by own attempts in flight.
-        peer_threads, peer_memory_mb: used by attempts that peers reported.
-        peer_bulk_loads: number of peers' bulk loads by the digest of their table group.
-        recent_work: own work sent, as the threads that it keeps busy.
-        in_flight: own attempts without an outcome, by request and index.
-        hash_fraction: constant hash of its id, from 0 to 1, which spreads gateways' turns.
-        last_response_at, last_outcome_at, last_rejection_at, last_probe_at: times; -inf: never.
-        recent_dispatches: own attempts sent within the time of a slow start.
-        reported_threads_per_core: of its last load report, which came at `reported_at`.
-        failure_ratio: decayed ratio of failures, from 0 to 1.
-        is_ejected: it gets half-open probe requests only.
-        is_unresponsive: it was ejected because nothing came back from it.
-        connection_lost_at, connection_refused: signs that its process may have restarted unseen.
-        inferred_restart_at: when it may have restarted by those signs; -inf: not.
-        next_probe_request_at, probe_request_interval: of half-open probe requests, in seconds.
+        in_flight_threads: Threads used by this gateway's attempts in flight.
+        in_flight_memory_mb: Memory granted to this gateway's attempts in flight.
+        peer_threads: Threads used by the attempts that peers reported.
+        peer_memory_mb: Memory used by the attempts that peers reported.
+        peer_bulk_loads: Number of the peers' bulk loads by the digest of their table group.
+        recent_work: Work that this gateway sent, as the mean number of threads that it occupies.
+        in_flight: This gateway's attempts without an outcome, by request and attempt index.
+        hash_fraction: Constant hash of its id from 0 to 1, which shifts the gateways' turns at this engine.
+        last_response_at: Time of the last response or progress report; -inf if there was none.
+        last_outcome_at: Time of the last update of the failure ratio; -inf if there was none.
+        last_rejection_at: Time of the last rejection or other sign of congestion; -inf if there was none.
+        last_probe_at: Time of the last load probe; -inf if there was none.
+        recent_dispatches: This gateway's attempts that were sent within the last slow start duration.
+        reported_threads_per_core: Threads per core in its last load report.
+        reported_at: Time of its last load report.
+        failure_ratio: Decayed ratio of failures, from 0 to 1.
+        is_ejected: Whether it gets half-open probe requests only.
+        is_unresponsive: Whether it was ejected because it stopped responding.
+        connection_lost_at: Time of the last connection loss since its last response; -inf if there was none.
+        connection_refused: Whether it has refused a connection since its last response.
+        inferred_restart_at: Time at which a connection loss or its absence from the endpoint list suggests a
+            restart; -inf if nothing does.
+        next_probe_request_at: Earliest time of the next half-open probe request.
+        probe_request_interval: Seconds between two half-open probe requests.
     """
 
     def __init__(self, entry: api.EngineEntry, machine_type: api.MachineType) -> None:
@@ -59,7 +68,7 @@
         self.restart(entry.started_at or -math.inf)
 
     def update(self, entry: api.EngineEntry) -> None:
-        """Apply its entry in the endpoint list."""
+        """Apply its entry of the endpoint list."""
         self.state = entry.state
         self.zone = entry.zone
         self.machine_type = entry.machine_type
@@ -67,12 +76,12 @@
         self.started_at = entry.started_at
 
     def restart(self, now: float) -> None:
-        """Discard what was known of its process: another one runs since `now`."""
+        """Reset the state of its process: a new process has been running since `now`."""
         self.last_response_at = self.last_outcome_at = self.last_rejection_at = -math.inf
         self.last_probe_at = -math.inf
         self.recent_dispatches: list[RecentDispatch] = []
         self.reported_threads_per_core = 0.0
-        self.reported_at = now  # a new process has no load
+        self.reported_at = now  # a new process starts without load
         self.failure_ratio = 0.0
         self.is_ejected = self.is_unresponsive = False
         self.connection_lost_at = self.inferred_restart_at = -math.inf
@@ -81,47 +90,48 @@
         self.probe_request_interval = 0.0
 
     def reset_health(self) -> None:
-        """Discard failures and rejections: it counts as healthy until an outcome says otherwise."""
+        """Clear failures, rejections and the ejection; it counts as healthy until its next outcome."""
         self.failure_ratio = 0.0
         self.last_outcome_at = self.last_rejection_at = -math.inf
         self.is_ejected = self.is_unresponsive = False
 
     def warmup_started_at(self, now: float) -> float:
-        """Return when it last started, by the endpoint list or by signs of a restart; -inf: long ago."""
-        listed = min(self.started_at, now) if self.started_at > 0.0 else -math.inf
-        return max(listed, self.inferred_restart_at)
+        """Return its last start, from the endpoint list or inferred; -inf if that was long ago."""
+        listed_start = min(self.started_at, now) if self.started_at > 0.0 else -math.inf
+        return max(listed_start, self.inferred_restart_at)
 
     def is_warming_up(self, now: float, slow_start_duration: float) -> bool:
-        """Whether it started less than the duration of a slow start ago."""
+        """Return whether it started less than the slow start duration ago."""
         if now < self.inferred_restart_at + slow_start_duration:
             return True
         return 0.0 < self.started_at > now - slow_start_duration
 
     def warmup_remaining(self, now: float, slow_start_duration: float) -> float:
-        """Return the share of its slow start that is left: 1 at its start, 0 after it."""
+        """Return the remaining part of its slow start, from 1 at its start to 0 at the end."""
         if slow_start_duration <= 0.0 or not self.is_warming_up(now, slow_start_duration):
             return 0.0
         return clamp(1.0 - (now - self.warmup_started_at(now)) / slow_start_duration, 0.0, 1.0)
 
     def effective_cores(self, now: float, guarantees: api.Guarantees) -> float:
-        """Return its cores; while it warms up, as many as the work corresponds to that it can do."""
+        """Return its cores, scaled to its present capacity while it warms up."""
         if not self.is_warming_up(now, guarantees.slow_start_duration):
             return self.cores
         remaining = self.warmup_remaining(now, guarantees.slow_start_duration)
         return self.cores * (1.0 - remaining * (1.0 - guarantees.slow_start_initial_ratio))
 
     def warmup_core_seconds(self, now: float, guarantees: api.Guarantees) -> float:
-        """Return the core seconds that it could do since its start; its capacity grows linearly with time."""
+        """Return the core seconds available since its start; its capacity grows linearly in slow start."""
         age = now - self.warmup_started_at(now)
         ratio = guarantees.slow_start_initial_ratio
-        grown = (1.0 - ratio) * max(0.0, age) ** 2 / (2.0 * guarantees.slow_start_duration)
-        return self.cores * (ratio * age + grown)
+        growth = (1.0 - ratio) * max(0.0, age) ** 2 / (2.0 * guarantees.slow_start_duration)
+        return self.cores * (ratio * age + growth)
 
     def record_connection_loss(self, now: float, was_refused: bool) -> bool:
-        """Note that a connection failed or broke.
+        """Record that a connection could not be opened or was lost.
 
         Returns:
-            Whether it is the first loss at this time: all attempts on one connection are lost at once.
+            Whether this is the first loss at this time. All attempts on one connection are lost at once, and
+            only the first of them counts.
         """
         is_first = self.connection_lost_at < now
         self.connection_lost_at = now
@@ -129,7 +139,7 @@
         return is_first
 
     def record_response(self, now: float, is_same_process: bool) -> None:
-        """Note a response. After a connection loss, one of a new process shows that it has restarted."""
+        """Record a response; if it follows a connection loss and is from a new process, infer a restart."""
         self.last_response_at = now
         if self.connection_lost_at > -math.inf and not is_same_process:
             self.inferred_restart_at = self.connection_lost_at
@@ -137,7 +147,7 @@
         self.connection_refused = False
 
     def is_bulk_loading(self, table_group: float) -> bool:
-        """Whether a known bulk load holds the table group here."""
+        """Return whether a known bulk load locks the table group on this engine."""
         if self.peer_bulk_loads and messages.table_group_digest(table_group) in self.peer_bulk_loads:
             return True
         return any(
--- a/saffronlane/state/in_flight.py
+++ b/saffronlane/state/in_flight.py
@@ -1,4 +1,4 @@
-"""Own attempts in flight, and the work that they put on engines."""
+"""The gateway's own attempts in flight and the load that they cause."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class InFlightWork:
-    """Own attempts in flight, their threads in all and by class, and own work sent recently.
+    """The gateway's own attempts in flight, with totals over all engines.
 
     Attributes:
-        attempts: without an outcome, also those of ended requests, by request and index.
-        threads: of all of them.
-        threads_by_class: by index of the class.
-        recent_work: own work sent, as the threads that it keeps busy.
+        attempts: Attempts without an outcome by request and attempt index, including those of ended requests.
+        threads: Threads of all attempts in flight.
+        threads_by_class: Threads of the attempts in flight by class index.
+        recent_work: Work sent recently, as the mean number of threads that it occupies.
     """
 
     def __init__(self, class_count: int) -> None:
@@ -28,10 +28,10 @@
         """Add an attempt that is sent now.
 
         Args:
-            attempt: whose `sent_at` is now.
-            work: seconds of one thread that it is expected to use.
-            horizon: seconds over which it counts as recent work.
-            retention: seconds for which its engine keeps it among the recent dispatches.
+            attempt: The attempt; its `sent_at` is the present time.
+            work: Thread seconds that it is expected to use.
+            horizon: Decay time of recent work in seconds.
+            retention: Seconds for which it stays in the engine's recent dispatches.
         """
         request, engine, now = attempt.request, attempt.engine, attempt.sent_at
         request.attempts.append(attempt)
@@ -41,11 +41,11 @@
         self._count(attempt, 1.0)
         engine.recent_work.add(now, work, horizon)
         self.recent_work.add(now, work, horizon)
-        kept = [dispatch for dispatch in engine.recent_dispatches if dispatch.time > now - retention]
-        engine.recent_dispatches = [*kept, RecentDispatch(now, work)]
+        recent = [dispatch for dispatch in engine.recent_dispatches if dispatch.time > now - retention]
+        engine.recent_dispatches = [*recent, RecentDispatch(now, work)]
 
     def complete(self, request: int, attempt_index: int, outcome: Outcome) -> Attempt | None:
-        """Note an attempt's outcome; None: it is not known, or has had one before."""
+        """Record an attempt's outcome and return the attempt; None if it is not in flight."""
         attempt = self.attempts.pop((request, attempt_index), None)
         if attempt is not None:
             del attempt.engine.in_flight[request, attempt_index]
--- a/saffronlane/state/peer_load.py
+++ b/saffronlane/state/peer_load.py
@@ -1,4 +1,4 @@
-"""Attempts of other gateways, as far as they reported them."""
+"""Attempts that other gateways reported by gossip."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
     """An attempt that another gateway reported.
 
     Attributes:
-        expires_at: until when it counts unless its end is reported, in seconds.
-        engine: that it runs on.
-        threads, memory_mb: that it uses there.
-        bulk_load_table_digest: digest of the table group that it holds as a bulk load; None: it is none.
+        expires_at: Time after which it no longer counts if its end was not reported.
+        engine: The engine on which it runs.
+        threads: Threads that it uses.
+        memory_mb: Memory that it uses.
+        bulk_load_table_digest: Digest of the table group that it locks; None if it is no bulk load.
     """
 
     expires_at: float
@@ -28,11 +29,11 @@
 
 
 class PeerLoadTable:
-    """Attempts of other gateways by sender and number, with their sums at each engine.
+    """The reported attempts of other gateways; keeps the totals of each engine up to date.
 
     Attributes:
-        threads: of all of them.
-        entries: by sender's index and the number that the sender gave it.
+        threads: Threads of all reported attempts.
+        entries: Reported attempts by the sender's index and the sender's number for the attempt.
     """
 
     def __init__(self) -> None:
@@ -43,24 +44,24 @@
     def add(
         self, key: tuple[int, int], expires_at: float, engine: Engine, message: messages.GossipMessage
     ) -> None:
-        """Add what a message reports."""
+        """Add the attempt that a message reports."""
         table_digest = message.table_digest if message.is_bulk_load else None
         memory_mb = message.memory_ratio * engine.memory_mb
         self.insert(key, PeerAttempt(expires_at, engine, message.threads, memory_mb, table_digest))
 
     def insert(self, key: tuple[int, int], attempt: PeerAttempt) -> None:
-        """Add an attempt under a key that has none."""
+        """Add an attempt under a key that is not in use."""
         self.entries[key] = attempt
         self._count(attempt, 1)
         heapq.heappush(self._expirations, (attempt.expires_at, key))
 
     def remove(self, key: tuple[int, int]) -> None:
-        """Remove an attempt, if it is known."""
+        """Remove an attempt if the table contains it."""
         if attempt := self.entries.pop(key, None):
             self._count(attempt, -1)
 
     def expire(self, now: float) -> None:
-        """Remove attempts whose end was not reported in time."""
+        """Remove the attempts whose end was not reported before they expired."""
         while self._expirations and self._expirations[0][0] <= now:
             expires_at, key = heapq.heappop(self._expirations)
             if key in self.entries and self.entries[key].expires_at <= expires_at:
--- a/saffronlane/state/pending.py
+++ b/saffronlane/state/pending.py
@@ -1,4 +1,4 @@
-"""Requests without a final answer, and the order of those with an ordering key."""
+"""Requests without a final answer, and the queues of those that have an ordering key."""
 
 from __future__ import annotations
 
@@ -9,22 +9,26 @@
 
 
 class OrderingQueues:
-    """Requests of each ordering key, first in, first out.
+    """A first-in-first-out queue of requests for each ordering key.
 
-    Only the head of a key may be sent, after the key's cool-down.
+    Only the first request of a queue may be sent, and only after the cool-down of its key.
+
+    Attributes:
+        queues: Requests by ordering key.
+        cooldowns: End of the cool-down by ordering key, in the order in which the cool-downs started.
     """
 
     def __init__(self) -> None:
         self.queues: dict[int, deque[Request]] = {}
-        self.cooldowns: dict[int, float] = {}  # by key, until when; in the order of their starts
+        self.cooldowns: dict[int, float] = {}
 
     def enqueue(self, request: Request) -> None:
-        """Add a request at the end of its key's queue, if its class is ordered."""
+        """Append a request to the queue of its key if it has one and its class is ordered."""
         if _has_ordering_key(request):
             self.queues.setdefault(request.ordering_key, deque()).append(request)
 
     def is_next(self, request: Request, now: float) -> bool:
-        """Whether a request may be sent, as far as the order of its key is concerned."""
+        """Return whether the order of its key allows a request to be sent now."""
         if not _has_ordering_key(request):
             return True
         key = request.ordering_key
@@ -33,18 +37,18 @@
         return self.queues[key][0] is request and key not in self.cooldowns
 
     def start_cooldown(self, request: Request, until: float) -> None:
-        """Let nothing of the request's key be sent before a time."""
+        """Block the request's ordering key until a time."""
         if _has_ordering_key(request):
             self.cooldowns.pop(request.ordering_key, None)
             self.cooldowns[request.ordering_key] = until
 
     def expire_cooldowns(self, now: float) -> None:
-        """Discard cool-downs that are over, also of keys without requests."""
+        """Discard the cool-downs that are over, including those of keys without requests."""
         while self.cooldowns and next(iter(self.cooldowns.values())) <= now:
             del self.cooldowns[next(iter(self.cooldowns))]
 
     def release(self, request: Request) -> None:
-        """Let the next request of a key follow, once this one has ended and has no attempt in flight."""
+        """Remove a request from its queue if it has ended and has no attempt in flight."""
         queue = self.queues.get(request.ordering_key, ())
         if not request.is_ended or request.in_flight_count or request not in queue:
             return
@@ -57,9 +61,9 @@
     """Requests without a final answer.
 
     Attributes:
-        requests: all of them, by id.
-        queued: those of them that wait for an engine, by id.
-        ordering: their queues by ordering key.
+        requests: All requests by id.
+        queued: The requests that wait for an engine, by id.
+        ordering: The queues of the requests with an ordering key.
     """
 
     def __init__(self) -> None:
@@ -68,7 +72,7 @@
         self.ordering = OrderingQueues()
 
     def add(self, request: Request) -> None:
-        """Add a request that has arrived, queued."""
+        """Add a new request and queue it."""
         self.requests[request.id] = self.queued[request.id] = request
         self.ordering.enqueue(request)
 
--- a/saffronlane/state/requests.py
+++ b/saffronlane/state/requests.py
@@ -16,19 +16,19 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One dispatch of a request; a late outcome finds it after the request has ended.
+    """One dispatch of a request to an engine. It may outlive its request, since outcomes may arrive late.
 
     Attributes:
-        request: that it belongs to.
-        index: among the request's attempts, from 0; -1: from before the request arrived here.
-        engine: that it was sent to.
-        sent_at: when, in seconds.
-        threads: that it uses there.
-        memory_grant_mb: 0: the engine's choice.
-        last_progress_at: when it was last heard of.
-        gossip_number: its number in messages to peers; None: not reported to them.
-        outcome: None while it is in flight.
-        is_cancelled: the engine was asked to cancel it.
+        request: The request that it belongs to.
+        index: Index among the request's attempts, from 0; -1 for an attempt from before the arrival.
+        engine: The engine to which it was sent.
+        sent_at: Time of its dispatch in seconds.
+        threads: Threads that it uses on the engine.
+        memory_grant_mb: Memory granted to it; 0 lets the engine choose.
+        last_progress_at: Time of its last progress report, or of its dispatch.
+        gossip_number: Its number in gossip messages; None if it was not reported to the peers.
+        outcome: Its outcome; None while it is in flight.
+        is_cancelled: Whether the engine was asked to cancel it.
     """
 
     request: Request
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipExpiry:
-    """Subject of a timer: peers no longer count what they were told of the attempt."""
+    """Subject of a timer that fires when the peers' entry of the attempt expires."""
 
     attempt: Attempt
 
@@ -54,21 +54,25 @@
     """One request of a client.
 
     Attributes:
-        id, class_index, class_settings, ordering_key, table_group: as it arrived.
-        arrived_at: in seconds.
-        expires_at: when its client gives up or its class's deadline passes.
-        estimated_cost: client's estimate; 1 where there is none.
-        estimated_memory_mb: client's estimate; 0: none.
-        deadline: by which it is scheduled.
-        probing_until: it stays queued until then, while engines answer load probes.
-        attempts: in the order of dispatch.
-        in_flight_count: attempts without an outcome.
-        previous_attempt_count: attempts from before it arrived here.
-        is_ended: it has had its final answer, or its client has gone.
-        is_streaming: bytes of a result have gone to the client.
-        was_restarted: a run was cancelled for being far slower than expected.
-        is_over_quota: its tenant exceeds its rate limit.
-        failed_engines: ids of engines that failed it.
+        id: Number of the request in events and actions.
+        class_index: Index of its class in the settings.
+        class_settings: Settings of its class.
+        ordering_key: Requests of an ordered class with the same key run one at a time; 0 if it has none.
+        arrived_at: Time of its arrival in seconds.
+        expires_at: Time of its client's timeout or its class's deadline, whichever is earlier.
+        estimated_cost: The client's estimate of the work; 1 if there is none.
+        estimated_memory_mb: The client's estimate of the memory; 0 if there is none.
+        table_group: Number that identifies the group of tables that it uses.
+        deadline: Deadline for scheduling by group EDF.
+        probing_until: Time until which it stays queued to wait for the results of load probes.
+        attempts: Its attempts in the order of dispatch.
+        in_flight_count: Number of attempts without an outcome.
+        previous_attempt_count: Number of attempts from before its arrival.
+        is_ended: Whether it has received its final answer or its client has disconnected.
+        is_streaming: Whether bytes of a result were sent to the client.
+        was_restarted: Whether an attempt was cancelled because it was far slower than expected.
+        is_over_quota: Whether it exceeds the rate limit of its tenant.
+        failed_engines: Ids of the engines on which an attempt failed or had to wait.
     """
 
     def __init__(
@@ -95,13 +99,13 @@
         self.failed_engines: list[bytes] = []
 
     def first_possible_execution(self) -> Attempt | None:
-        """Return the earliest attempt that may have run; None while it is certain that none did."""
+        """Return the first attempt that may have been executed, or None if certainly none was."""
         return next((attempt for attempt in self.attempts if attempt.outcome not in NEVER_RAN), None)
 
     def add_previous_attempt(
         self, previous: api.PreviousAttempt, machine_types: tuple[api.MachineType, ...]
     ) -> None:
-        """Add an attempt from before the request arrived here, which may have run."""
+        """Add an attempt from before the request's arrival that may have been executed."""
         machine_type = machine_types[min(previous.machine_type, len(machine_types) - 1)]
         entry = api.EngineEntry(
             previous.engine,
--- a/saffronlane/state/step.py
+++ b/saffronlane/state/step.py
@@ -1,4 +1,4 @@
-"""What all concerns share during one step: settings, time, random numbers, timers and the actions so far."""
+"""State shared by all parts of the policy during a step: settings, time, random numbers, timers, actions."""
 
 from __future__ import annotations
 
@@ -13,14 +13,17 @@
 
 
 class StepContext:
-    """Shared state of one gateway's steps; it lasts for the gateway's life, and each step begins it anew.
+    """Shared context of the steps of one gateway; `begin` prepares it for the next step.
 
     Attributes:
-        now: time of this step in seconds.
-        started_at: time of the first step; infinite before it.
-        actions: what this step has decided so far, in order.
-        timers: what each token of a pending timer is about; None: maintenance.
-        random: the only source of randomness of all decisions.
+        settings: All settings of the gateway.
+        guarantees: Bounds that decisions respect, from the settings.
+        limits: Features that decisions may use, from the settings.
+        random: The only source of randomness for all decisions.
+        now: Time of this step in seconds.
+        started_at: Time of the first step; infinite before it.
+        actions: Actions of this step so far, in order.
+        timers: Subject of each pending timer by its token; None for maintenance.
     """
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
@@ -35,17 +38,17 @@
         self._next_token = 1
 
     def begin(self, now: float) -> None:
-        """Begin a step at a time."""
+        """Begin a step at the time `now`."""
         self.now = now
         self.started_at = min(self.started_at, now)
         self.actions = []
 
     def emit(self, action: api.Action) -> None:
-        """Add an action to this step's."""
+        """Append an action to the actions of this step."""
         self.actions.append(action)
 
     def schedule(self, time: float, subject: Request | Attempt | GossipExpiry | None) -> None:
-        """Ask for a timer at a time; `timers` keeps its subject until it fires."""
+        """Set a timer for a time; `timers` holds its subject until it fires."""
         token = self._next_token
         self._next_token += 1
         self.timers[token] = subject
--- a/saffronlane/state/windows.py
+++ b/saffronlane/state/windows.py
@@ -1,4 +1,4 @@
-"""Counts and sums over time, and values held to a range."""
+"""Counters and sums over sliding or decaying windows, and a function that limits values to a range."""
 
 from __future__ import annotations
 
@@ -7,41 +7,41 @@
 
 
 def clamp(value: float, minimum: float = 0.0, maximum: float = 1e9) -> float:
-    """Hold a value to a range; NaN becomes the minimum."""
+    """Limit a value to a range; NaN becomes the minimum."""
     return minimum if math.isnan(value) else min(max(value, minimum), maximum)
 
 
 class DecayingRate:
-    """Work a second, decayed over a horizon: the threads that work sent recently keeps busy."""
+    """Exponentially decayed rate of work: the mean number of threads that recent work occupies."""
 
     def __init__(self) -> None:
         self.value = 0.0
         self.updated_at = -math.inf
 
     def read(self, now: float, horizon: float) -> float:
-        """Return the rate now; both arguments in seconds."""
+        """Return the rate at the time `now`; both arguments are in seconds."""
         return self.value * math.exp((self.updated_at - now) / horizon) if self.value else 0.0
 
     def add(self, now: float, work: float, horizon: float) -> None:
-        """Add seconds of work."""
+        """Add thread seconds of work at the time `now`."""
         self.value = self.read(now, horizon) + work / horizon
         self.updated_at = now
 
 
 class TokenBucket:
-    """A token bucket, as the level of what has been taken out of it."""
+    """A token bucket that stores the number of tokens taken from it instead of those that are left."""
 
     def __init__(self) -> None:
         self.level = 0.0
         self.updated_at = -math.inf
 
     def overflows(self, now: float, rate: float, depth: float) -> bool:
-        """Take a token; with fewer than one left, take none and return True.
+        """Take a token, or return True if less than one token is left.
 
         Args:
-            now: in seconds.
-            rate: tokens that come back a second.
-            depth: tokens of a full bucket.
+            now: The present time in seconds.
+            rate: Tokens added per second.
+            depth: Tokens in a full bucket.
         """
         self.level = max(0.0, self.level - (now - self.updated_at) * rate)
         self.updated_at = now
@@ -52,35 +52,35 @@
 
 
 class SlidingWindow(deque[float]):
-    """Times in ascending order, of which old ones are dropped."""
+    """Times in ascending order; the oldest are dropped when they leave the window."""
 
     def insert_time(self, time: float) -> None:
-        """Insert a time, which may be earlier than the last one."""
-        place = len(self)
-        while place and self[place - 1] > time:
-            place -= 1
-        self.insert(place, time)
+        """Insert a time, which may be earlier than the last time in the window."""
+        position = len(self)
+        while position and self[position - 1] > time:
+            position -= 1
+        self.insert(position, time)
 
     def count_since(self, time: float) -> int:
-        """Drop times up to `time` and return how many are left."""
+        """Drop all times up to `time` and return the number of those left."""
         while self and self[0] <= time:
             self.popleft()
         return len(self)
 
 
 class RetryBudgetWindow:
-    """What the retry budget counts: arrivals of served requests, and retries."""
+    """Arrival times of served requests and dispatch times of retries, which the retry budget counts."""
 
     def __init__(self) -> None:
         self.served_arrivals = SlidingWindow()
         self.retries = SlidingWindow()
 
-    def forget_unsent(self, time: float) -> None:
-        """Remove a retry of that time, which was never sent."""
+    def remove_unsent_retry(self, time: float) -> None:
+        """Remove a retry that was dispatched at `time` but never sent."""
         if time in self.retries:
             self.retries.remove(time)
 
     def record_served(self, arrival: float, since: float) -> None:
-        """Add a served request by its arrival; drop those up to `since`."""
+        """Add the arrival time of a served request and drop all arrivals up to `since`."""
         self.served_arrivals.insert_time(arrival)
         self.served_arrivals.count_since(since)
