--- a/saffronlane/interface/settings.py
+++ b/saffronlane/interface/settings.py
@@ -82,8 +82,8 @@
 
     Attributes:
         response_slack: Longest time by which an answer may exceed the client's timeout.
-        drain_grace_period: Time between the notification that an engine drains or is removed and the moment
-            from which on it must get no new attempt.
+        drain_grace_period: Time from the notification that an engine drains or is removed until the
+            engine must get no new attempts.
         slow_start_overload_factor: An engine in slow start fails once it gets more than this multiple of its
             capacity within the overload window; 0 if it can't be overloaded.
         slow_start_overload_window: Length of the window in which that work is counted.
--- a/saffronlane/policy/routing/capacity.py
+++ b/saffronlane/policy/routing/capacity.py
@@ -42,8 +42,8 @@
         """Return whether the engine has enough free memory.
 
         Without gossip, each gateway may use an equal part of the engine's memory. With gossip, half of the
-        engine's memory is enough for the largest request: with many gateways an engine is never idle and would
-        otherwise never get it.
+        engine's memory is enough for the largest request. With many gateways an engine is never idle and
+        would otherwise never get such a request.
         """
         if not engine.memory_mb:
             return True
--- a/saffronlane/policy/routing/slow_start.py
+++ b/saffronlane/policy/routing/slow_start.py
@@ -71,7 +71,7 @@
         return turn % 1.0 * core_seconds_per_work * work < self.window_core_seconds
 
     def _next_turn_core_seconds(self, core_seconds_per_work: float) -> float:
-        """Return the core seconds since the engine's start from which on another dispatch is allowed."""
+        """Return the core seconds since the engine's start at which another dispatch is allowed."""
         sent_at = self.warmup_started_at
         cooldown = 0.0
         if self.engine.recent_dispatches:
--- a/saffronlane/state/engine_registry.py
+++ b/saffronlane/state/engine_registry.py
@@ -20,7 +20,7 @@
         restore_engine: Called with each new engine to restore its state of an earlier run.
         ready: Engines in state READY.
         ready_cores: Total cores of the ready engines.
-        warmups_end_at: Time from which on no ready engine is warming up.
+        warmups_end_at: Time at which the last ready engine has warmed up.
         mean_reported_threads: Mean threads per core over the ready engines that have sent a load report.
     """
 
