--- a/saffronlane/durability_futures.py
+++ b/saffronlane/durability_futures.py
@@ -1,4 +1,4 @@
-"""Futures of an event loop that another thread resolves, with one wake of the loop for many of them."""
+"""Futures that another thread resolves, with one wake-up of the event loop for many of them."""
 
 from __future__ import annotations
 
@@ -8,9 +8,12 @@
 
 
 class DurabilityFutures:
-    """Resolves futures on their loop.
+    """Creates futures of an event loop and resolves them from other threads.
 
-    Each wake of the loop is a system call, and a commit resolves many futures at once.
+    Each wake-up of the loop costs a system call and a commit resolves many futures, so wake-ups are shared.
+
+    Args:
+        loop: The event loop of the futures.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -19,19 +22,19 @@
         self._is_scheduled = False
 
     def create(self) -> asyncio.Future[bool]:
-        """Return a new future of the loop."""
+        """Return a new, unresolved future."""
         return self._loop.create_future()
 
     def resolve(self, future: asyncio.Future[bool], is_durable: bool) -> None:
-        """Set a future's result soon. May be called on any thread."""
+        """Schedule a future's result on the loop. May be called from any thread."""
         self._results.append((future, is_durable))
         if not self._is_scheduled:
             self._is_scheduled = True
-            with contextlib.suppress(RuntimeError):  # the loop has been closed meanwhile
+            with contextlib.suppress(RuntimeError):  # the loop has been closed in the meantime
                 self._loop.call_soon_threadsafe(self._set_results)
 
     def _set_results(self) -> None:
-        # Before the queue is emptied, so that whoever appends from now on wakes the loop again.
+        # Reset before the queue is drained, so that a result appended later schedules another wake-up.
         self._is_scheduled = False
         while self._results:
             future, is_durable = self._results.popleft()
--- a/saffronlane/learned_state/__init__.py
+++ b/saffronlane/learned_state/__init__.py
@@ -1,4 +1,4 @@
-"""Learned state across restarts: what is persisted and when, and how much it counts once restored. No I/O."""
+"""Learned state across restarts: selects what to persist and when, and weights it when restored. No I/O."""
 
 from . import confidence, records
 from .checkpointer import DURABILITY_TIMEOUT, Checkpointer
--- a/saffronlane/learned_state/checkpointer.py
+++ b/saffronlane/learned_state/checkpointer.py
@@ -1,7 +1,8 @@
-"""Decides which learned state is to be written, and when. It does no I/O: it returns changes to write.
+"""Decides which learned state to write, and when. Does no I/O: it returns the changes to write.
 
-Records that a guarantee depends on after a crash are written ahead: they are durable before the attempt
-leaves, which costs that attempt one fsync. All others follow within CHECKPOINT_INTERVAL and delay nothing.
+Records that a guarantee depends on after a crash are written ahead: they are durable before the attempt is
+dispatched, which delays that attempt by one fsync. All other records are written within CHECKPOINT_INTERVAL
+and delay no attempt.
 """
 
 from __future__ import annotations
@@ -23,19 +24,22 @@
 from .written_entries import WrittenEntries
 
 CHECKPOINT_INTERVAL = 0.5  # seconds
-DURABILITY_TIMEOUT = (
-    0.25  # seconds that an attempt waits for a disk that hangs, before it leaves all the same
-)
-RESTART_NAME = "here"  # stands for boot and directory where a gateway restarts within its process
+DURABILITY_TIMEOUT = 0.25  # seconds that an attempt waits for a slow disk before it is dispatched anyway
+IN_PROCESS_RESTART_ID = "here"  # boot and directory id of a snapshot for a restart in the process
 
 
 class Checkpointer:
-    """The learned state of one gateway, as it is restored and persisted.
+    """Restores the learned state of one gateway and selects the changes to persist.
 
     Args:
-        settings: of the gateway.
-        state: what an earlier run left, if anything.
-        is_enabled: whether changes are written at all.
+        settings: The gateway's settings.
+        state: The state that an earlier run persisted, or None.
+        is_enabled: Whether changes are persisted at all.
+
+    Attributes:
+        ledger: The idempotency ledger of this gateway.
+        summary: What was restored.
+        validator: Tests restored estimates against the first answers.
     """
 
     def __init__(
@@ -57,39 +61,45 @@
         self._next_checkpoint_at = -math.inf
         self._has_changes = False
         self._purged_keys: list[bytes] = []
-        self._has_endpoints = False
+        self._has_endpoint_list = False
 
     # --- start ---
 
     def begin(self, gateway: Gateway) -> None:
-        """Restore what needs no endpoint list, before the first event."""
+        """Restore the state that does not depend on the endpoint list, before the first event."""
         if self._restorer is not None:
             self.summary = self._restorer.summary
             self._restorer.restore_at_start(gateway, self.ledger)
 
     def before_endpoint_list(self, gateway: Gateway, entries: tuple[api.EngineEntry, ...]) -> None:
         """Restore class estimates before the gateway applies its first endpoint list."""
-        if self._restorer is not None and not self._has_endpoints:
+        if self._restorer is not None and not self._has_endpoint_list:
             self._restorer.restore_classes(gateway, entries)
             self._begin_validation(self._restorer)
-        self._has_endpoints = True
+        self._has_endpoint_list = True
 
     def after_endpoint_list(self, gateway: Gateway) -> None:
-        """Restore what refers to engines of the endpoint list."""
+        """Restore the load reported by peers, which refers to engines of the endpoint list."""
         if self._restorer is not None:
             self._restorer.restore_peer_load(gateway)
 
     @property
     def restored_description(self) -> str:
-        """A line for the log on what was restored; empty if nothing was."""
+        """A log line that describes what was restored; empty if nothing was restored."""
         summary = self.summary
         if not (summary.classes or summary.engines):
             return ""
-        classes = ", ".join(f"{name} as {samples:g} answers" for name, samples in summary.classes.items())
-        return f"restored {summary.engines} engines; classes: {classes or 'none'}"
+        classes = ", ".join(
+            f"{name} ({samples:g} effective samples)" for name, samples in summary.classes.items()
+        )
+        return f"learned state restored: engines: {summary.engines}; classes: {classes or 'none'}"
 
     def attach(self, gateway: Gateway, state: PersistedState) -> list[Change]:
-        """Restore from a directory that another process used until now, and begin to persist.
+        """Restore from a directory that another process has just released, and begin to persist to it.
+
+        Args:
+            gateway: The running gateway to restore into.
+            state: The content of the directory.
 
         Returns:
             The changes of the first commit.
@@ -103,7 +113,7 @@
         restorer.attach(gateway, self.ledger)
         self._begin_validation(restorer)
         self._collector.reset_classes()
-        self.ledger.changed.update(dict.fromkeys(self.ledger.identities()))
+        self.ledger.changed_keys.update(dict.fromkeys(self.ledger.idempotency_keys()))
         return self._update_written({**restorer.rebased_records, **self._current_records(gateway)})
 
     def _begin_validation(self, restorer: StateRestorer) -> None:
@@ -115,7 +125,7 @@
     # --- purge and restart ---
 
     def purge(self, gateway: Gateway, categories: Collection[PurgeCategory]) -> None:
-        """Reset these categories in the gateway, and remove them with the next checkpoint."""
+        """Reset these categories in the gateway, and remove their records with the next checkpoint."""
         purge_gateway(gateway, categories)
         if PurgeCategory.CLASSES in categories:
             self.validator = EstimateValidator()
@@ -126,22 +136,22 @@
         self.mark_changed()
 
     def snapshot_for_restart(self, gateway: Gateway, now: float) -> PersistedState:
-        """Return the state for a gateway that replaces this one within the process."""
+        """Return a snapshot of all state for the gateway that replaces this one within the process."""
         run = records.RunRecord(
             monotonic_s=now,
             wall_s=0.0,
-            boot_id=RESTART_NAME,
-            directory_id=RESTART_NAME,
+            boot_id=IN_PROCESS_RESTART_ID,
+            directory_id=IN_PROCESS_RESTART_ID,
             program="",
             gateway_index=self.settings.gateway_index,
             gateway_count=self.settings.gateway_count,
             ended_cleanly=True,
         )
         entries = (*self.entries(gateway), (records.RUN, records.encode(records.RUN, run)))
-        return PersistedState(entries, Timestamp(now, 0.0, RESTART_NAME, RESTART_NAME))
+        return PersistedState(entries, Timestamp(now, 0.0, IN_PROCESS_RESTART_ID, IN_PROCESS_RESTART_ID))
 
     def take_over(self, predecessor: Checkpointer) -> None:
-        """Continue in the place of another checkpointer: the store holds what that one gave out."""
+        """Replace another checkpointer: changes are computed against the entries that it wrote."""
         self._written = predecessor._written
 
     # --- requests ---
@@ -151,7 +161,7 @@
         self.validator.record_request(class_index, gateway.step_context.now)
 
     def drop_unconfirmed_estimates(self, gateway: Gateway) -> list[str]:
-        """Drop restored estimates that no answer confirmed in time. Returns lines for the log."""
+        """Drop restored estimates that no answer confirmed in time. Returns one log line for each."""
         if not self.validator.active_count:
             return []
         return self.validator.drop_unconfirmed(
@@ -163,8 +173,15 @@
     ) -> str:
         """Record an answer that the class's estimator has learned from.
 
+        Args:
+            gateway: The gateway whose estimator learned from the answer.
+            class_index: Index of the query class in the settings.
+            cost: Estimated cost of the request; 0 if the client gave none.
+            elapsed: Seconds that the attempt took.
+            work: Reported thread seconds of work; 0 if not reported.
+
         Returns:
-            A line for the log if it made a restored estimate invalid, else an empty string.
+            A log line if the answer invalidated the restored estimate, else an empty string.
         """
         self._collector.record_answer(class_index, cost, elapsed, work)
         if not self.validator.active_count:
@@ -176,9 +193,9 @@
         return message
 
     def write_ahead_keys(
-        self, gateway: Gateway, request_id: int, attempt_number: int, identity: bytes
+        self, gateway: Gateway, request_id: int, attempt_number: int, idempotency_key: bytes
     ) -> list[bytes]:
-        """Record an attempt in the ledger, and return the keys that must be durable before it leaves."""
+        """Record an attempt in the ledger, and return the keys to make durable before its dispatch."""
         attempt = gateway.in_flight.attempts.get((request_id, attempt_number))
         if attempt is None:
             return []
@@ -186,9 +203,11 @@
         now = gateway.step_context.now
         guarantees = gateway.step_context.guarantees
         keys = []
-        if identity and class_settings.idempotency is not api.Idempotency.SAFE:
-            self.ledger.record_attempt(identity, class_settings, now, export.engine_entry(attempt.engine))
-            keys.append(records.IDEMPOTENCY + identity)
+        if idempotency_key and class_settings.idempotency is not api.Idempotency.SAFE:
+            self.ledger.record_attempt(
+                idempotency_key, class_settings, now, export.engine_entry(attempt.engine)
+            )
+            keys.append(records.IDEMPOTENCY + idempotency_key)
         if class_settings.is_ordered and attempt.request.ordering_key:
             keys.append(records.ORDERING + export.encode_ordering_key(attempt.request.ordering_key))
         if attempt_number and guarantees.retry_budget_base is not None:
@@ -202,25 +221,25 @@
     # --- changes to write ---
 
     def write_ahead_changes(self, gateway: Gateway, keys: Iterable[bytes]) -> list[Change]:
-        """Return the changes for the keys that `write_ahead_keys` returned."""
+        """Return the changes to write for the keys that `write_ahead_keys` returned."""
         return self._update_written({key: self._collector.write_ahead_record(gateway, key) for key in keys})
 
     def mark_changed(self) -> None:
-        """Note that the next checkpoint may find changes."""
+        """Schedule a checkpoint, because the state may have changed."""
         self._has_changes = self.is_enabled
 
     @property
     def next_checkpoint_at(self) -> float:
-        """When `changes` is to be called; infinite while nothing has changed."""
+        """Time in seconds at which `changes` is due; infinite while nothing has changed."""
         return self._next_checkpoint_at if self._has_changes else math.inf
 
     def initial_changes(self, gateway: Gateway) -> list[Change]:
-        """Return what is committed with the first heartbeat: all that was restored, on this run's clock."""
+        """Return the changes of the first commit: all restored records, with times of this run's clock."""
         values: dict[bytes, records.Record | None] = {}
         if self._restorer is not None:
             values.update(self._restorer.rebased_records)
         for key in self._written.keys_of(records.IDEMPOTENCY):
-            values[key] = self.ledger.get(records.identity_of(key))
+            values[key] = self.ledger.get(records.key_suffix(key))
         return self._update_written(values | {records.FLEET: export.fleet_record(gateway)})
 
     def changes(self, gateway: Gateway) -> list[Change]:
@@ -231,9 +250,10 @@
         return self._update_written(self._current_records(gateway))
 
     def entries(self, gateway: Gateway) -> tuple[tuple[bytes, Entry], ...]:
-        """Return all state, for a gateway that takes over within the process."""
+        """Return all state as encoded entries, for the gateway that replaces this one within the process."""
         values: dict[bytes, records.Record | None] = {
-            records.IDEMPOTENCY + identity: self.ledger.get(identity) for identity in self.ledger.identities()
+            records.IDEMPOTENCY + idempotency_key: self.ledger.get(idempotency_key)
+            for idempotency_key in self.ledger.idempotency_keys()
         }
         values |= self._current_records(gateway, with_unchanged_classes=True)
         return tuple((key, records.encode(key, value)) for key, value in values.items() if value is not None)
@@ -244,16 +264,20 @@
     def _current_records(
         self, gateway: Gateway, with_unchanged_classes: bool = False
     ) -> dict[bytes, records.Record | None]:
-        """Return the records that may have changed; None for those to be removed."""
-        found: dict[bytes, records.Record | None] = dict.fromkeys(self._purged_keys)
+        """Return the records that may have changed, by key; None marks a record to remove."""
+        current_records: dict[bytes, records.Record | None] = dict.fromkeys(self._purged_keys)
         self._purged_keys = []
-        found |= self._collector.collect(gateway, self._restorer, with_unchanged_classes)
-        return found | dict.fromkeys(self._obsolete_keys(found))
+        current_records |= self._collector.collect(gateway, self._restorer, with_unchanged_classes)
+        return current_records | dict.fromkeys(self._obsolete_keys(current_records))
 
-    def _obsolete_keys(self, found: dict[bytes, records.Record | None]) -> list[bytes]:
-        """Return transient keys without a record. Before the first endpoint list, engines stay."""
+    def _obsolete_keys(self, current_records: dict[bytes, records.Record | None]) -> list[bytes]:
+        """Return the written transient keys that have no current record any more.
+
+        Engine records are retained until the first endpoint list.
+        """
         return [
             key
             for key in self._written.transient_keys()
-            if key not in found and (self._has_endpoints or records.kind_of(key) == records.ORDERING)
+            if key not in current_records
+            and (self._has_endpoint_list or records.kind_of(key) == records.ORDERING)
         ]
--- a/saffronlane/learned_state/clock.py
+++ b/saffronlane/learned_state/clock.py
@@ -1,8 +1,8 @@
-"""The time between two runs, when clocks may have been set, machines restarted, or directories moved.
+"""The time between two runs, allowing for clock steps, machine reboots and copied directories.
 
-Times are persisted as monotonic seconds of the boot in which they were taken. Within one boot they stay
-comparable across processes (clock_gettime(2), CLOCK_MONOTONIC). Across boots only wall time is left, which
-may have been set.
+Persisted times are monotonic seconds of the boot in which they were taken. They are comparable across the
+processes of one boot (clock_gettime(2), CLOCK_MONOTONIC). Across boots only wall-clock time is comparable,
+and the wall clock may have been stepped.
 """
 
 from __future__ import annotations
@@ -11,18 +11,18 @@
 from dataclasses import dataclass
 
 MAX_WALL_CLOCK_GAP = 360 * 86_400.0  # seconds
-MAX_CLOCK_DRIFT = 5.0  # seconds between two clocks of one boot, before a suspend or a clock step is assumed
+MAX_CLOCK_DRIFT = 5.0  # seconds; a larger drift of the wall clock within a boot means a suspend or clock step
 
 
 @dataclass(frozen=True, slots=True)
 class Timestamp:
-    """One reading of all clocks, and where it was taken.
+    """One reading of all clocks, with the boot and the state directory for which it was taken.
 
     Attributes:
-        monotonic_s: monotonic seconds.
-        wall_s: seconds since 1970.
-        boot_id: names this boot of this machine; empty if unknown.
-        directory_id: names this state directory, and no copy of it; empty if unknown.
+        monotonic_s: Monotonic time in seconds.
+        wall_s: Wall-clock time in seconds since 1970.
+        boot_id: Identifier of the machine's current boot; empty if unknown.
+        directory_id: Identifier of the state directory, which a copy does not share; empty if unknown.
     """
 
     monotonic_s: float
@@ -36,11 +36,13 @@
     """The time between the last heartbeat of an earlier run and now.
 
     Attributes:
-        min_seconds: lower bound.
-        max_seconds: upper bound; infinite if nothing bounds it.
-        clock_offset: added to a persisted time, gives the latest time that it may be on this run's clock.
-        is_same_boot: persisted times are exact.
-        is_same_directory: as far as is known, the directory was neither copied nor restored.
+        min_seconds: Lower bound of the gap.
+        max_seconds: Upper bound of the gap; infinite if it is unbounded.
+        clock_offset: Seconds to add to a persisted time to get the latest time that it may stand for on
+            this run's clock.
+        is_same_boot: Whether both runs share one boot, so that persisted times are exact.
+        is_same_directory: Whether the directory is the one that the earlier run wrote, rather than a copy
+            or a restored backup.
     """
 
     min_seconds: float
@@ -51,7 +53,7 @@
 
     @property
     def is_certain(self) -> bool:
-        """Whether the gap is exact and the directory the original one."""
+        """Whether the gap is exact and the directory is the original one."""
         return self.is_same_boot and self.is_same_directory
 
 
@@ -67,8 +69,12 @@
 def gap_between(last: Timestamp, now: Timestamp) -> Gap:
     """Return the gap from an earlier run's last heartbeat to now.
 
-    Guarantees must hold on the shortest possible gap, and estimates are discounted by the longest. A wall
-    clock that stands before the last heartbeat was set back: then nothing bounds the gap.
+    Guarantees must hold for the shortest possible gap, and estimates are discounted by the longest. A wall
+    clock that reads earlier than the last heartbeat was stepped back, which leaves the gap unbounded.
+
+    Args:
+        last: Clock readings of the earlier run's last heartbeat.
+        now: Clock readings of this run.
     """
     is_same_directory = bool(last.directory_id) and last.directory_id == now.directory_id
     wall_gap = now.wall_s - last.wall_s
--- a/saffronlane/learned_state/confidence.py
+++ b/saffronlane/learned_state/confidence.py
@@ -1,9 +1,10 @@
-"""How much persisted state counts, by its age and by what has changed since (derived in docs/knowledge.md).
+"""Weight of persisted state, by its age and by what has changed since (derived in docs/knowledge.md).
 
-The true pace of a class drifts like a random walk. One answer measures it with a variance s2; in a second it
-drifts by q. An estimate from n answers has the variance s2 / n, and after t seconds s2 / n + q t, which is
-that of m answers with 1 / m = 1 / n + t / DRIFT_TIME, where DRIFT_TIME = s2 / q. So older estimates count as
-fewer answers. Ages add up in this form: any number of restarts costs no more than one.
+An answer is a successful response that an estimator learns from. The true speed of a class is modelled as a
+random walk whose variance grows by q per second, and one answer measures it with variance s2. An estimate
+from n answers then has variance s2 / n, and s2 / n + q t after t seconds. This equals the variance of m
+answers with 1 / m = 1 / n + t / DRIFT_TIME, where DRIFT_TIME = s2 / q, so older estimates count as fewer
+answers. Ages are additive in this form: several restarts discount an estimate as much as one does.
 """
 
 from __future__ import annotations
@@ -15,36 +16,37 @@
 from ..policy.health.outlier_detection import FAIL_MEMORY
 from .clock import Gap
 
-DRIFT_TIME = 28_800.0  # seconds in which a class's pace drifts as far as one answer lies beside the mean
-MAX_EFFECTIVE_SAMPLES = 16.0  # answers; as many new ones outvote a wrong estimate
+DRIFT_TIME = 28_800.0  # seconds in which a class's speed drifts by the standard deviation of one answer
+MAX_EFFECTIVE_SAMPLES = 16.0  # answers; as many new answers outweigh a wrong estimate
 MAX_CLASS_MIX_COUNT = 200  # answers
-SAME_MACHINE_TYPES_WEIGHT = 0.5  # weight where no engine is known but all are of known machine types
-COPIED_DIRECTORY_WEIGHT = 0.5  # weight of a directory that was copied or restored
-MAX_EXACT_GAP = (
-    3.0  # seconds without a clean end within which ledgers are complete; heartbeats come each second
-)
+SAME_MACHINE_TYPES_WEIGHT = 0.5  # weight if no engine is known but all are of known machine types
+COPIED_DIRECTORY_WEIGHT = 0.5  # weight of a state directory that was copied or restored from a backup
+MAX_EXACT_GAP = 3.0  # seconds after a crash within which ledgers count as complete; heartbeats are 1 s apart
 MAX_HEALTH_AGE = 60.0  # seconds
-HEALTH_DECAY_TIME_RATIO = 6.0  # of the memory of the outlier detector
+HEALTH_DECAY_TIME_RATIO = 6.0  # decay time of a restored failure ratio over that of the outlier detector
 MAX_CONCURRENCY_LIMIT_AGE = 60.0  # seconds
-CONCURRENCY_LIMIT_GROWTH_TIME = 10.0  # seconds in which an unused limit grows by the factor e
+CONCURRENCY_LIMIT_GROWTH_TIME = 10.0  # seconds in which an unused limit grows by a factor of e
 MAX_UNLISTED_ENGINE_AGE = 3600.0  # seconds
 MAX_UNLISTED_ENGINES = 4096  # engines
-MAX_MEAN_LOG_RATIO = math.log(3.0)  # of answers to the restored estimate
+MAX_MEAN_LOG_RATIO = math.log(3.0)  # tolerated mean logarithm of the ratio of answers to the estimate
 MIN_VALIDATION_SAMPLES = 4  # answers
-DEFAULT_LOG_DEVIATION = 1.0  # of one answer's log ratio
-MAX_EXECUTION_DEADLINE_RATIO = 0.5  # of the deadline; a longer estimate could reject the whole class for good
-UNCONFIRMED_TIMEOUT_DEADLINES = 2.0  # deadlines
-CLIENT_RETRY_DEADLINES = 3.0  # deadlines; how long a client may retry after the idempotency TTL
+DEFAULT_LOG_DEVIATION = 1.0  # standard deviation of one answer's log ratio if none was measured
+MAX_EXECUTION_DEADLINE_RATIO = 0.5  # a longer estimate could reject every request of the class indefinitely
+UNCONFIRMED_TIMEOUT_DEADLINES = 2.0  # multiples of the class's deadline
+CLIENT_RETRY_DEADLINES = (
+    3.0  # multiples of the deadline in which a client may retry after the idempotency TTL
+)
 
 
 @dataclass(frozen=True, slots=True)
 class DirectoryConfidence:
-    """How much a state directory as a whole counts.
+    """How far the content of a state directory as a whole can be relied on.
 
     Attributes:
-        weight: factor on the effective samples of class estimates.
-        has_complete_ledgers: the ledgers show every dispatch, so guarantees can rely on them alone.
-        age: seconds to add to the age of each record, for discounting.
+        weight: Factor on the effective samples of class estimates.
+        has_complete_ledgers: Whether the ledgers contain every dispatch, so that guarantees can rely on
+            them alone.
+        age: Seconds to add to the age of each record when it is discounted.
     """
 
     weight: float
@@ -52,100 +54,109 @@
     age: float
 
 
-def assess_directory(gap: Gap, clean: bool, same_position: bool) -> DirectoryConfidence:
-    """Assess a directory by the gap since its last heartbeat and by how the run before ended.
+def assess_directory(gap: Gap, ended_cleanly: bool, is_same_position: bool) -> DirectoryConfidence:
+    """Assess a directory by the gap since its last heartbeat and by how the previous run ended.
 
     Args:
-        gap: since the last heartbeat.
-        clean: the run before ended by a regular shutdown.
-        same_position: it had the same gateway index among as many gateways.
+        gap: Time since the last heartbeat.
+        ended_cleanly: Whether the previous run ended by a regular shutdown.
+        is_same_position: Whether the previous run had the same gateway index and gateway count.
     """
-    is_own = gap.is_same_directory and same_position
-    is_recent = clean or gap.max_seconds <= MAX_EXACT_GAP
+    is_same_gateway = gap.is_same_directory and is_same_position
+    is_recent = ended_cleanly or gap.max_seconds <= MAX_EXACT_GAP
     return DirectoryConfidence(
-        weight=1.0 if is_own else COPIED_DIRECTORY_WEIGHT,
-        has_complete_ledgers=is_own and gap.is_same_boot and is_recent,
+        weight=1.0 if is_same_gateway else COPIED_DIRECTORY_WEIGHT,
+        has_complete_ledgers=is_same_gateway and gap.is_same_boot and is_recent,
         age=gap.max_seconds,
     )
 
 
-def effective_samples(before: float, age: float, weight: float) -> float:
-    """Return the answers that an estimate from `before` answers still stands for after `age` seconds."""
-    if before <= 0.0 or not age < math.inf:
+def effective_samples(samples: float, age: float, weight: float) -> float:
+    """Return the effective samples of an estimate after it has aged.
+
+    Args:
+        samples: Effective samples of the estimate when it was last updated.
+        age: Seconds since then; infinite if unknown.
+        weight: Factor for all other reasons to discount the estimate.
+    """
+    if samples <= 0.0 or not age < math.inf:
         return 0.0
-    return min(MAX_EFFECTIVE_SAMPLES, weight * before / (1.0 + before * max(0.0, age) / DRIFT_TIME))
+    return min(MAX_EFFECTIVE_SAMPLES, weight * samples / (1.0 + samples * max(0.0, age) / DRIFT_TIME))
 
 
-def fleet_similarity(known: dict[bytes, float], listed: dict[bytes, float]) -> float:
-    """Return the weight of estimates that were learned on another fleet.
+def fleet_similarity(known_cores: dict[bytes, float], listed_cores: dict[bytes, float]) -> float:
+    """Return the weight of estimates that were learned on a fleet that may have differed.
 
     Args:
-        known: cores by engine, when the estimates were learned.
-        listed: cores by engine, now.
+        known_cores: Cores by engine at the time the estimates were learned.
+        listed_cores: Cores by engine in the current endpoint list.
     """
-    if not known or not listed:
+    if not known_cores or not listed_cores:
         return 1.0
-    same_engines = sum(known.get(name) == cores for name, cores in listed.items()) / len(listed)
-    known_sizes = set(known.values())
-    same_sizes = sum(cores in known_sizes for cores in listed.values()) / len(listed)
-    return max(same_engines, SAME_MACHINE_TYPES_WEIGHT * same_sizes)
+    same_engine_ratio = sum(
+        known_cores.get(engine_id) == cores for engine_id, cores in listed_cores.items()
+    ) / len(listed_cores)
+    known_sizes = set(known_cores.values())
+    same_size_ratio = sum(cores in known_sizes for cores in listed_cores.values()) / len(listed_cores)
+    return max(same_engine_ratio, SAME_MACHINE_TYPES_WEIGHT * same_size_ratio)
 
 
 def decayed_failure_ratio(failure_ratio: float, age: float) -> float:
-    """Return a failure ratio as unobserved outcomes would have decayed it; 0 if it is too old to count."""
+    """Return a failure ratio decayed by its age in seconds; 0 if it is older than MAX_HEALTH_AGE."""
     if age > MAX_HEALTH_AGE:
         return 0.0
     return failure_ratio * math.exp(-max(0.0, age) / FAIL_MEMORY / HEALTH_DECAY_TIME_RATIO)
 
 
 def recovered_concurrency_limit(threads: float, age: float) -> float:
-    """Return a concurrency limit as it would have grown by itself; infinite if there is none left."""
+    """Return a concurrency limit after growing unused for `age` seconds; infinite stands for no limit."""
     if threads > 0.0 and age < MAX_CONCURRENCY_LIMIT_AGE:
         return threads * math.exp(max(0.0, age) / CONCURRENCY_LIMIT_GROWTH_TIME)
     return math.inf
 
 
 def remaining_seed_samples(restored_samples: float) -> float:
-    """Return the seed answers that still count beside a restored estimate, which takes their place."""
+    """Return how many of the seed answers remain after a restored estimate replaces some of them."""
     return max(0.0, SEED_ANSWERS - restored_samples)
 
 
-def remaining_weight(weight: float, answers: int) -> float:
-    """Return what is left of a weight after so many new answers."""
-    return weight * DECAY**answers
+def remaining_weight(weight: float, answer_count: int) -> float:
+    """Return a weight after it has decayed by a number of new answers."""
+    return weight * DECAY**answer_count
 
 
-def new_effective_samples(answers: int) -> float:
-    """Return how many answers so many new ones count as, each a little less than the one after it."""
-    return (1.0 - DECAY**answers) / (1.0 - DECAY)
+def new_effective_samples(answer_count: int) -> float:
+    """Return the effective samples of a number of new answers, of which each decays those before it."""
+    return (1.0 - DECAY**answer_count) / (1.0 - DECAY)
 
 
 def may_reject(exec_time: float, deadline: float) -> bool:
-    """Return whether a restored estimate may reject queries before an answer confirms it.
+    """Return whether a restored estimate may cause rejections before an answer confirms it.
 
-    An estimate that no query of a class can meet its deadline would keep away the answers that disprove it.
+    An estimate by which no query of the class can meet its deadline would reject all of them, and so prevent
+    the answers that could disprove it.
     """
     return exec_time <= MAX_EXECUTION_DEADLINE_RATIO * deadline
 
 
-def is_unconfirmed(since: float, now: float, deadline: float) -> bool:
-    """Return whether the restored estimate may be the cause that requests have gone unanswered so long."""
-    return now - since > UNCONFIRMED_TIMEOUT_DEADLINES * deadline
+def is_unconfirmed(first_request_at: float, now: float, deadline: float) -> bool:
+    """Return whether requests have gone unanswered so long that the restored estimate may be the cause."""
+    return now - first_request_at > UNCONFIRMED_TIMEOUT_DEADLINES * deadline
 
 
-def is_contradicted(log_ratio_total: float, answers: int, log_deviation: float) -> bool:
-    """Return whether answers lie so far from the restored estimate that chance does not explain it.
+def is_contradicted(log_ratio_total: float, answer_count: int, log_deviation: float) -> bool:
+    """Return whether answers differ from the restored estimate by more than chance explains.
 
-    Times mostly follow a lognormal distribution: where logarithms have the standard deviation s, their mean
-    lies s * s / 2 below the logarithm of the mean.
+    Times approximately follow a lognormal distribution: if their logarithms have the standard deviation s,
+    the mean logarithm is s * s / 2 below the logarithm of the mean.
 
     Args:
-        log_ratio_total: sum of the logarithms of the answers' ratios to the restored mean.
-        answers: how many.
-        log_deviation: standard deviation of one logarithm; 0 if unknown.
+        log_ratio_total: Sum of the logarithms of the ratios of measured to estimated time.
+        answer_count: Number of answers in the sum.
+        log_deviation: Standard deviation of one answer's logarithm; 0 if unknown.
     """
-    if answers < MIN_VALIDATION_SAMPLES:
+    if answer_count < MIN_VALIDATION_SAMPLES:
         return False
     deviation = log_deviation if log_deviation > 0.0 else DEFAULT_LOG_DEVIATION
-    mean = log_ratio_total / answers + deviation * deviation / 2.0
-    return abs(mean) > MAX_MEAN_LOG_RATIO + deviation / math.sqrt(answers)
+    mean = log_ratio_total / answer_count + deviation * deviation / 2.0
+    return abs(mean) > MAX_MEAN_LOG_RATIO + deviation / math.sqrt(answer_count)
--- a/saffronlane/learned_state/errors.py
+++ b/saffronlane/learned_state/errors.py
@@ -1,4 +1,4 @@
-"""Errors of persisted records."""
+"""Errors raised when persisted records are decoded."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class UnreadableRecordError(SaffronlaneError):
-    """A record that cannot be decoded; the text names its key."""
+    """A record cannot be decoded; the message contains its key."""
 
     remedy = (
-        "Nothing, since the entry is left out; `saffronlane knowledge check` tells what else "
-        "the folder holds."
+        "No action is needed, because the record is skipped; `saffronlane knowledge check` lists all "
+        "damage in the state directory."
     )
 
 
 class NewerVersionError(UnreadableRecordError):
-    """A record that a later version of the program wrote; it stays in place."""
+    """A record was written by a newer version of the program; it is skipped and left in place."""
 
     remedy = (
-        "Nothing, since it is left in place; run the newer version again, or have it forgotten "
-        "by `saffronlane knowledge forget`."
+        "No action is needed, because the record is left in place; run the newer version again to use it, "
+        "or remove it with `saffronlane knowledge forget`."
     )
--- a/saffronlane/learned_state/estimates.py
+++ b/saffronlane/learned_state/estimates.py
@@ -1,4 +1,7 @@
-"""Restored estimates within a `RunTimeEstimator`: how they enter its totals and leave them again."""
+"""Adds a restored estimate to the totals of a `RunTimeEstimator`, and removes it again if it proves wrong.
+
+Seed answers are assumed answers that stand for the configured values until real answers replace them.
+"""
 
 from __future__ import annotations
 
@@ -11,12 +14,12 @@
 from .records import ClassRecord
 
 MAX_PLAUSIBLE_VALUE = 1e9  # no estimate that this program wrote is larger
-MIN_TOTAL = 1e-9  # what remains of a total at least, since others are divided by it
+MIN_TOTAL = 1e-9  # lower bound of a total after a subtraction, because totals are also divisors
 MIN_SAMPLES_FOR_MEMORY = 1.0  # answers
 
 
 class EstimateSums(NamedTuple):
-    """A part of an estimator's totals."""
+    """A contribution to the totals of an estimator."""
 
     cost: float
     latency: float
@@ -24,19 +27,19 @@
     uncontended_work: float
 
 
-def seed_sums(class_settings: api.ClassSettings, cost: float, answers: float) -> EstimateSums:
-    """Return what so many seed answers of this cost add to the totals."""
-    work = answers * class_settings.latency_objective * class_settings.threads
+def seed_sums(class_settings: api.ClassSettings, cost: float, samples: float) -> EstimateSums:
+    """Return the contribution of a number of seed answers of the given cost."""
+    work = samples * class_settings.latency_objective * class_settings.threads
     return EstimateSums(
-        cost=answers * cost,
-        latency=answers * class_settings.latency_objective,
+        cost=samples * cost,
+        latency=samples * class_settings.latency_objective,
         work=work,
         uncontended_work=work,
     )
 
 
 def restored_sums(record: ClassRecord, samples: float) -> EstimateSums:
-    """Return what so many answers of a restored estimate add to the totals."""
+    """Return the contribution of a restored estimate that counts as a number of answers."""
     cost = samples * record.mean_estimated_cost
     return EstimateSums(
         cost=cost,
@@ -47,18 +50,26 @@
 
 
 def apply_restored_estimate(estimator: RunTimeEstimator, record: ClassRecord, samples: float) -> bool:
-    """Put a restored estimate of so many answers in the place of as many seeds.
+    """Replace seed answers by a restored estimate.
+
+    Args:
+        estimator: The estimator to change.
+        record: The restored estimate.
+        samples: Number of answers that the estimate counts as; it replaces as many seed answers.
 
     Returns:
-        Whether the record was plausible; otherwise nothing is changed.
+        Whether the record was plausible. If not, the estimator is unchanged.
     """
     if not _is_plausible(record):
         return False
     seeds = confidence.remaining_seed_samples(samples)
     estimator.prior = seed_sums(estimator.class_settings, record.mean_estimated_cost, seeds)
     estimator.mean_estimated_cost = record.mean_estimated_cost
-    restored = restored_sums(record, samples)
-    totals = [seed + part for seed, part in zip(estimator.prior, restored, strict=True)]
+    estimate_sums = restored_sums(record, samples)
+    totals = [
+        seed_total + restored_total
+        for seed_total, restored_total in zip(estimator.prior, estimate_sums, strict=True)
+    ]
     _set_totals(estimator, EstimateSums(*totals))
     weight = samples / (samples + SEED_ANSWERS)
     estimator.baseline_inflation = 1.0 + weight * (record.baseline_inflation - 1.0)
@@ -68,21 +79,23 @@
 
 
 def remove_restored_estimate(
-    estimator: RunTimeEstimator, cost: float, restored: EstimateSums, answers: int
+    estimator: RunTimeEstimator, cost: float, estimate_sums: EstimateSums, new_answer_count: int
 ) -> None:
-    """Replace what is left of a restored estimate by seeds; new answers stay.
+    """Replace the remaining share of a restored estimate by seed answers; new answers are retained.
 
     Args:
-        estimator: to remove it from.
-        cost: of the seeds.
-        restored: what the estimate had added to the totals.
-        answers: new answers since.
+        estimator: The estimator to change.
+        cost: Estimated cost of each seed answer.
+        estimate_sums: Contribution of the restored estimate when it was applied.
+        new_answer_count: Number of answers since then.
     """
-    weight = confidence.remaining_weight(1.0, answers)
+    weight = confidence.remaining_weight(1.0, new_answer_count)
     seeds = seed_sums(estimator.class_settings, cost, SEED_ANSWERS)
     totals = [
-        max(MIN_TOTAL, total - weight * (old + prior)) + weight * seed
-        for total, old, prior, seed in zip(_totals(estimator), restored, estimator.prior, seeds, strict=True)
+        max(MIN_TOTAL, total - weight * (restored_total + prior_total)) + weight * seed_total
+        for total, restored_total, prior_total, seed_total in zip(
+            _totals(estimator), estimate_sums, estimator.prior, seeds, strict=True
+        )
     ]
     _set_totals(estimator, EstimateSums(*totals))
     estimator.prior = seeds
@@ -94,14 +107,14 @@
 
 
 def _is_plausible(record: ClassRecord) -> bool:
-    positive = (
+    positive_values = (
         record.mean_estimated_cost,
         record.latency_per_cost,
         record.work_per_cost,
         record.uncontended_work_per_cost,
         record.baseline_inflation,
     )
-    if not all(math.isfinite(value) and 0.0 < value < MAX_PLAUSIBLE_VALUE for value in positive):
+    if not all(math.isfinite(value) and 0.0 < value < MAX_PLAUSIBLE_VALUE for value in positive_values):
         return False
     return 0.0 <= record.memory_requirement < MAX_PLAUSIBLE_VALUE
 
--- a/saffronlane/learned_state/export.py
+++ b/saffronlane/learned_state/export.py
@@ -1,4 +1,4 @@
-"""Conversion of a gateway's state to records. Reads `policy.Gateway` and changes nothing."""
+"""Conversion of a gateway's state to records. Only reads `policy.Gateway`."""
 
 from __future__ import annotations
 
@@ -21,48 +21,48 @@
     class_settings_digest,
 )
 
-ARRIVAL_BIN = 0.1  # seconds; arrivals of the retry budget's window are counted in bins, each as of its start
-MIN_EFFECTIVE_SAMPLES = 0.5  # answers; estimates from less are not persisted
-MAX_CONCURRENCY_LIMIT = 1e9  # threads; from here on there is no limit
+ARRIVAL_BIN_WIDTH = 0.1  # seconds; arrivals in the retry budget's window are counted by bins of this width
+MIN_EFFECTIVE_SAMPLES = 0.5  # answers; estimates from fewer are not persisted
+MAX_CONCURRENCY_LIMIT = 1e9  # threads; a limit from this value on is persisted as no limit
 ORDERING_KEY_LENGTH = 8  # bytes
 
 
 def finite_time(time: float) -> float:
-    """Return a time in the stored form, which has no minus infinity."""
+    """Return a time in its stored form, which represents minus infinity by NEVER."""
     return max(time, NEVER)
 
 
 def class_records(
     gateway: Gateway, restored_samples: dict[int, float], log_deviations: list[float]
 ) -> dict[bytes, ClassRecord]:
-    """Return the record of each class with an answer, by name.
+    """Return the records of all classes with enough answers, by encoded class name.
 
     Args:
-        gateway: whose estimates to read.
-        restored_samples: by class, the answers that restored estimates stood for.
-        log_deviations: by class.
+        gateway: The gateway whose estimates are exported.
+        restored_samples: Effective samples of each restored estimate when it was restored, by class index.
+        log_deviations: Standard deviation of the logarithm of one answer, for each class.
     """
-    found = {}
+    class_records_by_name = {}
     for index, estimator in enumerate(gateway.workload_estimates.estimators):
         record = _class_record(gateway, estimator, restored_samples.get(index, 0.0), log_deviations[index])
         if record is not None:
-            found[estimator.class_settings.name.encode()] = record
-    return found
+            class_records_by_name[estimator.class_settings.name.encode()] = record
+    return class_records_by_name
 
 
 def _class_record(
     gateway: Gateway, estimator: RunTimeEstimator, restored_samples: float, log_deviation: float
 ) -> ClassRecord | None:
-    """Return one class's record without the seeds' part; None if too little is known."""
-    answers = estimator.answer_count - estimator.restored_answer_count
-    seed_weight = confidence.remaining_weight(1.0, answers)
+    """Return one class's record without the share of the seed answers, or None without enough answers."""
+    new_answer_count = estimator.answer_count - estimator.restored_answer_count
+    seed_weight = confidence.remaining_weight(1.0, new_answer_count)
     seed_costs, seed_latency, seed_work, seed_uncontended_work = estimator.prior
     costs = estimator.estimated_costs - seed_costs * seed_weight
     latency = estimator.latency_total - seed_latency * seed_weight
     work = estimator.work_total - seed_work * seed_weight
     uncontended_work = estimator.uncontended_work_total - seed_uncontended_work * seed_weight
-    samples = confidence.remaining_weight(restored_samples, answers)
-    samples += confidence.new_effective_samples(answers)
+    samples = confidence.remaining_weight(restored_samples, new_answer_count)
+    samples += confidence.new_effective_samples(new_answer_count)
     is_empty = not costs > 0.0 or min(latency, work, uncontended_work) <= 0.0
     if samples < MIN_EFFECTIVE_SAMPLES or is_empty:
         return None
@@ -82,9 +82,11 @@
 
 
 def engine_record(gateway: Gateway, engine: Engine, last_listed_at: float) -> EngineRecord:
-    """Return an engine's record. Its dispatches are part of it only during slow start."""
-    step = gateway.step_context
-    is_warming_up = engine.warmup_remaining(step.now, step.guarantees.slow_start_duration) > 0.0
+    """Return an engine's record, which includes its recent dispatches only during slow start."""
+    step_context = gateway.step_context
+    is_warming_up = (
+        engine.warmup_remaining(step_context.now, step_context.guarantees.slow_start_duration) > 0.0
+    )
     return EngineRecord(
         cores=engine.cores,
         zone=engine.zone,
@@ -109,43 +111,47 @@
 
 
 def retry_budget_record(gateway: Gateway) -> RetryBudgetRecord | None:
-    """Return the window of the retry budget, or None where no budget is set."""
-    step = gateway.step_context
-    if step.guarantees.retry_budget_base is None:
+    """Return the sliding window of the retry budget, or None if no budget is configured."""
+    step_context = gateway.step_context
+    if step_context.guarantees.retry_budget_base is None:
         return None
-    window_start = step.now - step.guarantees.retry_budget_window - 2.0 * step.settings.min_step_interval
+    window_start = (
+        step_context.now
+        - step_context.guarantees.retry_budget_window
+        - 2.0 * step_context.settings.min_step_interval
+    )
     budget = gateway.completion.retry_policy.budget
     counts: dict[int, int] = {}
     for time in budget.served_arrivals:
         if time > window_start:
-            number = math.floor(time / ARRIVAL_BIN)
-            counts[number] = counts.get(number, 0) + 1
+            bin_index = math.floor(time / ARRIVAL_BIN_WIDTH)
+            counts[bin_index] = counts.get(bin_index, 0) + 1
     return RetryBudgetRecord(
         retries=[time for time in budget.retries if time > window_start],
-        arrival_bins=[(number * ARRIVAL_BIN, count) for number, count in counts.items()],
+        arrival_bins=[(bin_index * ARRIVAL_BIN_WIDTH, count) for bin_index, count in counts.items()],
     )
 
 
 def ordering_records(gateway: Gateway) -> dict[bytes, OrderingRecord]:
-    """Return the ordering keys with an attempt in flight, or in their cool-down."""
-    found = {}
+    """Return records of the ordering keys that have an attempt in flight or are in their cool-down."""
+    records_by_key = {}
     for request in dict.fromkeys(attempt.request for attempt in gateway.in_flight.attempts.values()):
         if request.class_settings.is_ordered and request.ordering_key:
-            found[encode_ordering_key(request.ordering_key)] = OrderingRecord(True, 0.0)
+            records_by_key[encode_ordering_key(request.ordering_key)] = OrderingRecord(True, 0.0)
     for ordering_key, cooldown_until in gateway.pending.ordering.cooldowns.items():
-        name = encode_ordering_key(ordering_key)
-        if cooldown_until > gateway.step_context.now and name not in found:
-            found[name] = OrderingRecord(False, cooldown_until)
-    return found
+        encoded_key = encode_ordering_key(ordering_key)
+        if cooldown_until > gateway.step_context.now and encoded_key not in records_by_key:
+            records_by_key[encoded_key] = OrderingRecord(False, cooldown_until)
+    return records_by_key
 
 
 def encode_ordering_key(key: int) -> bytes:
-    """Return an ordering key as part of a stored key."""
+    """Return an ordering key in the form that stored keys contain."""
     return key.to_bytes(ORDERING_KEY_LENGTH, "big")
 
 
 def fleet_record(gateway: Gateway) -> FleetRecord:
-    """Return the state that concerns all engines together."""
+    """Return the record of the state that is shared by all engines."""
     limit = gateway.concurrency_limit.limit
     recent_work = gateway.in_flight.recent_work
     return FleetRecord(
@@ -160,7 +166,7 @@
 
 
 def peer_load_record(gateway: Gateway) -> PeerLoadRecord | None:
-    """Return the unexpired load that peers reported, or None without gossip."""
+    """Return the unexpired load that peers reported, or None if gossip is disabled."""
     if not gateway.step_context.limits.gossip_enabled:
         return None
     entries = []
@@ -180,7 +186,7 @@
 
 
 def engine_entry(engine: Engine) -> api.EngineEntry:
-    """Return an engine as an entry of the endpoint list."""
+    """Return the endpoint list entry that describes an engine."""
     return api.EngineEntry(
         engine.id, engine.state, engine.started_at, engine.zone, engine.machine_type, engine.cell
     )
--- a/saffronlane/learned_state/purge.py
+++ b/saffronlane/learned_state/purge.py
@@ -1,7 +1,7 @@
-"""Removal of learned state at an operator's request, from a running gateway or from its directory.
+"""Removal of learned state at an operator's request, from a running gateway or from a state directory.
 
 The records that guarantees depend on (idempotency ledger, ordering keys, retry budget, dispatches during slow
-start) are removed only with ALL, and only from a directory that no gateway uses.
+start) are removed only by the category ALL, and only from a directory that no gateway uses.
 """
 
 from __future__ import annotations
@@ -20,18 +20,18 @@
 
 
 class PurgeCategory(Enum):
-    """What to remove; the values are the words of the command line."""
+    """A category of learned state to remove; the values are arguments of the command line."""
 
-    CLASSES = "classes"  # estimates, and the concurrency limit that came of them
-    ENGINES = "engines"  # health, load reports
-    ALL = "all"
+    CLASSES = "classes"  # run time estimates, and the concurrency limit derived from them
+    ENGINES = "engines"  # engine health and load reports
+    ALL = "all"  # every record, including those that guarantees depend on
 
 
 def purge_gateway(gateway: Gateway, categories: Iterable[PurgeCategory]) -> None:
-    """Reset these in a running gateway.
+    """Reset these categories in a running gateway.
 
     Raises:
-        ValueError: ALL is for directories only.
+        ValueError: The category ALL is given, which applies to directories only.
     """
     for category in categories:
         match category:
@@ -40,7 +40,9 @@
             case PurgeCategory.ENGINES:
                 _reset_health(gateway)
             case PurgeCategory.ALL:
-                raise ValueError("the ledgers of a running gateway are not forgotten")
+                raise ValueError(
+                    "category 'all' cannot be purged in a running gateway, whose guarantees need its ledgers"
+                )
 
 
 def _reset_estimates(gateway: Gateway) -> None:
@@ -60,27 +62,27 @@
 def purge_entries(
     entries: Iterable[tuple[bytes, Entry]], categories: Iterable[PurgeCategory]
 ) -> list[Change]:
-    """Return the changes that remove these from the entries of a directory."""
-    chosen = set(categories)
+    """Return the changes that remove these categories from the entries of a directory."""
+    category_set = set(categories)
     changes = []
     for key, entry in entries:
-        if _is_removed(key, chosen):
+        if _is_removed(key, category_set):
             changes.append(Change(key, None))
-        elif PurgeCategory.ENGINES in chosen and records.kind_of(key) == records.ENGINE:
-            healthy = _without_health(key, entry)
-            if healthy is not None:
-                changes.append(records.make_change(key, healthy))
+        elif PurgeCategory.ENGINES in category_set and records.kind_of(key) == records.ENGINE:
+            reset_record = _without_health(key, entry)
+            if reset_record is not None:
+                changes.append(records.make_change(key, reset_record))
     return changes
 
 
-def _is_removed(key: bytes, chosen: set[PurgeCategory]) -> bool:
-    if PurgeCategory.ALL in chosen:
+def _is_removed(key: bytes, category_set: set[PurgeCategory]) -> bool:
+    if PurgeCategory.ALL in category_set:
         return True
-    return PurgeCategory.CLASSES in chosen and records.kind_of(key) in (records.CLASS, records.FLEET)
+    return PurgeCategory.CLASSES in category_set and records.kind_of(key) in (records.CLASS, records.FLEET)
 
 
 def _without_health(key: bytes, entry: Entry) -> records.EngineRecord | None:
-    """Return an engine's record without health and load reports; None if it is unreadable."""
+    """Return an engine's record without its health and load reports, or None if it is unreadable."""
     try:
         engine = records.decode(key, entry)
     except UnreadableRecordError:
--- a/saffronlane/learned_state/record_collector.py
+++ b/saffronlane/learned_state/record_collector.py
@@ -11,16 +11,16 @@
 from .restore import StateRestorer
 from .validation import LogDeviation
 
-LAST_LISTED_RESOLUTION = 60.0  # seconds
+LAST_LISTED_RESOLUTION = 60.0  # seconds to which `last_listed_at` is rounded
 MIN_TIME = 1e-6  # seconds
 
 
 class RecordCollector:
-    """Exports a gateway's state, and what the gateway itself doesn't keep.
+    """Exports a gateway's state, its ledger, and the deviation of answers, which the gateway does not track.
 
     Args:
-        settings: of the gateway.
-        ledger: of its idempotency keys.
+        settings: The gateway's settings.
+        ledger: The gateway's idempotency ledger.
     """
 
     def __init__(self, settings: api.Settings, ledger: IdempotencyLedger) -> None:
@@ -30,48 +30,48 @@
         self._collected_answer_counts: dict[str, int] = {}  # by settings digest
 
     def record_answer(self, class_index: int, cost: float, elapsed: float, work: float) -> None:
-        """Add one answer to the log deviation of its class."""
+        """Add one answer to the log deviation of its class. Arguments as in `Checkpointer.record_answer`."""
         measured = work if work > 0.0 else elapsed
         self._log_deviations[class_index].add(math.log(max(MIN_TIME, measured) / (cost or 1.0)))
 
     def reset_classes(self) -> None:
-        """Collect the records of all classes next time, changed or not."""
+        """Make the next call of `collect` return the records of all classes, changed or not."""
         self._collected_answer_counts.clear()
 
     def collect(
         self, gateway: Gateway, restorer: StateRestorer | None, with_unchanged_classes: bool = False
     ) -> dict[bytes, records.Record | None]:
-        """Return the records that may have changed since the last call, by key; None for those to be removed.
+        """Return the records that may have changed since the last call, by key; None marks one to remove.
 
         Args:
-            gateway: whose state to export.
-            restorer: of what an earlier run left, if anything.
-            with_unchanged_classes: also return classes without an answer since the last call.
+            gateway: The gateway whose state is exported.
+            restorer: The restorer of an earlier run's state, or None.
+            with_unchanged_classes: Whether to include classes without an answer since the last call.
         """
-        found: dict[bytes, records.Record | None] = {}
-        found |= self._class_records(gateway, restorer, with_unchanged_classes)
-        found |= self._engine_records(gateway, restorer)
-        found[records.RETRY_BUDGET] = export.retry_budget_record(gateway)
-        found[records.FLEET] = export.fleet_record(gateway)
-        found[records.PEER_LOAD] = export.peer_load_record(gateway)
+        changed_records: dict[bytes, records.Record | None] = {}
+        changed_records |= self._class_records(gateway, restorer, with_unchanged_classes)
+        changed_records |= self._engine_records(gateway, restorer)
+        changed_records[records.RETRY_BUDGET] = export.retry_budget_record(gateway)
+        changed_records[records.FLEET] = export.fleet_record(gateway)
+        changed_records[records.PEER_LOAD] = export.peer_load_record(gateway)
         for ordering_key, ordering in export.ordering_records(gateway).items():
-            found[records.ORDERING + ordering_key] = ordering
-        for identity in self._ledger.changed:
-            found[records.IDEMPOTENCY + identity] = self._ledger.get(identity)
-        self._ledger.changed.clear()
-        return found
+            changed_records[records.ORDERING + ordering_key] = ordering
+        for idempotency_key in self._ledger.changed_keys:
+            changed_records[records.IDEMPOTENCY + idempotency_key] = self._ledger.get(idempotency_key)
+        self._ledger.changed_keys.clear()
+        return changed_records
 
     def write_ahead_record(self, gateway: Gateway, key: bytes) -> records.Record | None:
-        """Return the record that must be durable before an attempt leaves."""
+        """Return the current record of a key that must be durable before an attempt is dispatched."""
         kind = records.kind_of(key)
-        identity = records.identity_of(key)
+        suffix = records.key_suffix(key)
         if kind == records.IDEMPOTENCY:
-            return self._ledger.get(identity)
+            return self._ledger.get(suffix)
         if kind == records.ORDERING:
             return records.OrderingRecord(True, 0.0)
         if kind == records.ENGINE:
             return export.engine_record(
-                gateway, gateway.engine_registry.engines[identity], _last_listed_at(gateway)
+                gateway, gateway.engine_registry.engines[suffix], _last_listed_at(gateway)
             )
         return export.retry_budget_record(gateway)
 
@@ -79,40 +79,42 @@
         self, gateway: Gateway, restorer: StateRestorer | None, with_unchanged: bool
     ) -> dict[bytes, records.ClassRecord]:
         restored_samples = restorer.sample_sizes if restorer is not None else {}
-        found = {}
+        class_records = {}
         for name, record in export.class_records(
             gateway, restored_samples, self._deviations(restorer)
         ).items():
             digest = record.settings_digest
             if with_unchanged or self._collected_answer_counts.get(digest) != record.answer_count:
                 self._collected_answer_counts[digest] = record.answer_count
-                found[records.CLASS + name] = record
-        return found
+                class_records[records.CLASS + name] = record
+        return class_records
 
     @staticmethod
     def _engine_records(
         gateway: Gateway, restorer: StateRestorer | None
     ) -> dict[bytes, records.EngineRecord]:
-        found = {}
+        engine_records = {}
         last_listed_at = _last_listed_at(gateway)
         for engine in gateway.engine_registry.engines.values():
             if engine.state is not api.EngineState.REMOVED:
-                found[records.ENGINE + engine.id] = export.engine_record(gateway, engine, last_listed_at)
+                engine_records[records.ENGINE + engine.id] = export.engine_record(
+                    gateway, engine, last_listed_at
+                )
         if restorer is not None:
-            for identity, record in restorer.unlisted_engines().items():
-                found[records.ENGINE + identity] = record
-        return found
+            for engine_id, record in restorer.unlisted_engines().items():
+                engine_records[records.ENGINE + engine_id] = record
+        return engine_records
 
     def _deviations(self, restorer: StateRestorer | None) -> list[float]:
-        """Return the log deviation of each class; the restored one until enough is known."""
-        found = []
+        """Return the log deviation of each class; the restored one until enough answers were measured."""
+        deviations = []
         for class_settings, tracker in zip(self._settings.classes, self._log_deviations, strict=True):
-            restored = restorer.class_record(class_settings.name) if restorer is not None else None
-            default = restored.log_deviation if restored is not None else 0.0
-            found.append(tracker.deviation or default)
-        return found
+            record = restorer.class_record(class_settings.name) if restorer is not None else None
+            default = record.log_deviation if record is not None else 0.0
+            deviations.append(tracker.deviation or default)
+        return deviations
 
 
 def _last_listed_at(gateway: Gateway) -> float:
-    """Return now, rounded down so that engine records don't change all the time."""
+    """Return the current time, rounded down so that engine records do not change at each checkpoint."""
     return math.floor(gateway.step_context.now / LAST_LISTED_RESOLUTION) * LAST_LISTED_RESOLUTION
--- a/saffronlane/learned_state/records/__init__.py
+++ b/saffronlane/learned_state/records/__init__.py
@@ -10,7 +10,7 @@
     PEER_LOAD,
     RETRY_BUDGET,
     RUN,
-    identity_of,
+    key_suffix,
     kind_of,
     name_of,
 )
@@ -53,7 +53,7 @@
     "decode_all",
     "encode",
     "exported_fields",
-    "identity_of",
+    "key_suffix",
     "kind_of",
     "make_change",
     "name_of",
--- a/saffronlane/learned_state/records/codec.py
+++ b/saffronlane/learned_state/records/codec.py
@@ -1,4 +1,4 @@
-"""Encoding of records as msgpack arrays. Each kind of record has a version of its own."""
+"""Encoding of records as msgpack arrays. Each kind of record has its own format version."""
 
 from __future__ import annotations
 
@@ -49,17 +49,17 @@
 
 
 def _add_log_deviation(fields: list[Any]) -> list[Any]:
-    """Upgrade a class record of version 1."""
+    """Upgrade a class record from version 1 to version 2."""
     return [*fields, 0.0]
 
 
-# By kind and version: upgrades the fields to the next version.
+# Functions that upgrade the fields of a record to the next version, by kind and version of the record.
 MIGRATIONS: dict[tuple[bytes, int], Callable[[list[Any]], list[Any]]] = {(CLASS, 1): _add_log_deviation}
 _ENCODER = msgspec.msgpack.Encoder()
 
 
 def make_change(key: bytes, value: Record | None) -> Change:
-    """Encode a record as a change of the store; None removes it."""
+    """Return the change that stores a record under a key, or that removes the key if the record is None."""
     if value is None:
         return Change(key, None)
     return Change(key, encode(key, value))
@@ -73,30 +73,33 @@
 
 
 def decode(key: bytes, entry: Entry) -> Record:
-    """Decode a record of this or an older version.
+    """Decode a record of the current or an older version.
 
     Raises:
-        NewerVersionError: a later version of the program wrote it.
-        UnreadableRecordError: the bytes are no record of this kind.
+        NewerVersionError: A newer version of the program wrote the record.
+        UnreadableRecordError: The bytes are not a record of the kind that the key determines.
     """
     kind = kind_of(key)
     if kind is None:
-        raise NewerVersionError(f"{name_of(key)}: a kind that this version does not know")
+        raise NewerVersionError(f"record {name_of(key)}: its kind is unknown to this version of the program")
     if entry.version > VERSIONS[kind]:
-        raise NewerVersionError(f"{name_of(key)}: version {entry.version} is newer than {VERSIONS[kind]}")
+        raise NewerVersionError(
+            f"record {name_of(key)}: format version {entry.version} is newer than "
+            f"the supported version {VERSIONS[kind]}"
+        )
     try:
         fields = msgspec.msgpack.decode(entry.value)
         for version in range(entry.version, VERSIONS[kind]):
             fields = MIGRATIONS[kind, version](fields)
         return msgspec.convert(fields, _TYPES[kind])
     except (msgspec.MsgspecError, KeyError, IndexError, TypeError, ValueError) as error:
-        raise UnreadableRecordError(f"{name_of(key)}: {error}") from error
+        raise UnreadableRecordError(f"record {name_of(key)}: cannot be decoded: {error}") from error
 
 
 def decode_all(
     items: Iterable[tuple[bytes, Entry]],
 ) -> Iterator[tuple[bytes, Record | UnreadableRecordError]]:
-    """Decode entries one by one; an unreadable one yields its error."""
+    """Yield each key with its decoded record, or with the error if the record is unreadable."""
     for key, entry in items:
         try:
             yield key, decode(key, entry)
@@ -106,5 +109,5 @@
 
 def exported_fields(value: Record) -> dict[str, Any]:
     """Return a record's fields under the names that `saffronlane knowledge export` prints."""
-    names = zip(value.__struct_fields__, value.__struct_encode_fields__, strict=True)
-    return {exported: getattr(value, name) for name, exported in names}
+    name_pairs = zip(value.__struct_fields__, value.__struct_encode_fields__, strict=True)
+    return {exported_name: getattr(value, name) for name, exported_name in name_pairs}
--- a/saffronlane/learned_state/records/keys.py
+++ b/saffronlane/learned_state/records/keys.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-# Keys of the records that exist once.
+# Complete keys of the kinds of record that exist once.
 RUN = b"run"
 RETRY_BUDGET = b"budget"
 FLEET = b"fleet"
 PEER_LOAD = b"told"
 
-# Key prefixes of the records that exist once for each class, engine, idempotency key and ordering key.
+# Key prefixes of the kinds of record that exist once per class, engine, idempotency key or ordering key.
 CLASS = b"c/"
 ENGINE = b"e/"
 IDEMPOTENCY = b"s/"
@@ -20,23 +20,23 @@
 
 
 def kind_of(key: bytes) -> bytes | None:
-    """Return the kind of record that a key holds, or None for a kind that this version does not know."""
+    """Return the kind of the record under a key, as its whole key or its prefix; None if it is unknown."""
     if key in _SINGLE_KEYS:
         return key
     prefix = key[:_PREFIX_LENGTH]
     return prefix if prefix in _PREFIXES and len(key) > _PREFIX_LENGTH else None
 
 
-def identity_of(key: bytes) -> bytes:
-    """Return what follows the prefix of a key."""
+def key_suffix(key: bytes) -> bytes:
+    """Return a key without its prefix: a class name, engine id, idempotency key or ordering key."""
     return key[_PREFIX_LENGTH:]
 
 
 def name_of(key: bytes) -> str:
-    """Return a printable form of a key."""
+    """Return a printable form of a key, with binary suffixes in hexadecimal."""
     prefix = key[:_PREFIX_LENGTH]
     if prefix in (CLASS, ENGINE):
         return key.decode("utf-8", "backslashreplace")
     if kind_of(key) == key:
         return key.decode("ascii")
-    return f"{prefix.decode('ascii', 'replace')}{identity_of(key).hex()}"
+    return f"{prefix.decode('ascii', 'replace')}{key_suffix(key).hex()}"
--- a/saffronlane/learned_state/records/ledger_records.py
+++ b/saffronlane/learned_state/records/ledger_records.py
@@ -1,4 +1,4 @@
-"""Records that guarantees depend on after a restart. The stored form is as in `state_records`."""
+"""Records that guarantees depend on after a restart. `state_records` describes the stored form."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
     """The sliding window of the retry budget.
 
     Attributes:
-        retries: time of each retry.
-        arrival_bins: pairs of a bin's start and its number of arrivals.
+        retries: Time of each retry.
+        arrival_bins: Start time and number of arrivals of each bin.
     """
 
     retries: list[float]
@@ -25,7 +25,14 @@
     frozen=True,
     rename={"query_class": "cls", "attempted_at": "at", "machine_type": "kind", "expires_at": "until"},
 ):
-    """The first attempt that may have run of a request with an idempotency key."""
+    """The first attempt that may have run, of a request with an idempotency key.
+
+    Attributes:
+        query_class: Name of the request's query class.
+        attempted_at: Time at which the attempt was dispatched.
+        engine: Id of the engine that received it.
+        expires_at: Time after which clients no longer repeat the request.
+    """
 
     query_class: str
     attempted_at: float
@@ -39,7 +46,12 @@
 class OrderingRecord(
     msgspec.Struct, array_like=True, frozen=True, rename={"is_in_flight": "open", "cooldown_until": "until"}
 ):
-    """An ordering key with an attempt in flight, or in its cool-down."""
+    """An ordering key that has an attempt in flight or is in its cool-down.
+
+    Attributes:
+        is_in_flight: Whether the key has an attempt in flight.
+        cooldown_until: End of the cool-down; 0 while an attempt is in flight.
+    """
 
     is_in_flight: bool
     cooldown_until: float
--- a/saffronlane/learned_state/records/settings_digest.py
+++ b/saffronlane/learned_state/records/settings_digest.py
@@ -1,4 +1,4 @@
-"""A digest of the settings that estimates depend on."""
+"""Digest of the settings that a class's estimates depend on."""
 
 from __future__ import annotations
 
@@ -11,7 +11,9 @@
 
 def class_settings_digest(settings: api.Settings, class_settings: api.ClassSettings) -> str:
     """Return a digest of all settings that a class's estimates depend on."""
-    machine_types = sorted({(kind.cores, kind.memory_mb) for kind in settings.machine_types})
+    machine_types = sorted(
+        {(machine_type.cores, machine_type.memory_mb) for machine_type in settings.machine_types}
+    )
     text = repr(
         (
             class_settings.name,
--- a/saffronlane/learned_state/records/state_records.py
+++ b/saffronlane/learned_state/records/state_records.py
@@ -1,6 +1,6 @@
 """Records of estimates, engines, peers and the run itself.
 
-The stored form is an array: the order and the types of fields must stay, while their names may change.
+The stored form is an array: the order and the types of the fields must not change, but their names may.
 `rename` gives the names that `saffronlane knowledge export` prints. Times are monotonic seconds of the boot
 in which they were written.
 """
@@ -11,7 +11,7 @@
 
 import msgspec
 
-NEVER = -1e12  # seconds; stands for minus infinity, which the stored form avoids
+NEVER = -1e12  # seconds; represents minus infinity, which the stored form does not use
 
 
 class RunRecord(
@@ -28,7 +28,18 @@
         "ended_cleanly": "clean",
     },
 ):
-    """The last heartbeat of the run that wrote the directory."""
+    """The last heartbeat of the run that wrote the state directory.
+
+    Attributes:
+        monotonic_s: Monotonic time of the heartbeat in seconds.
+        wall_s: Wall-clock time of the heartbeat in seconds since 1970.
+        boot_id: Identifier of the machine's boot; empty if unknown.
+        directory_id: Identifier of the state directory, which a copy does not share.
+        program: Version of the program.
+        gateway_index: Index of the gateway among all gateways.
+        gateway_count: Number of gateways.
+        ended_cleanly: Whether the run ended by a regular shutdown.
+    """
 
     monotonic_s: float
     wall_s: float
@@ -61,10 +72,17 @@
     """Run time estimates of one query class.
 
     Attributes:
-        settings_digest: of the settings under which the estimates were learned.
-        updated_at: time of the last answer.
-        effective_samples: answers that the estimates stand for, without the seeds.
-        log_deviation: standard deviation of the logarithm of one answer; 0 if unknown.
+        settings_digest: Digest of the settings under which the estimates were learned.
+        updated_at: Time of the last answer.
+        effective_samples: Number of answers that the estimates count as, without seed answers.
+        answer_count: Number of answers.
+        mean_estimated_cost: Mean estimated cost of a request.
+        latency_per_cost: Seconds of latency per unit of estimated cost.
+        work_per_cost: Thread seconds of work per unit of estimated cost.
+        uncontended_work_per_cost: The same work without contention.
+        baseline_inflation: Latency times threads over work without congestion, a low quantile.
+        memory_requirement: Memory used over memory estimated, a high quantile.
+        log_deviation: Standard deviation of the logarithm of one answer; 0 if unknown.
     """
 
     settings_digest: str
@@ -102,13 +120,21 @@
         "recent_dispatches": "sent",
     },
 ):
-    """One engine: its endpoint, its health, and what it was sent during slow start.
+    """One engine: its endpoint, its health, and the dispatches to it during slow start.
 
     Attributes:
-        started_at: as listed; 0 if it started long ago.
-        recent_work: threads that recent requests of this gateway keep busy, as of `recent_work_updated_at`.
-        last_listed_at: when an endpoint list last named it.
-        recent_dispatches: pairs of time and work.
+        started_at: Start time from the endpoint list; 0 if the engine started long ago.
+        inferred_restart_at: Time of a restart inferred from lost connections; NEVER if there was none.
+        connection_lost_at: Time at which a connection to the engine was lost.
+        last_outcome_at: Time of the last outcome that contributed to `failure_ratio`.
+        failure_ratio: Decayed ratio of failed attempts.
+        probe_request_interval: Seconds between half-open probe requests.
+        last_rejection_at: Time at which the engine last rejected a request.
+        reported_threads_per_core: Threads per core in the last load report.
+        reported_at: Time of the last load report.
+        recent_work: Threads that recent requests of this gateway occupy, as of `recent_work_updated_at`.
+        last_listed_at: Time at which an endpoint list last contained the engine.
+        recent_dispatches: Time and work of each recent dispatch.
     """
 
     cores: float
@@ -146,11 +172,14 @@
         "mean_reported_threads": "mean_reported",
     },
 ):
-    """State that concerns all engines together.
+    """State that is shared by all engines.
 
     Attributes:
-        dispatches_known_since: earlier dispatches to engines in slow start are not recorded.
-        concurrency_limit: threads; 0 for no limit.
+        dispatches_known_since: Time since which all dispatches to engines in slow start are recorded.
+        concurrency_limit: Concurrency limit in threads; 0 for no limit.
+        latency_inflation: Smoothed ratio of latency to latency without contention.
+        recent_work: Threads that recent requests of this gateway occupy, as of `recent_work_updated_at`.
+        mean_reported_threads: Mean of the reported threads per core over the ready engines.
     """
 
     updated_at: float
@@ -163,7 +192,17 @@
 
 
 class PeerLoadEntry(NamedTuple):
-    """One attempt that a peer gateway reported."""
+    """One attempt that a peer gateway reported.
+
+    Attributes:
+        sender: Index of the peer.
+        number: Number that the peer gave the attempt.
+        expires_at: Time until which the attempt counts unless its end is reported.
+        engine: Id of the engine that executes the attempt.
+        threads: Threads that the attempt occupies.
+        memory_mb: Memory that the attempt occupies.
+        bulk_load_table_digest: Digest of the table group that a bulk load holds; None for other queries.
+    """
 
     sender: int
     number: int
--- a/saffronlane/learned_state/restore.py
+++ b/saffronlane/learned_state/restore.py
@@ -1,4 +1,4 @@
-"""Restoring persisted state into a gateway, discounted by its age and by what has changed since."""
+"""Restores persisted state into a gateway, discounted by its age and by what has changed since."""
 
 from __future__ import annotations
 
@@ -14,20 +14,27 @@
 from .persisted_state import PersistedState, RestoredRecords
 from .restore_ledgers import restore_ledgers
 
-START_TIME_TOLERANCE = 2.0  # seconds; starts are listed in wall time, which two runs read a little apart
-MIN_EFFECTIVE_SAMPLES = 0.5  # answers; estimates of less are not restored
-MAX_LATENCY_INFLATION = 100.0
+START_TIME_TOLERANCE = 2.0  # seconds; start times are listed in wall time, which two runs read slightly apart
+MIN_EFFECTIVE_SAMPLES = 0.5  # answers; estimates that count as fewer are not restored
+MAX_LATENCY_INFLATION = 100.0  # largest restored ratio of latency to latency without contention
 
 
 class StateRestorer:
-    """Restores a directory: `restore_at_start` first, `restore_classes` with the first endpoint list.
+    """Restores the content of a state directory into a gateway.
+
+    `restore_at_start` is called first, and `restore_classes` with the first endpoint list. Each engine is
+    restored when an endpoint list first contains it.
 
     Args:
-        settings: of the gateway.
-        state: the content of the directory.
+        settings: The gateway's settings.
+        state: The content of the directory.
 
     Attributes:
-        sample_sizes: by class, the answers that its estimate counted as when it was restored.
+        summary: What was restored so far.
+        confidence: How far the directory as a whole can be relied on.
+        newer_version_keys: Keys of records that a newer version of the program wrote.
+        rebased_records: All records by key, with times of this run's clock.
+        sample_sizes: Effective samples of each class estimate when it was restored, by class index.
     """
 
     def __init__(self, settings: api.Settings, state: PersistedState) -> None:
@@ -42,12 +49,12 @@
         self.sample_sizes: dict[int, float] = {}
 
     def restore_at_start(self, gateway: Gateway, ledger: IdempotencyLedger) -> None:
-        """Restore all that needs no endpoint list."""
+        """Restore all state that does not depend on the endpoint list."""
         fleet = self._records.fleet
         gateway.step_context.now = self._now
         gateway.step_context.started_at = self._now
         if self.confidence.has_complete_ledgers and fleet is not None:
-            # The restored ledgers show what was sent since then.
+            # The restored ledgers contain every dispatch since that time.
             gateway.step_context.started_at = self._records.past_time(fleet.dispatches_known_since)
         restore_ledgers(self._records, self._settings, gateway, ledger)
         if fleet is not None:
@@ -55,18 +62,18 @@
         gateway.engine_registry.restore_engine = self._restore_engine
 
     def attach(self, gateway: Gateway, ledger: IdempotencyLedger) -> None:
-        """Restore into a running gateway: the ledgers, and classes without an answer so far."""
+        """Restore into a running gateway: the ledgers, and estimates of classes without an answer so far."""
         restore_ledgers(self._records, self._settings, gateway, ledger)
         self.restore_classes(
             gateway, tuple(map(export.engine_entry, gateway.engine_registry.engines.values()))
         )
 
     def restore_classes(self, gateway: Gateway, entries: tuple[api.EngineEntry, ...]) -> None:
-        """Restore class estimates, discounted by how much of the fleet is the same.
+        """Restore class estimates, discounted by how far the fleet has changed.
 
         Args:
-            gateway: before its step with these entries.
-            entries: the endpoint list.
+            gateway: The gateway, before it applies the endpoint list.
+            entries: The entries of the endpoint list.
         """
         weight = self.confidence.weight * self._fleet_similarity(entries)
         for index, estimator in enumerate(gateway.workload_estimates.estimators):
@@ -74,7 +81,7 @@
         self._restore_answer_counts(gateway)
 
     def restore_peer_load(self, gateway: Gateway) -> None:
-        """Restore what peers reported, once the engines are known."""
+        """Restore the load that peers reported, once the engines are known."""
         peer_load = self._records.peer_load
         self._records.peer_load = None
         if peer_load is None:
@@ -82,24 +89,24 @@
         table = gateway.load_gossip.peer_load
         for entry in peer_load.entries:
             engine = gateway.engine_registry.engines.get(entry.engine)
-            sender_and_number = (entry.sender, entry.number)
-            is_new = sender_and_number not in table.entries
+            attempt_key = (entry.sender, entry.number)
+            is_new = attempt_key not in table.entries
             if engine is not None and entry.expires_at > self._now and is_new:
                 attempt = PeerAttempt(
                     entry.expires_at, engine, entry.threads, entry.memory_mb, entry.bulk_load_table_digest
                 )
-                table.insert(sender_and_number, attempt)
+                table.insert(attempt_key, attempt)
 
     def class_record(self, name: str) -> records.ClassRecord | None:
-        """Return the record of a class, whether it was restored or not."""
+        """Return the persisted record of a class, restored or not; None if there is none."""
         return self._records.classes.get(name)
 
     def unlisted_engines(self) -> dict[bytes, records.EngineRecord]:
-        """Return the engines that no list has named yet; the oldest are left out."""
+        """Return persisted engines that no endpoint list has contained yet, except the oldest of them."""
         by_age = sorted(self._unlisted_engines.items(), key=lambda item: -item[1].last_listed_at)
         recent = [
-            (name, record)
-            for name, record in by_age
+            (engine_id, record)
+            for engine_id, record in by_age
             if self._records.age(record.last_listed_at) <= confidence.MAX_UNLISTED_ENGINE_AGE
         ]
         return dict(recent[: confidence.MAX_UNLISTED_ENGINES])
@@ -118,9 +125,11 @@
     def _fleet_similarity(self, entries: tuple[api.EngineEntry, ...]) -> float:
         machine_types = self._settings.machine_types
         last_type = len(machine_types) - 1
-        listed = {entry.engine: machine_types[min(entry.machine_type, last_type)].cores for entry in entries}
-        known = {name: record.cores for name, record in self._unlisted_engines.items()}
-        return confidence.fleet_similarity(known, listed)
+        listed_cores = {
+            entry.engine: machine_types[min(entry.machine_type, last_type)].cores for entry in entries
+        }
+        known_cores = {engine_id: record.cores for engine_id, record in self._unlisted_engines.items()}
+        return confidence.fleet_similarity(known_cores, listed_cores)
 
     def _restore_class(self, index: int, estimator: RunTimeEstimator, weight: float) -> None:
         name = estimator.class_settings.name
@@ -128,7 +137,9 @@
         if record is None or estimator.answer_count:
             return
         if record.settings_digest != records.class_settings_digest(self._settings, estimator.class_settings):
-            self.summary.notes.append(f"class {name}: its settings have changed")
+            self.summary.notes.append(
+                f"class {name}: estimates not restored, because its settings have changed"
+            )
             return
         age = self._records.age(record.updated_at)
         samples = confidence.effective_samples(record.effective_samples, age, weight)
@@ -137,7 +148,7 @@
             self.summary.classes[name] = round(samples, 2)
 
     def _restore_answer_counts(self, gateway: Gateway) -> None:
-        """Restore the mix of classes with counts so small that a new mix soon shows."""
+        """Restore the mix of classes, scaled down so that new answers soon outweigh it."""
         estimators = gateway.workload_estimates.estimators
         counts = {
             index: self._records.classes[estimators[index].class_settings.name].answer_count
@@ -157,7 +168,7 @@
             estimator.restored_answer_count = estimator.answer_count
 
     def _restore_engine(self, engine: Engine) -> None:
-        """Restore an engine as it is first listed, if it is still the same process."""
+        """Restore an engine when it is first listed, if it is still the same process."""
         record = self._unlisted_engines.pop(engine.id, None)
         if record is None or record.cores != engine.cores:
             return
@@ -187,4 +198,4 @@
             engine.is_ejected = record.is_ejected
             engine.is_unresponsive = record.is_ejected and record.is_unresponsive
             engine.probe_request_interval = record.probe_request_interval
-            engine.next_probe_request_at = self._now  # a probe soon shows whether the ejection still holds
+            engine.next_probe_request_at = self._now  # an immediate probe verifies the ejection
--- a/saffronlane/learned_state/written_entries.py
+++ b/saffronlane/learned_state/written_entries.py
@@ -1,4 +1,4 @@
-"""The entries that the store holds, to find out which records differ from them."""
+"""The entries last passed to the store, for comparison with current records."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 from . import records
 from .persisted_state import PersistedState
 
-TRANSIENT_KINDS = (records.ORDERING, records.ENGINE)  # their entries are removed once no record replaces them
+TRANSIENT_KINDS = (records.ORDERING, records.ENGINE)  # entries without a current record are removed
 
 
 class WrittenEntries:
-    """What was given out to be written, by key."""
+    """The entries that the store holds once all changes are written, by key."""
 
     def __init__(self) -> None:
         self._entries: dict[bytes, Entry] = {}
-        # Keys of transient kinds. In order, so that a replay writes alike; a dict, since there may be many.
+        # Keys of transient kinds. A dict is ordered, as deterministic replay needs, and allows fast removal.
         self._transient: dict[bytes, None] = {}
 
     @classmethod
     def of_state(cls, state: PersistedState) -> WrittenEntries:
-        """Return the entries that a directory holds."""
+        """Create an instance from the entries of a state directory."""
         written = cls()
         written._entries = {key: entry for key, entry in state.entries if key != records.RUN}
         written._transient = dict.fromkeys(key for key in written._entries if _is_transient(key))
@@ -32,17 +32,17 @@
         return [key for key in self._entries if records.kind_of(key) == kind]
 
     def transient_keys(self) -> list[bytes]:
-        """Return the keys of records that are removed once nothing replaces them."""
+        """Return the keys of entries that are removed once they have no current record."""
         return list(self._transient)
 
     def update(
         self, values: Mapping[bytes, records.Record | None], protected_keys: Container[bytes]
     ) -> list[Change]:
-        """Take over new records and return the changes that bring the store up to date.
+        """Update the entries and return the changes that bring the store up to date.
 
         Args:
-            values: by key; None removes an entry.
-            protected_keys: entries that are never removed, since a later version of the program wrote them.
+            values: New records by key; None removes an entry.
+            protected_keys: Keys that are never removed, because a newer version of the program wrote them.
         """
         changes = []
         for key, value in values.items():
--- a/saffronlane/purge_requests.py
+++ b/saffronlane/purge_requests.py
@@ -1,4 +1,4 @@
-"""Requests by file, with which an operator has a running gateway purge learned state."""
+"""Request files, by which an operator makes a running gateway purge learned state."""
 
 from __future__ import annotations
 
@@ -16,33 +16,36 @@
 
 
 def write_purge_request(directory: Path, categories: Iterable[PurgeCategory]) -> Path:
-    """Leave a request in a state directory. Returns its path, which the gateway removes."""
-    request = directory / PURGE_REQUEST_NAME
-    temporary = directory / f"{PURGE_REQUEST_NAME}.new"
-    temporary.write_text(json.dumps([category.value for category in categories]))
-    temporary.replace(request)
-    return request
+    """Write a purge request to a state directory. Returns its path, which the gateway removes."""
+    request_path = directory / PURGE_REQUEST_NAME
+    temporary_path = directory / f"{PURGE_REQUEST_NAME}.new"
+    temporary_path.write_text(json.dumps([category.value for category in categories]))
+    temporary_path.replace(request_path)
+    return request_path
 
 
 def take_purge_request(directory: Path) -> tuple[PurgeCategory, ...]:
-    """Remove the request from a state directory, if there is one.
+    """Read and remove the purge request in a state directory, if there is one.
 
     Returns:
-        The categories that may be purged in a running gateway.
+        The categories to purge; empty if there is no request or it is rejected.
 
     Raises:
-        OSError: the request cannot be read or removed.
+        OSError: The request cannot be read or removed.
     """
-    request = directory / PURGE_REQUEST_NAME
-    if not request.exists():
+    request_path = directory / PURGE_REQUEST_NAME
+    if not request_path.exists():
         return ()
     categories: tuple[PurgeCategory, ...] = ()
     try:
-        categories = tuple(PurgeCategory(word) for word in json.loads(request.read_bytes()))
+        categories = tuple(PurgeCategory(name) for name in json.loads(request_path.read_bytes()))
     except (ValueError, TypeError) as error:
-        log.error("purge request rejected", file=str(request), why=str(error))
-    request.unlink()
+        log.error("purge request rejected", file=str(request_path), why=str(error))
+    request_path.unlink()
     if PurgeCategory.ALL in categories:
-        log.error("purge of a running gateway's ledgers rejected", file=str(request))
+        log.error(
+            "purge request rejected: the ledgers of a running gateway cannot be purged",
+            file=str(request_path),
+        )
         return ()
     return categories
--- a/saffronlane/state_directory.py
+++ b/saffronlane/state_directory.py
@@ -186,7 +186,7 @@
                 age_s=round(summary.age, 3),
                 exact=summary.has_complete_ledgers,
                 requests=summary.requests,
-                orders=summary.orders,
+                orders=summary.ordering_keys,
             )
         for note in summary.notes:
             log.warning("knowledge", note=note)
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -482,7 +482,7 @@
         weigh.MAX_EFFECTIVE_SAMPLES, rel=0.01
     )
     said = [e.text for e in after.effects if isinstance(e, api.Log)]
-    assert said == ["restored 4 engines; classes: short as 16 answers"]
+    assert said == ["learned state restored: engines: 4; classes: short (16 effective samples)"]
 
 
 def test_knowledge_fades_as_it_ages():
@@ -781,7 +781,9 @@
     assert 0.0 <= gap.min_seconds <= gap.max_seconds
     rebase = Rebase(gap)
     for time in (then, then - 100.0):
-        assert rebase.early(time) <= rebase.late(time) <= max(mono, mono + gap.min_seconds) + 1e-6
+        assert (
+            rebase.earliest_time(time) <= rebase.latest_time(time) <= max(mono, mono + gap.min_seconds) + 1e-6
+        )
 
 
 # --- in one process ---
@@ -888,7 +890,7 @@
             and summary.has_complete_ledgers
             and summary.classes == {"short": weigh.MAX_EFFECTIVE_SAMPLES}
         )
-        assert (summary.engines, summary.requests, summary.orders) == (1, 1, 1)
+        assert (summary.engines, summary.requests, summary.ordering_keys) == (1, 1, 1)
         gateway = life.core.gateway
         assert (
             gateway.engine_registry.engines[engine_id(0)].is_ejected
