--- a/saffronlane/learned_state/checkpointer.py
+++ b/saffronlane/learned_state/checkpointer.py
@@ -51,9 +51,9 @@
         self.summary = RestoreSummary()
         self.validator = EstimateValidator()
         self._restorer = StateRestorer(settings, state) if state is not None else None
-        self._written = WrittenEntries()
+        self._written_entries = WrittenEntries()
         if state is not None and is_enabled:
-            self._written = WrittenEntries.of_state(state)
+            self._written_entries = WrittenEntries.from_state(state)
         self._collector = RecordCollector(settings, self.ledger)
         self._protected_keys: frozenset[bytes] = frozenset()
         if self._restorer is not None:
@@ -109,7 +109,7 @@
         self.is_enabled = True
         self._protected_keys = restorer.newer_version_keys
         self.summary = restorer.summary
-        self._written = WrittenEntries.of_state(state)
+        self._written_entries = WrittenEntries.from_state(state)
         restorer.attach(gateway, self.ledger)
         self._begin_validation(restorer)
         self._collector.reset_classes()
@@ -132,7 +132,7 @@
             self._collector.reset_classes()
             if self._restorer is not None:
                 self._restorer.sample_sizes.clear()
-            self._purged_keys = self._written.keys_of(records.CLASS)
+            self._purged_keys = self._written_entries.keys_of(records.CLASS)
         self.mark_changed()
 
     def snapshot_for_restart(self, gateway: Gateway, now: float) -> PersistedState:
@@ -152,7 +152,7 @@
 
     def take_over(self, predecessor: Checkpointer) -> None:
         """Replace another checkpointer: changes are computed against the entries that it wrote."""
-        self._written = predecessor._written
+        self._written_entries = predecessor._written_entries
 
     # --- requests ---
 
@@ -238,7 +238,7 @@
         values: dict[bytes, records.Record | None] = {}
         if self._restorer is not None:
             values.update(self._restorer.rebased_records)
-        for key in self._written.keys_of(records.IDEMPOTENCY):
+        for key in self._written_entries.keys_of(records.IDEMPOTENCY):
             values[key] = self.ledger.get(records.key_suffix(key))
         return self._update_written(values | {records.FLEET: export.fleet_record(gateway)})
 
@@ -259,7 +259,7 @@
         return tuple((key, records.encode(key, value)) for key, value in values.items() if value is not None)
 
     def _update_written(self, values: dict[bytes, records.Record | None]) -> list[Change]:
-        return self._written.update(values, self._protected_keys)
+        return self._written_entries.update(values, self._protected_keys)
 
     def _current_records(
         self, gateway: Gateway, with_unchanged_classes: bool = False
@@ -277,7 +277,7 @@
         """
         return [
             key
-            for key in self._written.transient_keys()
+            for key in self._written_entries.transient_keys()
             if key not in current_records
             and (self._has_endpoint_list or records.kind_of(key) == records.ORDERING)
         ]
--- a/saffronlane/learned_state/confidence.py
+++ b/saffronlane/learned_state/confidence.py
@@ -18,7 +18,7 @@
 
 DRIFT_TIME = 28_800.0  # seconds in which a class's speed drifts by the standard deviation of one answer
 MAX_EFFECTIVE_SAMPLES = 16.0  # answers; as many new answers outweigh a wrong estimate
-MAX_CLASS_MIX_COUNT = 200  # answers
+MAX_CLASS_MIX_COUNT = 200  # answers; upper bound of the restored answer counts of all classes together
 SAME_MACHINE_TYPES_WEIGHT = 0.5  # weight if no engine is known but all are of known machine types
 COPIED_DIRECTORY_WEIGHT = 0.5  # weight of a state directory that was copied or restored from a backup
 MAX_EXACT_GAP = 3.0  # seconds after a crash within which ledgers count as complete; heartbeats are 1 s apart
@@ -33,9 +33,7 @@
 DEFAULT_LOG_DEVIATION = 1.0  # standard deviation of one answer's log ratio if none was measured
 MAX_EXECUTION_DEADLINE_RATIO = 0.5  # a longer estimate could reject every request of the class indefinitely
 UNCONFIRMED_TIMEOUT_DEADLINES = 2.0  # multiples of the class's deadline
-CLIENT_RETRY_DEADLINES = (
-    3.0  # multiples of the deadline in which a client may retry after the idempotency TTL
-)
+CLIENT_RETRY_DEADLINES = 3.0  # multiples of the deadline; client retry time beyond the idempotency TTL
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,7 +75,7 @@
     Args:
         samples: Effective samples of the estimate when it was last updated.
         age: Seconds since then; infinite if unknown.
-        weight: Factor for all other reasons to discount the estimate.
+        weight: Factor that discounts the estimate for reasons other than its age.
     """
     if samples <= 0.0 or not age < math.inf:
         return 0.0
@@ -133,8 +131,8 @@
 def may_reject(exec_time: float, deadline: float) -> bool:
     """Return whether a restored estimate may cause rejections before an answer confirms it.
 
-    An estimate by which no query of the class can meet its deadline would reject all of them, and so prevent
-    the answers that could disprove it.
+    An estimate that no query of the class can meet its deadline would cause all of them to be rejected, and
+    thereby prevent the answers that could disprove it.
     """
     return exec_time <= MAX_EXECUTION_DEADLINE_RATIO * deadline
 
--- a/saffronlane/learned_state/restore.py
+++ b/saffronlane/learned_state/restore.py
@@ -103,13 +103,13 @@
 
     def unlisted_engines(self) -> dict[bytes, records.EngineRecord]:
         """Return persisted engines that no endpoint list has contained yet, except the oldest of them."""
-        by_age = sorted(self._unlisted_engines.items(), key=lambda item: -item[1].last_listed_at)
-        recent = [
+        engines_by_age = sorted(self._unlisted_engines.items(), key=lambda item: -item[1].last_listed_at)
+        recent_engines = [
             (engine_id, record)
-            for engine_id, record in by_age
+            for engine_id, record in engines_by_age
             if self._records.age(record.last_listed_at) <= confidence.MAX_UNLISTED_ENGINE_AGE
         ]
-        return dict(recent[: confidence.MAX_UNLISTED_ENGINES])
+        return dict(recent_engines[: confidence.MAX_UNLISTED_ENGINES])
 
     def _restore_fleet(self, gateway: Gateway, fleet: records.FleetRecord) -> None:
         age = self._records.age(fleet.updated_at)
--- a/saffronlane/learned_state/written_entries.py
+++ b/saffronlane/learned_state/written_entries.py
@@ -17,15 +17,15 @@
     def __init__(self) -> None:
         self._entries: dict[bytes, Entry] = {}
         # Keys of transient kinds. A dict is ordered, as deterministic replay needs, and allows fast removal.
-        self._transient: dict[bytes, None] = {}
+        self._transient_keys: dict[bytes, None] = {}
 
     @classmethod
-    def of_state(cls, state: PersistedState) -> WrittenEntries:
+    def from_state(cls, state: PersistedState) -> WrittenEntries:
         """Create an instance from the entries of a state directory."""
-        written = cls()
-        written._entries = {key: entry for key, entry in state.entries if key != records.RUN}
-        written._transient = dict.fromkeys(key for key in written._entries if _is_transient(key))
-        return written
+        instance = cls()
+        instance._entries = {key: entry for key, entry in state.entries if key != records.RUN}
+        instance._transient_keys = dict.fromkeys(key for key in instance._entries if _is_transient(key))
+        return instance
 
     def keys_of(self, kind: bytes) -> list[bytes]:
         """Return the keys of one kind of record."""
@@ -33,7 +33,7 @@
 
     def transient_keys(self) -> list[bytes]:
         """Return the keys of entries that are removed once they have no current record."""
-        return list(self._transient)
+        return list(self._transient_keys)
 
     def update(
         self, values: Mapping[bytes, records.Record | None], protected_keys: Container[bytes]
@@ -61,11 +61,11 @@
     def _set(self, key: bytes, entry: Entry) -> None:
         self._entries[key] = entry
         if _is_transient(key):
-            self._transient[key] = None
+            self._transient_keys[key] = None
 
     def _remove(self, key: bytes) -> None:
         self._entries.pop(key, None)
-        self._transient.pop(key, None)
+        self._transient_keys.pop(key, None)
 
 
 def _is_transient(key: bytes) -> bool:
