--- a/saffronlane/daemon.py
+++ b/saffronlane/daemon.py
@@ -15,7 +15,7 @@
 from .config import Config, EngineRecord
 from .dispatch.recording import RecordingWriter
 from .engines import Executor
-from .engines.flight import ExecutorLimits, FlightLinks
+from .engines.flight import FlightTransport, FlightTransportLimits
 from .engines.pool import PoolLimits
 from .flight import FlightFront
 from .gossip_transport import GossipTransport
@@ -52,9 +52,9 @@
             config.settings, seed, recording, config.most_owed, memory, is_persistent=memory is not None
         )
         http = ConnectionLimits(max_streams=config.max_streams, keepalive_after=config.keepalive)
-        limits = ExecutorLimits(
-            hold_back=config.hold_back,
-            cancel_wait=config.cancel_wait,
+        limits = FlightTransportLimits(
+            max_buffered_bytes=config.hold_back,
+            cancel_ack_timeout=config.cancel_wait,
             pool=PoolLimits(config.connect_timeout, config.per_engine),
         )
         self.peers = None
@@ -62,7 +62,7 @@
             self.peers = GossipTransport(
                 config.peer_listen, config.peer_addresses, config.settings.gateway_index, self._on_peer
             )
-        self.links = FlightLinks(limits, self.view.address, str(config.settings.gateway_index))
+        self.links = FlightTransport(limits, self.view.address, str(config.settings.gateway_index))
         self.executor = Executor(
             self.dispatcher,
             self.links,
@@ -83,7 +83,7 @@
         self.executor.feed(self.view.replace(version, records))
         for engine in before:
             if engine not in self.view.snapshot:
-                self.links.forget_engine(engine)
+                self.links.remove_engine(engine)
         states = [r.state.name.lower() for r in records]
         log.info("engine list", version=version, engines=len(records), ready=states.count("ready"))
 
--- a/saffronlane/dispatch/__init__.py
+++ b/saffronlane/dispatch/__init__.py
@@ -1,4 +1,4 @@
-"""The core of the dispatcher, without I/O: inputs go in with their time, effects come out."""
+"""The core of the dispatcher, without I/O: it maps timestamped inputs to effects."""
 
 from .core import Dispatcher
 from .effects import (
--- a/saffronlane/dispatch/action_handler.py
+++ b/saffronlane/dispatch/action_handler.py
@@ -1,4 +1,4 @@
-"""Turns the policy's actions into effects that respect the table of requests."""
+"""Turns the policy's actions into effects, and drops actions that the state of their request rules out."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class ActionHandler:
-    """Carries out actions, dropping those for requests that are over.
+    """Turns actions into effects, and drops those for requests that have ended.
 
     Args:
-        requests: the table of requests and attempts.
-        timers: receives the timers that the policy sets.
-        policy: names what must be durable before an attempt.
-        effects: receives the effects.
+        requests: The table of requests and attempts.
+        timers: The queue that receives the timers set by the policy.
+        policy: The host that returns how long an attempt waits for its write-ahead entries.
+        effects: The list that the effects are appended to.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
             timeout=action.timeout,
             grant_mb=grant.memory_mb,
             priority=grant.priority,
-            durability_timeout=self._policy.write_ahead(request, attempt),
+            durability_timeout=self._policy.record_write_ahead(request, attempt),
         )
         self._effects.append(effect)
 
@@ -74,9 +74,9 @@
             request.next_grant = ResourceGrant(action.memory_mb, action.priority)
 
     def _cancel(self, action: api.Cancel) -> None:
-        found = self._requests.find_in_flight(action.request, action.attempt)
-        if found is not None:
-            self._requests.cancel(found.request, found.attempt)
+        in_flight = self._requests.find_in_flight(action.request, action.attempt)
+        if in_flight is not None:
+            self._requests.cancel(in_flight.request, in_flight.attempt)
 
     def _answer(self, request_id: int, answer: RejectRequest | FailRequest) -> None:
         request = self._requests.get(request_id)
--- a/saffronlane/dispatch/core.py
+++ b/saffronlane/dispatch/core.py
@@ -1,9 +1,9 @@
-"""The dispatcher: a deterministic core between what happens and what is to be done about it.
+"""The dispatcher: a deterministic state machine that maps inputs to effects.
 
-`policy.Gateway` decides. The dispatcher makes its decisions safe to carry out: one final answer for each
-request, no result of an attempt that was given up, and no action for a request that is over. It holds no
-socket, task, clock or global state: the same inputs at the same times give the same effects, which is how a
-recording is replayed.
+`policy.Gateway` decides. The dispatcher makes its decisions safe to carry out: each request gets one final
+answer, the result of a cancelled attempt is never used, and actions for a request that has ended are dropped.
+It holds no socket, task, clock or global state. The same inputs at the same times give the same effects, so
+that a recording can be replayed.
 """
 
 from __future__ import annotations
@@ -26,27 +26,27 @@
 from .timers import TimerQueue
 
 MAX_PENDING = 20_000  # requests
-Record = Callable[[float, list[Input], list[Effect]], None]
+StepRecorder = Callable[[float, list[Input], list[Effect]], None]
 
 
 class Dispatcher:
-    """The core of one gateway. Two of them share nothing.
+    """The core of one gateway. Dispatchers in the same process share no state.
 
     Args:
-        settings: as `policy.Gateway` takes them.
-        seed: of every random draw.
-        record: called with each step's time, inputs and effects (see `dispatch.recording`).
-        max_pending: requests without an answer at once; each further one is rejected. The cost of a step
-            grows with the queue, so that without a limit a flood would delay every answer.
-        persisted_state: what an earlier run stored; None: nothing.
-        is_persistent: whether what is learned is to be stored (by `effects.Persist`).
+        settings: The settings that are passed on to `policy.Gateway`.
+        seed: The seed of every random draw.
+        record: A callback that receives each step's time, inputs and effects (see `dispatch.recording`).
+        max_pending: The largest number of unanswered requests; further ones are rejected. The cost of a step
+            grows with the queue, so that without a limit a flood of requests would delay every answer.
+        persisted_state: The learned state that an earlier run stored, or None if there is none.
+        is_persistent: Whether learned state is stored, by `effects.Persist`.
     """
 
     def __init__(
         self,
         settings: api.Settings,
         seed: int,
-        record: Record | None = None,
+        record: StepRecorder | None = None,
         max_pending: int = MAX_PENDING,
         persisted_state: PersistedState | None = None,
         is_persistent: bool = False,
@@ -55,7 +55,7 @@
         self._record = record
         self._now = -math.inf
         self._next_request = 1
-        self._effects: list[Effect] = []  # of the present step; shared by all parts
+        self._effects: list[Effect] = []  # of the current step; every component appends to it
         self._timers = TimerQueue()
         self._engines = EngineTable()
         self._requests = RequestTable(self._effects, settings.limits.can_cancel)
@@ -66,42 +66,42 @@
 
     @property
     def gateway(self) -> Gateway:
-        """The present policy; a fault replaces it."""
+        """The current policy. It is replaced after an internal error."""
         return self._policy.gateway
 
     @property
     def checkpointer(self) -> Checkpointer:
-        """The present policy's learned state."""
+        """The checkpointer of the current policy's learned state."""
         return self._policy.checkpointer
 
     @property
     def first_changes(self) -> list[Change]:
-        """What must be stored before anything else: the restored state on this run's clock."""
+        """The changes to store before any others: the restored state, converted to this run's clock."""
         return self._policy.first_changes
 
     @property
     def fault_count(self) -> int:
-        """How often the policy failed and was restarted."""
+        """The number of times the policy failed and was restarted."""
         return self._policy.fault_count
 
     @property
     def next_timer(self) -> float:
-        """When `step` is to be called even if nothing happens; infinity: never."""
+        """The time at which `step` must be called even without inputs, or infinity if it need not be."""
         return min(self._timers.next_deadline, self.checkpointer.next_checkpoint_at)
 
     @property
     def pending_count(self) -> int:
-        """Requests without a final answer."""
+        """The number of requests without a final answer."""
         return self._requests.pending_count
 
     @property
     def in_flight_count(self) -> int:
-        """Attempts that have not ended, those of answered requests included."""
+        """The number of attempts in flight, including those of answered requests."""
         return self._requests.in_flight_count
 
     @property
     def queued_count(self) -> int:
-        """Requests that wait for an engine."""
+        """The number of requests that wait for an engine."""
         return len(self.gateway.pending.queued)
 
     @property
@@ -110,23 +110,27 @@
         return self._engines.ids
 
     def new_request(self) -> int:
-        """Return the number of the next request; each is given once."""
+        """Return a request number that has not been used before."""
         number = self._next_request
         self._next_request += 1
         return number
 
     def take_unpersisted_changes(self) -> list[Change]:
-        """Return all changes of the learned state that have not been emitted, for the end of a run."""
+        """Return all changes of the learned state that no step has emitted, to be stored at shutdown."""
         return self._policy.take_unpersisted_changes()
 
     def step(self, now: float, inputs: list[Input]) -> list[Effect]:
-        """Take in all that happened up to `now`, in order.
+        """Process inputs and due timers.
 
-        Inputs come before timers, so that an answer counts that falls into one step with its timeout. A clock
-        that goes back counts as standing still.
+        Inputs are processed before timers, so that an answer that arrives in the same step as its timeout
+        still counts. If the clock goes backwards, the latest time seen so far is used instead.
+
+        Args:
+            now: The current time in seconds.
+            inputs: The inputs since the last step, in the order in which they occurred.
 
         Returns:
-            What to do, in order.
+            The effects to carry out, in order.
         """
         self._now = max(now, self._now)
         self._effects.clear()
@@ -154,7 +158,7 @@
         try:
             actions = self._policy.step(self._now, events)
         except Exception as error:
-            # Guards against a fault in the policy: every request gets an answer, and later ones are served.
+            # Contains a fault in the policy: pending requests are failed, later requests are served.
             self._restart_policy(error)
             return
         self._policy.validate_restored(events, self._requests)
@@ -163,7 +167,7 @@
         self._requests.release_answered()
 
     def _restart_policy(self, error: Exception) -> None:
-        """Fail all requests and go on with a new policy that takes over what was learned."""
+        """Fail all requests and continue with a new policy that inherits the learned state."""
         self._policy.record_fault(error)
         for request in list(self._requests):
             self._requests.answer(request, FailRequest(request.id, "internal fault of the gateway"))
--- a/saffronlane/dispatch/effects.py
+++ b/saffronlane/dispatch/effects.py
@@ -1,6 +1,6 @@
-"""What the dispatcher wants done. Each effect is carried out once, in order.
+"""The effects that the dispatcher emits. The executor carries out each of them once, in order.
 
-Times are seconds, memory is in MB.
+Times are in seconds, memory is in MB.
 """
 
 from __future__ import annotations
@@ -13,7 +13,18 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Run the request on an engine; the attempt ends by itself after `timeout` seconds."""
+    """Run the request on an engine. The attempt ends after `timeout` seconds at the latest.
+
+    Attributes:
+        request: The number of the request.
+        attempt: The number of the attempt within its request.
+        engine: The id of the engine.
+        timeout: The seconds after which the attempt times out.
+        grant_mb: The memory granted to the attempt, in MB, or 0 if the engine chooses.
+        priority: The priority at the engine, or None for no priority.
+        durability_timeout: The seconds that the attempt waits for this step's write-ahead `Persist` before it
+            is sent anyway, or 0 if it does not wait.
+    """
 
     request: int
     attempt: int
@@ -21,12 +32,12 @@
     timeout: float
     grant_mb: float = 0.0
     priority: int | None = None
-    durability_timeout: float = 0.0  # how long to wait for this step's write-ahead `Persist`; 0: not at all
+    durability_timeout: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Store changes of the learned state. With `is_write_ahead`, attempts of this step wait for them."""
+    """Store changes of the learned state. If `is_write_ahead` is set, attempts of this step wait for them."""
 
     changes: tuple[Change, ...]
     is_write_ahead: bool = False
@@ -34,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop an attempt at its engine. `AttemptDone` follows once the engine has acknowledged that."""
+    """Cancel an attempt at its engine. `AttemptDone` follows once the engine has acknowledged the cancel."""
 
     request: int
     attempt: int
@@ -42,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscardAttempt:
-    """Discard the result of an attempt that is given up but may not be cancelled."""
+    """Discard the result of an attempt that is no longer needed, because engines do not support cancels."""
 
     request: int
     attempt: int
@@ -50,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WithdrawAttempt:
-    """Do not send an attempt that has not been sent yet: its engine drains or is gone."""
+    """End an attempt that has not been sent yet, because its engine drains or is no longer listed."""
 
     request: int
     attempt: int
@@ -58,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Commit:
-    """Pass on the result of this attempt, and of no other."""
+    """Forward the result of this attempt to the client. No other attempt's result is forwarded."""
 
     request: int
     attempt: int
@@ -66,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompleteRequest:
-    """Final answer: the result of this attempt; with `is_query_fault`, the engine's error status."""
+    """Final answer: the result of this attempt, or the engine's error status if `is_query_fault` is set."""
 
     request: int
     attempt: int
@@ -75,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Final answer: not run, safe to retry after `retry_after` seconds."""
+    """Final answer: the request did not run, and can safely be retried after `retry_after` seconds."""
 
     request: int
     retry_after: float
@@ -84,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Final answer: failed; it may have run."""
+    """Final answer: the request failed, and may have run."""
 
     request: int
     reason: str
--- a/saffronlane/dispatch/engine_table.py
+++ b/saffronlane/dispatch/engine_table.py
@@ -1,4 +1,4 @@
-"""The engines that discovery lists at present."""
+"""The table of the engines that discovery currently lists."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class EngineTable:
-    """Endpoint entries by engine id, kept up to date by the updates of the endpoint list."""
+    """Entries of the endpoint list by engine id, kept current by endpoint list updates."""
 
     def __init__(self) -> None:
         self._entries: dict[bytes, api.EngineEntry] = {}
@@ -24,7 +24,10 @@
         return list(self._entries)
 
     def apply(self, update: api.EndpointListUpdate) -> None:
-        """Apply a full or partial list. Entries count in order, since an engine may be named twice."""
+        """Apply a full or partial endpoint list.
+
+        Entries are applied in order: of several entries for the same engine, the last one wins.
+        """
         if update.mode is not api.EndpointListMode.DELTA:
             self._entries.clear()
         for entry in update.entries:
@@ -35,11 +38,11 @@
         self._version = update.version
 
     def is_ready(self, engine: bytes) -> bool:
-        """Whether an engine is listed and takes new attempts."""
+        """Return whether an engine is listed and accepts new attempts."""
         entry = self._entries.get(engine)
         return entry is not None and entry.state is api.EngineState.READY
 
     def full_update(self) -> api.EndpointListUpdate:
-        """Return the whole table as an update, for a policy that starts from nothing."""
+        """Return the whole table as a full update, for a policy that knows no engines yet."""
         entries = tuple(self._entries.values())
         return api.EndpointListUpdate(api.EndpointListMode.FULL, self._version, entries)
--- a/saffronlane/dispatch/errors.py
+++ b/saffronlane/dispatch/errors.py
@@ -6,12 +6,12 @@
 
 
 class DuplicateRequestError(SaffronlaneError, ValueError):
-    """A request was submitted under a number that is in use."""
+    """A request was submitted with a number that is already in use."""
 
     remedy = "Take each request's number from `Dispatcher.new_request`."
 
 
 class RecordingError(SaffronlaneError):
-    """The file is no recording, or a step of it cannot be read; the text names the step."""
+    """A file is not a recording, or one of its steps cannot be read. The message names the step."""
 
-    remedy = "Replay a record that a gateway of this version wrote, or one that was not cut off."
+    remedy = "Replay a recording that is complete and was written by a gateway of this version."
--- a/saffronlane/dispatch/input_handler.py
+++ b/saffronlane/dispatch/input_handler.py
@@ -1,4 +1,4 @@
-"""Checks what happened against the table of requests, and turns it into events for the policy."""
+"""Checks inputs against the table of requests, and turns them into events for the policy."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 
 class InputHandler:
-    """Turns inputs into policy events; stale and duplicate ones end here.
+    """Turns inputs into policy events, and drops stale and duplicate inputs.
 
     Args:
-        intake: whether new requests are accepted.
-        requests: the table of requests and attempts.
-        engines: the listed engines.
-        policy: the policy with its learned state.
-        effects: receives effects that need no decision.
+        intake: The check that accepts or rejects new requests.
+        requests: The table of requests and attempts.
+        engines: The table of listed engines.
+        policy: The policy with its learned state.
+        effects: The list that receives effects which need no decision of the policy.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         self._effects = effects
 
     def handle(self, event: Input, now: float) -> list[api.Event]:
-        """Apply one input and return what the policy must know of it."""
+        """Apply one input and return the events that it causes for the policy."""
         match event:
             case Submit():
                 return self._on_submit(event, now)
@@ -124,25 +124,25 @@
     # --- attempts ---
 
     def _on_result_ready(self, event: ResultReady) -> list[api.Event]:
-        found = self._requests.find_in_flight(event.request, event.attempt)
-        if found is None:
+        in_flight = self._requests.find_in_flight(event.request, event.attempt)
+        if in_flight is None:
             return []
-        request, attempt = found
+        request, attempt = in_flight
         if attempt.is_cancelled or request.is_answered or request.committed_attempt is not None:
             return []
         self._requests.commit(request, attempt)
         return [api.StreamStarted(request.id, attempt.number, attempt.engine)]
 
     def _on_attempt_done(self, event: AttemptDone) -> list[api.Event]:
-        found = self._requests.find_in_flight(event.request, event.attempt)
-        if found is None:
+        in_flight = self._requests.find_in_flight(event.request, event.attempt)
+        if in_flight is None:
             return []
-        request, attempt = found
+        request, attempt = in_flight
         attempt.has_ended = True
         self._policy.record_attempt_end(request.idempotency_key, event.outcome in NEVER_RAN)
         was_answered = request.is_answered
         outcome = self._settle(request, attempt, event)
-        ended = api.AttemptEnded(
+        attempt_ended = api.AttemptEnded(
             request=request.id,
             attempt=attempt.number,
             engine=attempt.engine,
@@ -153,32 +153,36 @@
             memory_mb=event.memory_mb,
             load_report=event.load_report,
         )
-        return [ended]
+        return [attempt_ended]
 
     def _settle(self, request: Request, attempt: Attempt, event: AttemptDone) -> api.Outcome:
-        """Answer the request if an ended attempt does, and return the outcome that the policy sees."""
+        """Answer the request if the end of an attempt decides it.
+
+        Returns:
+            The outcome that is reported to the policy.
+        """
         if request.is_answered:
             self._requests.mark_releasable(request)
             return event.outcome
         if attempt.is_cancelled:
-            # Its result may not be used, but that it never ran still permits a retry.
+            # The result of a cancelled attempt is not used, but a proof that it never ran permits a retry.
             return event.outcome if event.outcome in NEVER_RAN else api.Outcome.CANCELLED
         if event.outcome is api.Outcome.OK:
             self._requests.answer(request, CompleteRequest(request.id, attempt.number))
             return event.outcome
         if event.is_query_fault:
-            # Every engine would give this error, so it is the answer. It says nothing of the engine's health
-            # or speed; CANCELLED is the outcome that the policy learns nothing from.
+            # Every engine would return this error, so it is the answer. It carries no information about the
+            # health or speed of the engine. The policy learns nothing from the outcome CANCELLED.
             answer = CompleteRequest(request.id, attempt.number, is_query_fault=True)
             self._requests.answer(request, answer)
             return api.Outcome.CANCELLED
         return event.outcome
 
     def _on_progress(self, event: AttemptProgress) -> list[api.Event]:
-        found = self._requests.find_in_flight(event.request, event.attempt)
-        if found is None:
+        in_flight = self._requests.find_in_flight(event.request, event.attempt)
+        if in_flight is None:
             return []
-        request, attempt = found
+        request, attempt = in_flight
         return [api.ProgressReport(request.id, attempt.number, attempt.engine, event.kind, event.amount)]
 
     # --- engines ---
@@ -190,7 +194,7 @@
         return [event]
 
     def _withdraw_attempts(self) -> None:
-        """Withdraw attempts at engines that drain or are gone; those that were sent are not affected."""
+        """Withdraw unsent attempts at engines that drain or are not listed. Sent attempts continue."""
         for request in self._requests:
             for attempt in request.in_flight:
                 if not self._engines.is_ready(attempt.engine):
--- a/saffronlane/dispatch/inputs.py
+++ b/saffronlane/dispatch/inputs.py
@@ -1,4 +1,4 @@
-"""What happens around the dispatcher. Times are seconds on one monotonic clock, memory is in MB."""
+"""The inputs of the dispatcher. Times are in seconds on one monotonic clock, memory is in MB."""
 
 from __future__ import annotations
 
@@ -10,7 +10,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Submit:
-    """A client's request; `request` comes from `Dispatcher.new_request`."""
+    """A client has submitted a request.
+
+    Attributes:
+        request: The number of the request, from `Dispatcher.new_request`.
+        class_index: The index of the query class in the settings.
+        timeout: The seconds until the deadline.
+        tenant: The index of the tenant in the settings.
+        ordering_key: Requests with the same key run in order; 0 means no ordering.
+        estimated_cost: The estimated cost of the request, or 0 if the client gave none.
+        estimated_memory_mb: The estimated memory of the request, or 0 if the client gave none.
+        table_group: The table group that the request reads, as a number, or 0 if it is not known.
+        is_retry: Whether the client has submitted the request before.
+        is_write: Whether the request writes to its tables.
+        idempotency_key: The key chosen by the client, or empty if there is none.
+    """
 
     request: int
     class_index: int
@@ -22,12 +36,12 @@
     table_group: float = 0.0
     is_retry: bool = False
     is_write: bool = False
-    idempotency_key: bytes = b""  # chosen by the client; empty: none
+    idempotency_key: bytes = b""
 
 
 @dataclass(frozen=True, slots=True)
 class ResultReady:
-    """An attempt has buffered as much as it may; nothing is passed on before a `Commit`."""
+    """An attempt has filled its result buffer. Nothing is forwarded to the client before a `Commit`."""
 
     request: int
     attempt: int
@@ -35,7 +49,18 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptDone:
-    """An attempt has ended. `is_query_fault` says that every engine would reject the query."""
+    """An attempt has ended.
+
+    Attributes:
+        request: The number of the request.
+        attempt: The number of the attempt within its request.
+        outcome: How the attempt ended.
+        elapsed: The seconds from the start of the attempt to its end.
+        work: The work that the engine reported, in thread-seconds, or 0 if it reported none.
+        memory_mb: The memory that the engine reported, or 0 if it reported none.
+        load_report: The engine's load report, or empty if the answer had none.
+        is_query_fault: Whether the query itself is invalid, so that every engine would reject it.
+    """
 
     request: int
     attempt: int
@@ -59,28 +84,32 @@
 
 @dataclass(frozen=True, slots=True)
 class PurgeLearnedState:
-    """An operator has asked to discard learned state of these categories."""
+    """An operator has requested that learned state of these categories be discarded."""
 
     categories: tuple[PurgeCategory, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class AttachLearnedState:
-    """The state directory, locked by another process at the start, is available with this content."""
+    """The state directory, which another process had locked at startup, is now available.
+
+    Attributes:
+        persisted_state: The content of the state directory.
+    """
 
     persisted_state: PersistedState
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client no longer waits for its answer."""
+    """The client has disconnected and no longer waits for its answer."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class BeginDrain:
-    """Reject new requests from now on; accepted ones have `grace_period` seconds to end."""
+    """Reject new requests from now on. Accepted requests have `grace_period` seconds to end."""
 
     grace_period: float
 
--- a/saffronlane/dispatch/intake.py
+++ b/saffronlane/dispatch/intake.py
@@ -1,4 +1,4 @@
-"""Whether new requests are accepted."""
+"""Admission of new requests into the gateway."""
 
 from __future__ import annotations
 
@@ -7,34 +7,36 @@
 
 
 class RequestIntake:
-    """Rejects new requests while the gateway drains or has too many.
+    """Rejects new requests while the gateway drains or has too many unanswered requests.
 
     Args:
-        limits: of the settings.
-        max_pending: requests without an answer at once; each further one is rejected.
+        limits: The limits in the settings.
+        max_pending: The largest number of unanswered requests; further ones are rejected.
     """
 
     def __init__(self, limits: api.Limits, max_pending: int) -> None:
         self._limits = limits
         self._max_pending = max_pending
-        self._drain_deadline: float | None = None  # set: no request is accepted any more
+        self._drain_deadline: float | None = None  # while set, all new requests are rejected
 
     def begin_drain(self, now: float, grace_period: float) -> None:
-        """Accept nothing from now on; accepted requests have `grace_period` seconds to end."""
+        """Reject all new requests from now on. Accepted requests have `grace_period` seconds to end."""
         if self._drain_deadline is None:
             self._drain_deadline = now + grace_period
 
     def finish_drain(self, now: float) -> None:
-        """End the grace period at once."""
+        """End the grace period immediately."""
         self._drain_deadline = min(now, self._drain_deadline or now)
 
     def rejection(self, request_id: int, pending_count: int, now: float) -> RejectRequest | None:
-        """Return the answer to a request that is not accepted, or None if it is.
+        """Return the rejection of a new request, or None if the request is accepted.
+
+        During a drain, clients are asked to retry after its end, when another process has taken over.
 
         Args:
-            request_id: the number of the new request.
-            pending_count: requests without an answer, the new one included.
-            now: seconds; a drain asks clients to retry after its end, when a successor takes over.
+            request_id: The number of the new request.
+            pending_count: The number of unanswered requests, including the new one.
+            now: The current time in seconds.
         """
         limits = self._limits
         if self._drain_deadline is not None:
--- a/saffronlane/dispatch/policy_host.py
+++ b/saffronlane/dispatch/policy_host.py
@@ -1,4 +1,4 @@
-"""Hosts the policy and its learned state, and restarts both after a fault."""
+"""Hosts the policy and its learned state, and restarts the policy after an internal error."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class PolicyHost:
-    """One policy instance with the checkpointer of what it learns.
+    """One policy instance with the checkpointer of its learned state.
 
     Args:
-        settings: as `policy.Gateway` takes them.
-        seed: of every random draw; a restarted policy takes the next one.
-        effects: receives log lines and changes to persist.
-        persisted_state: what an earlier run stored; None: nothing.
-        is_persistent: whether what is learned is to be stored.
+        settings: The settings that are passed on to `policy.Gateway`.
+        seed: The seed of every random draw. Each restarted policy uses the next higher seed.
+        effects: The list that receives log lines and changes to persist.
+        persisted_state: The learned state that an earlier run stored, or None if there is none.
+        is_persistent: Whether learned state is stored.
     """
 
     def __init__(
@@ -33,19 +33,22 @@
         self._settings = settings
         self._seed = seed
         self._effects = effects
-        self._has_engines = False  # the policy has been given a list with engines
-        self._write_ahead_keys: dict[bytes, None] = {}  # of entries that attempts of this step wait for
+        self._has_engines = False  # the policy has received a list with engines
+        self._write_ahead_keys: dict[bytes, None] = {}  # of the entries that attempts of this step wait for
         self.fault_count = 0
         self.gateway = Gateway(settings, seed)
         self.checkpointer = Checkpointer(settings, persisted_state, is_persistent)
         self.checkpointer.begin(self.gateway)
         self.first_changes = self.checkpointer.initial_changes(self.gateway) if is_persistent else []
 
-    # --- deciding ---
+    # --- decisions ---
 
     def step(self, now: float, events: list[api.Event]) -> list[api.Action]:
-        """Return the policy's decisions on events. The first list with engines restores learned state."""
-        entries = self._first_engines(events)
+        """Pass events to the policy and return its actions.
+
+        The first endpoint list with engines restores their learned state.
+        """
+        entries = self._first_endpoint_entries(events)
         if entries:
             self.checkpointer.before_endpoint_list(self.gateway, entries)
         actions = self.gateway.step(now, events)
@@ -55,8 +58,8 @@
             self._log(self.checkpointer.restored_description)
         return actions
 
-    def _first_engines(self, events: list[api.Event]) -> tuple[api.EngineEntry, ...]:
-        """Return the entries of the first list that has any; empty if that has come before."""
+    def _first_endpoint_entries(self, events: list[api.Event]) -> tuple[api.EngineEntry, ...]:
+        """Return the entries of the first non-empty endpoint list, or an empty tuple after that list."""
         if self._has_engines:
             return ()
         for event in events:
@@ -73,21 +76,21 @@
     # --- restart ---
 
     def restart(self, now: float, engines: EngineTable) -> list[api.Action]:
-        """Replace the policy by a new one that takes over what was learned.
+        """Replace the policy by a new one that inherits the learned state.
 
         Returns:
-            What the new policy decides on the present list of engines.
+            The actions of the new policy on the current list of engines.
         """
         try:
             return self._replace_policy(
                 now, engines, self.checkpointer.snapshot_for_restart(self.gateway, now)
             )
-        except Exception as error:  # the failed step may have left the learned state in any condition
+        except Exception as error:  # the failed step may have corrupted the learned state
             self._log(f"learned state discarded: {error!r}")
             return self._replace_policy(now, engines, None)
 
     def record_fault(self, error: Exception) -> None:
-        """Count a failed step, and forget which entries its attempts waited for."""
+        """Count a failed step, and clear the write-ahead keys of its attempts."""
         self.fault_count += 1
         self._write_ahead_keys.clear()
         self._log(f"policy restarted after an internal error: {error!r}")
@@ -112,7 +115,7 @@
     # --- learned state ---
 
     def validate_restored(self, events: list[api.Event], requests: RequestTable) -> None:
-        """Test restored estimates against the answers of this step, and against their absence."""
+        """Check restored estimates against the answers of this step, and drop those that stay unconfirmed."""
         for event in events:
             if isinstance(event, api.Arrival):
                 self.checkpointer.record_request(self.gateway, event.class_index)
@@ -131,7 +134,7 @@
             self._effects.append(api.Log(text))
 
     def previous_attempt(self, idempotency_key: bytes, now: float) -> api.PreviousAttempt | None:
-        """Return what is known of an earlier request with the same idempotency key."""
+        """Return the recorded attempt of an earlier request with the same idempotency key, or None."""
         if not idempotency_key:
             return None
         return self.checkpointer.ledger.previous_attempt(idempotency_key, now)
@@ -141,11 +144,11 @@
         if idempotency_key:
             self.checkpointer.ledger.record_attempt_end(idempotency_key, never_ran)
 
-    def write_ahead(self, request: Request, attempt: Attempt) -> float:
-        """Note which entries must be durable before an attempt starts.
+    def record_write_ahead(self, request: Request, attempt: Attempt) -> float:
+        """Record which entries must be durable before an attempt starts.
 
         Returns:
-            Seconds that the attempt may wait for them; 0 if there are none.
+            The seconds that the attempt may wait for these entries, or 0 if there are none.
         """
         keys = self.checkpointer.write_ahead_keys(
             self.gateway, request.id, attempt.number, request.idempotency_key
@@ -156,7 +159,7 @@
         return DURABILITY_TIMEOUT
 
     def persist_changes(self, now: float) -> None:
-        """Emit what this step's attempts wait for, ahead of them, and all other changes if it is time."""
+        """Emit write-ahead changes before this step's attempts, and the others if a checkpoint is due."""
         if self._write_ahead_keys:
             changes = self.checkpointer.write_ahead_changes(self.gateway, self._write_ahead_keys)
             self._write_ahead_keys.clear()
@@ -168,14 +171,14 @@
             self._effects.append(Persist(tuple(changes)))
 
     def take_unpersisted_changes(self) -> list[Change]:
-        """Return all changes of the learned state that have not been emitted."""
+        """Return all changes of the learned state that have not been emitted yet."""
         return self.checkpointer.changes(self.gateway)
 
     def attach(self, persisted_state: PersistedState) -> None:
-        """Begin to store learned state, beginning with all that was restored and learned so far."""
+        """Start storing learned state, beginning with everything restored and learned so far."""
         self.first_changes = self.checkpointer.attach(self.gateway, persisted_state)
         self._effects.append(Persist(tuple(self.first_changes)))
 
     def purge(self, categories: tuple[PurgeCategory, ...]) -> None:
-        """Discard what was learned of these categories, here and in the state directory."""
+        """Discard learned state of these categories, in memory and in the state directory."""
         self.checkpointer.purge(self.gateway, categories)
--- a/saffronlane/dispatch/recording.py
+++ b/saffronlane/dispatch/recording.py
@@ -1,8 +1,9 @@
-"""Recordings of a dispatcher: every input with its time, the effects it led to, and their replay.
+"""Recordings of a dispatcher: the time, inputs and effects of every step, and their replay.
 
-A recording is a sequence of MessagePack values, each behind its length in four bytes, big-endian. The first
-holds settings, seed, the limit on pending requests, the learned state read at the start (or nil) and, since
-version 0.3, the version of the form. Each later one is a step: time, inputs, described effects.
+A recording is a sequence of MessagePack values, each prefixed with its length in four bytes, big-endian. The
+first value holds the settings, the seed, the limit on pending requests, the learned state that was read at
+startup (or nil) and, since version 0.3, the version of the recording format. Each later value is one step:
+its time, inputs and effects. Effects are stored as text.
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
 
 
 class RecordingWriter:
-    """Writes one length-prefixed record a step. The first record holds settings and seed."""
+    """Writes one length-prefixed record per step, after a header record with settings and seed."""
 
     def __init__(
         self,
@@ -59,7 +60,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplayedStep:
-    """One step of a recording: the effects recorded and those that the present code has, as text."""
+    """One step of a recording with its recorded and its replayed effects.
+
+    Attributes:
+        time: The time of the step in seconds.
+        recorded: The effects in the recording, as text.
+        replayed: The effects that the current code produces, as text.
+    """
 
     time: float
     recorded: list[str]
@@ -67,55 +74,63 @@
 
     @property
     def is_equal(self) -> bool:
-        """Whether both did the same; log lines count by their presence, not by their text."""
+        """Whether the recorded and replayed effects are equal, ignoring the texts of log lines."""
         return without_log_texts(self.recorded) == without_log_texts(self.replayed)
 
 
 def _records(source: BinaryIO) -> Iterator[Any]:
     number = 0
-    while head := source.read(_LENGTH_BYTES):
-        length = int.from_bytes(head, "big")
+    while prefix := source.read(_LENGTH_BYTES):
+        length = int.from_bytes(prefix, "big")
         data = source.read(length)
-        if len(head) < _LENGTH_BYTES or len(data) < length:
-            return  # the process was killed while it wrote: the whole records before count
+        if len(prefix) < _LENGTH_BYTES or len(data) < length:
+            return  # the process was killed during this write; only complete records are replayed
         try:
             yield msgspec.msgpack.decode(data)
         except msgspec.DecodeError as error:
-            raise RecordingError(f"step {number} does not decode: {error}") from error
+            raise RecordingError(f"record {number}: invalid MessagePack: {error}") from error
         number += 1
 
 
 def replay(path: Path) -> Iterator[ReplayedStep]:
-    """Play a recording through a new dispatcher, step by step.
+    """Replay a recording through a new dispatcher, step by step.
 
     Raises:
-        RecordingError: the file is no recording, is of a newer version, or a step cannot be read.
-        OSError: the file cannot be read.
+        RecordingError: The file is not a recording, has a different version, or has an unreadable step.
+        OSError: The file cannot be read.
     """
     with path.open("rb") as source:
         records = _records(source)
         dispatcher = _recorded_dispatcher(path, next(records, None))
-        for number, (now, plain, recorded) in enumerate(records):
+        for number, (now, encoded_inputs, recorded) in enumerate(records):
             try:
-                inputs = [decode_input(name, fields) for name, fields in plain]
+                inputs = [decode_input(name, fields) for name, fields in encoded_inputs]
             except (KeyError, msgspec.ValidationError) as error:
-                raise RecordingError(f"step {number} has an input that is not known: {error}") from error
+                raise RecordingError(f"step {number}: unknown or invalid input: {error}") from error
             yield ReplayedStep(now, recorded, [describe(e) for e in dispatcher.step(now, inputs)])
 
 
 def _recorded_dispatcher(path: Path, header: Any) -> Dispatcher:
-    """Build the dispatcher that a recording's first record describes."""
+    """Build the dispatcher from a recording's header record."""
     try:
-        plain, seed, max_pending, *optional = header
-        memory = decode(optional[0], PersistedState) if optional and optional[0] is not None else None
-        settings = decode(plain, api.Settings)
+        encoded_settings, seed, max_pending, *optional_fields = header
+        persisted_state = (
+            decode(optional_fields[0], PersistedState)
+            if optional_fields and optional_fields[0] is not None
+            else None
+        )
+        settings = decode(encoded_settings, api.Settings)
     except (ValueError, TypeError, msgspec.ValidationError) as error:
-        raise RecordingError(f"{path} has no settings at its start: {error}") from error
-    version = optional[1] if len(optional) > 1 else RECORDING_VERSION
+        raise RecordingError(f"{path}: no settings in the first record: {error}") from error
+    version = optional_fields[1] if len(optional_fields) > 1 else RECORDING_VERSION
     if version != RECORDING_VERSION:
         raise RecordingError(
-            f"{path} is a recording of version {version}; this program reads {RECORDING_VERSION}"
+            f"{path}: recording of version {version}; this program reads version {RECORDING_VERSION} only"
         )
     return Dispatcher(
-        settings, seed, max_pending=max_pending, persisted_state=memory, is_persistent=memory is not None
+        settings,
+        seed,
+        max_pending=max_pending,
+        persisted_state=persisted_state,
+        is_persistent=persisted_state is not None,
     )
--- a/saffronlane/dispatch/recording_forms.py
+++ b/saffronlane/dispatch/recording_forms.py
@@ -1,8 +1,9 @@
-"""Names under which a recording keeps settings, inputs and effects.
+"""The names under which a recording stores settings, inputs and effects.
 
-They are constants apart from the names in the code: a renamed class or field does not change what is stored.
-Each form lists the names of a class's fields in the order of the class. A field that is added at the end of a
-class needs a name here; one that is added elsewhere, or removed, needs a new version of the recording.
+They are independent of the names in the code, so that renaming a class or field does not change the stored
+data. Each form lists the stored names of a class's fields in the order of the class. A field that is added at
+the end of a class needs a name here. A field that is added elsewhere, or removed, needs a new version of the
+recording format.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class RecordForm(NamedTuple):
-    """The name of a class on disk, and those of its fields in order."""
+    """The stored name of a class, and the stored names of its fields in order."""
 
     name: str
     fields: tuple[str, ...]
--- a/saffronlane/dispatch/recording_schema.py
+++ b/saffronlane/dispatch/recording_schema.py
@@ -1,4 +1,4 @@
-"""Settings, inputs and effects as the plain values and texts that a recording holds."""
+"""Conversion of settings, inputs and effects to and from the values and texts in a recording."""
 
 from __future__ import annotations
 
@@ -19,22 +19,34 @@
 ValueT = TypeVar("ValueT")
 
 
-def _names_in_code(kind: Any) -> tuple[str, ...]:
-    """Return the names of a class's fields, in order. TypeError if its form has another number of them."""
-    names = getattr(kind, "_fields", None) or tuple(field.name for field in dataclasses.fields(kind))
-    if len(names) != len(FORMS[kind].fields):
-        raise TypeError(f"the record form of {kind.__name__} has {len(FORMS[kind].fields)} names for {names}")
+def _code_field_names(record_type: Any) -> tuple[str, ...]:
+    """Return the names of a class's fields, in order.
+
+    Raises:
+        TypeError: The form of the class has a different number of fields.
+    """
+    names = getattr(record_type, "_fields", None) or tuple(
+        field.name for field in dataclasses.fields(record_type)
+    )
+    if len(names) != len(FORMS[record_type].fields):
+        raise TypeError(
+            f"{record_type.__name__}: {len(FORMS[record_type].fields)} stored names for the fields {names}"
+        )
     return tuple(names)
 
 
-_FIELD_NAMES: dict[type, tuple[str, ...]] = {kind: _names_in_code(kind) for kind in FORMS}
-_TYPE_HINTS: dict[type, dict[str, Any]] = {kind: typing.get_type_hints(kind) for kind in FORMS}
+_CODE_FIELD_NAMES: dict[type, tuple[str, ...]] = {
+    record_type: _code_field_names(record_type) for record_type in FORMS
+}
+_TYPE_HINTS: dict[type, dict[str, Any]] = {
+    record_type: typing.get_type_hints(record_type) for record_type in FORMS
+}
 
 
 def encode(value: object) -> object:
-    """Return settings, an input or a part of one as plain values under the names of the disk."""
+    """Return settings, an input or a part of one as plain values with the stored names."""
     if type(value) in FORMS:
-        values = [encode(getattr(value, name)) for name in _FIELD_NAMES[type(value)]]
+        values = [encode(getattr(value, name)) for name in _CODE_FIELD_NAMES[type(value)]]
         if isinstance(value, tuple):
             return values
         return dict(zip(FORMS[type(value)].fields, values, strict=True))
@@ -44,30 +56,34 @@
 
 
 def encode_input(value: inputs.Input) -> list[object]:
-    """Return an input with the name of its kind."""
+    """Return the stored name of an input's type, and its encoded fields."""
     return [FORMS[type(value)].name, encode(value)]
 
 
-def decode(plain: object, kind: type[ValueT]) -> ValueT:
-    """Read what `encode` wrote. Raises `msgspec.ValidationError` where it does not fit the type."""
-    return msgspec.convert(_renamed(plain, kind), kind)
+def decode(encoded: object, record_type: type[ValueT]) -> ValueT:
+    """Decode a value that `encode` returned.
+
+    Raises:
+        msgspec.ValidationError: The value does not fit the type.
+    """
+    return msgspec.convert(_with_code_names(encoded, record_type), record_type)
 
 
-def decode_input(name: str, plain: object) -> inputs.Input:
-    """Read an input by the name of its kind.
+def decode_input(name: str, encoded: object) -> inputs.Input:
+    """Decode an input by the stored name of its type.
 
     Raises:
-        KeyError: the kind is not known.
-        msgspec.ValidationError: a field is missing or of another type.
+        KeyError: No input type has this name.
+        msgspec.ValidationError: A field is missing or has the wrong type.
     """
-    return typing.cast(inputs.Input, decode(plain, INPUT_BY_NAME[name]))
+    return typing.cast(inputs.Input, decode(encoded, INPUT_BY_NAME[name]))
 
 
 def describe(effect: object) -> str:
-    """Return an effect as text with the names of the disk; equal effects read alike."""
+    """Return an effect as text with the stored names. Equal effects give equal texts."""
     if type(effect) in FORMS:
         form = FORMS[type(effect)]
-        values = [describe(getattr(effect, name)) for name in _FIELD_NAMES[type(effect)]]
+        values = [describe(getattr(effect, name)) for name in _CODE_FIELD_NAMES[type(effect)]]
         pairs = zip(form.fields, values, strict=True)
         return f"{form.name}({', '.join(f'{name}={value}' for name, value in pairs)})"
     if isinstance(effect, tuple):
@@ -76,36 +92,38 @@
 
 
 def without_log_texts(effects: Iterable[str]) -> list[str]:
-    """Reduce described log lines to their presence: their wording is no part of what a dispatcher does."""
+    """Replace each described log line by its type name, since the wording of log lines may change."""
     log = FORMS[api.Log].name
     return [log if effect.startswith(f"{log}(") else effect for effect in effects]
 
 
-def _renamed(plain: Any, annotation: Any) -> Any:
-    """Replace the names of the disk by those of the code, as deep as the type reaches."""
-    if plain is None:
+def _with_code_names(encoded: Any, annotation: Any) -> Any:
+    """Replace the stored names by the names in the code, recursively through the type."""
+    if encoded is None:
         return None
     if annotation in FORMS:
-        return _renamed_fields(plain, annotation)
+        return _fields_with_code_names(encoded, annotation)
     arguments = [a for a in typing.get_args(annotation) if a not in (type(None), Ellipsis)]
     origin = typing.get_origin(annotation)
-    if origin is tuple and isinstance(plain, list):
-        repeated = len(arguments) == 1
-        return [_renamed(part, arguments[0 if repeated else n]) for n, part in enumerate(plain)]
+    if origin is tuple and isinstance(encoded, list):
+        is_homogeneous = len(arguments) == 1
+        return [
+            _with_code_names(part, arguments[0 if is_homogeneous else n]) for n, part in enumerate(encoded)
+        ]
     if origin in (typing.Union, types.UnionType):
-        return _renamed(plain, arguments[0])
-    return plain
-
-
-def _renamed_fields(plain: Any, kind: type) -> Any:
-    hints, names = _TYPE_HINTS[kind], _FIELD_NAMES[kind]
-    if isinstance(plain, list):
-        return [_renamed(part, hints[name]) for name, part in zip(names, plain, strict=False)]
-    if not isinstance(plain, dict):
-        return plain
-    code_names: dict[str, str] = dict(zip(FORMS[kind].fields, names, strict=True))
-    renamed: dict[str, Any] = {}
-    for name, part in plain.items():
+        return _with_code_names(encoded, arguments[0])
+    return encoded
+
+
+def _fields_with_code_names(encoded: Any, record_type: type) -> Any:
+    hints, names = _TYPE_HINTS[record_type], _CODE_FIELD_NAMES[record_type]
+    if isinstance(encoded, list):
+        return [_with_code_names(part, hints[name]) for name, part in zip(names, encoded, strict=False)]
+    if not isinstance(encoded, dict):
+        return encoded
+    code_names: dict[str, str] = dict(zip(FORMS[record_type].fields, names, strict=True))
+    fields_by_code_name: dict[str, Any] = {}
+    for name, part in encoded.items():
         code_name = str(code_names.get(name, name))
-        renamed[code_name] = _renamed(part, hints.get(code_name))
-    return renamed
+        fields_by_code_name[code_name] = _with_code_names(part, hints.get(code_name))
+    return fields_by_code_name
--- a/saffronlane/dispatch/requests.py
+++ b/saffronlane/dispatch/requests.py
@@ -1,4 +1,4 @@
-"""The table of requests and their attempts: one final answer for each request."""
+"""The table of requests and their attempts. It emits exactly one final answer per request."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One request, until it is answered and all its attempts have ended."""
+    """One request. It is in the table until it is answered and all its attempts have ended."""
 
     id: int
     class_index: int = 0
@@ -56,7 +56,7 @@
         return attempt
 
     def take_grant(self) -> ResourceGrant:
-        """Return the grant of the next attempt; it holds for that one only."""
+        """Return the grant of the next attempt, and reset it, since a grant is valid for one attempt only."""
         grant = self.next_grant
         self.next_grant = NO_GRANT
         return grant
@@ -73,15 +73,15 @@
     """All requests that are unanswered or have attempts in flight.
 
     Args:
-        effects: receives answers, cancellations and withdrawals.
-        can_cancel: whether engines may be asked to stop an attempt; otherwise its result is discarded.
+        effects: The list that receives answers, commits and cancels.
+        can_cancel: Whether engines support cancels. If not, the result of a cancelled attempt is discarded.
     """
 
     def __init__(self, effects: list[Effect], can_cancel: bool) -> None:
         self._effects = effects
         self._can_cancel = can_cancel
         self._requests: dict[int, Request] = {}
-        self._releasable: set[int] = set()  # answered ones whose attempts are still to be cancelled
+        self._releasable: set[int] = set()  # answered requests to be checked by `release_answered`
         self.pending_count = 0  # requests without a final answer
 
     def __len__(self) -> int:
@@ -92,14 +92,14 @@
 
     @property
     def in_flight_count(self) -> int:
-        """Attempts that have not ended, those of answered requests included."""
+        """The number of attempts in flight, including those of answered requests."""
         return sum(len(request.in_flight) for request in self._requests.values())
 
     def add(self, request: Request) -> None:
-        """Add a request that is to be answered.
+        """Add an unanswered request.
 
         Raises:
-            DuplicateRequestError: its number is in the table.
+            DuplicateRequestError: A request with this number is in the table.
         """
         if request.id in self._requests:
             raise DuplicateRequestError(f"request {request.id} was submitted before")
@@ -110,11 +110,11 @@
         return self._requests[request_id]
 
     def get(self, request_id: int) -> Request | None:
-        """Return a request, or None if it is over."""
+        """Return a request, or None if it has ended."""
         return self._requests.get(request_id)
 
     def find_in_flight(self, request_id: int, attempt_number: int) -> AttemptInFlight | None:
-        """Return an attempt with its request, or None if it has ended."""
+        """Return an attempt with its request, or None if the attempt is unknown or has ended."""
         request = self._requests.get(request_id)
         if request is None or not 0 <= attempt_number < len(request.attempts):
             return None
@@ -122,9 +122,13 @@
         return None if attempt.has_ended else AttemptInFlight(request, attempt)
 
     def answer(self, request: Request, answer: Effect | None) -> None:
-        """Give a request its final answer, unless it has one.
+        """Emit the final answer of a request, unless it has been answered.
 
-        Every final answer is emitted here. None: the client has disconnected and gets no answer.
+        All final answers are emitted here.
+
+        Args:
+            request: The request.
+            answer: The final answer, or None if the client has disconnected and gets no answer.
         """
         if request.is_answered:
             return
@@ -135,7 +139,7 @@
             self._effects.append(answer)
 
     def commit(self, request: Request, attempt: Attempt) -> None:
-        """Pass on the result of an attempt, and cancel all other attempts of its request."""
+        """Commit a request to the result of one attempt, and cancel its other attempts."""
         request.committed_attempt = attempt.number
         self._effects.append(Commit(request.id, attempt.number))
         for other in request.in_flight:
@@ -143,7 +147,7 @@
                 self.cancel(request, other)
 
     def cancel(self, request: Request, attempt: Attempt) -> None:
-        """Give an attempt up: no result of it counts from now on."""
+        """Cancel an attempt, or discard it if engines do not support cancels. Its result is not used."""
         if attempt.has_ended or attempt.is_cancelled:
             return
         attempt.is_cancelled = True
@@ -151,11 +155,11 @@
         self._effects.append(effect_type(request.id, attempt.number))
 
     def mark_releasable(self, request: Request) -> None:
-        """Have `release_answered` look at an answered request at the end of this step."""
+        """Have `release_answered` check an answered request at the end of this step."""
         self._releasable.add(request.id)
 
     def release(self, request: Request) -> None:
-        """Cancel what an answered request has in flight, and remove it once nothing is."""
+        """Cancel the attempts in flight of an answered request, and remove it if none are in flight."""
         for attempt in request.in_flight:
             self.cancel(request, attempt)
         if not request.in_flight:
@@ -163,7 +167,7 @@
             self._releasable.discard(request.id)
 
     def release_answered(self) -> None:
-        """Release the requests that were answered, or lost an attempt after that, in this step."""
+        """Release the requests that were answered in this step, and answered ones whose attempts ended."""
         for request_id in sorted(self._releasable):
             self.release(self._requests[request_id])
         self._releasable.clear()
--- a/saffronlane/engines/__init__.py
+++ b/saffronlane/engines/__init__.py
@@ -1,7 +1,7 @@
-"""Runs attempts at engines and classifies how each ended; decides nothing.
+"""Runs attempts at engines and classifies how each of them ended. All decisions are made by the dispatcher.
 
-`executor.py` works with any transport. `flight.py`, the one for Flight SQL, is not imported here, so that a
-program with another transport loads neither gRPC nor protobuf.
+`executor.py` works with any transport. `flight.py`, the transport for Flight SQL, is not imported here, so
+that a program with another transport loads neither gRPC nor protobuf.
 """
 
 from .executor import Executor
--- a/saffronlane/engines/effect_runner.py
+++ b/saffronlane/engines/effect_runner.py
@@ -1,4 +1,4 @@
-"""Carries out the dispatcher's effects by a transport."""
+"""Carries out the dispatcher's effects through a transport."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
     """Applies effects to the requests of a ledger.
 
     Args:
-        dispatcher: whose effects these are.
-        transport: runs attempts and answers clients.
-        requests: the requests that are not over.
-        feed: takes inputs of the dispatcher.
-        send_gossip: carries a message to a peer gateway, or to all.
-        persist: stores changes of the learned state; a write ahead returns a future that tells whether it is
-            durable.
+        dispatcher: The dispatcher that emits the effects.
+        transport: The transport that runs attempts and answers clients.
+        requests: The requests that have not ended.
+        feed: A function that queues an input for the dispatcher.
+        send_gossip: A function that sends a message to one peer gateway, or to all if the peer is None.
+        persist: A function that stores changes of the learned state. For a write-ahead it returns a future,
+            which resolves to whether the changes are durable.
     """
 
     def __init__(
@@ -53,11 +53,11 @@
         self._feed = feed
         self._send_gossip = send_gossip
         self._persist_changes = persist
-        self._write_ahead: asyncio.Future[bool] | None = None  # of this step
+        self._write_ahead: asyncio.Future[bool] | None = None  # the write-ahead of this step
         self._loop = asyncio.get_running_loop()
 
     def run(self, effects: Iterable[dispatch.Effect]) -> None:
-        """Carry out the effects of one step; one that fails affects no other."""
+        """Carry out the effects of one step. An effect that fails does not stop the others."""
         self._write_ahead = None
         for effect in effects:
             try:
@@ -99,7 +99,7 @@
 
     def _start_attempt(self, effect: dispatch.StartAttempt) -> None:
         request = self._requests.get(effect.request)
-        if request is None:  # its client disconnected in this very turn of the loop
+        if request is None:  # the client disconnected in the same turn of the event loop
             self._report_not_sent(effect)
             return
         attempt = self._transport.create_attempt(request, effect, self._loop.time())
@@ -112,7 +112,7 @@
         self._feed(dispatch.AttemptDone(effect.request, effect.attempt, api.Outcome.NOT_SENT, elapsed=0.0))
 
     def _find(self, effect: _AttemptEffect) -> Attempt | None:
-        return self._requests.attempt(effect.request, effect.attempt)
+        return self._requests.get_attempt(effect.request, effect.attempt)
 
     def _update_attempt(
         self,
@@ -134,35 +134,35 @@
     # --- answers ---
 
     def _complete(self, effect: dispatch.CompleteRequest) -> None:
-        request = self._requests.unanswered(effect.request)
+        request = self._requests.get_unanswered(effect.request)
         attempt = self._find(effect)
         if request is not None and attempt is not None:
-            self._requests.close_request(request)
+            self._requests.mark_answered(request)
             self._transport.complete(request, attempt, effect.is_query_fault)
-            self._requests.remove_if_over(request)
+            self._requests.remove_if_ended(request)
 
     def _reject(self, effect: dispatch.RejectRequest) -> None:
-        request = self._requests.unanswered(effect.request)
+        request = self._requests.get_unanswered(effect.request)
         if request is not None:
-            self._requests.close_request(request)
+            self._requests.mark_answered(request)
             self._transport.reject(request, effect.retry_after, effect.reason)
-            self._requests.remove_if_over(request)
+            self._requests.remove_if_ended(request)
 
     def _fail(self, effect: dispatch.FailRequest) -> None:
-        request = self._requests.unanswered(effect.request)
+        request = self._requests.get_unanswered(effect.request)
         if request is not None:
-            self._requests.close_request(request)
+            self._requests.mark_answered(request)
             self._transport.fail(request, effect.reason)
-            self._requests.remove_if_over(request)
+            self._requests.remove_if_ended(request)
 
-    # --- all else ---
+    # --- persistence, gossip and logs ---
 
     def _persist(self, effect: dispatch.Persist) -> None:
         if self._persist_changes is None:
             return
-        durable = self._persist_changes(effect.changes, effect.is_write_ahead)
+        future = self._persist_changes(effect.changes, effect.is_write_ahead)
         if effect.is_write_ahead:
-            self._write_ahead = durable
+            self._write_ahead = future
 
     def _gossip(self, effect: api.SendGossip) -> None:
         if self._send_gossip is not None:
@@ -170,6 +170,6 @@
 
     def _log(self, effect: api.Log) -> None:
         text = effect.text
-        for engine in self._dispatcher.engines:  # the policy names engines by the hex of their ids
+        for engine in self._dispatcher.engines:  # the policy's texts hold engine ids in hexadecimal
             text = text.replace(engine.hex(), engine.decode("utf-8", "replace"))
         log.info("decision", text=text)
--- a/saffronlane/engines/errors.py
+++ b/saffronlane/engines/errors.py
@@ -6,8 +6,6 @@
 
 
 class ConnectFailed(SaffronlaneError):
-    """No connection came up in time: nothing was sent."""
+    """No connection to the engine was established in time, so nothing was sent."""
 
-    remedy = (
-        "See whether the engine runs and listens where the engine list says; attempts go elsewhere meanwhile."
-    )
+    remedy = "Check that the engine listens at its listed address; meanwhile, attempts go to other engines."
--- a/saffronlane/engines/executor.py
+++ b/saffronlane/engines/executor.py
@@ -1,8 +1,8 @@
-"""Steps a dispatcher on an event loop, and runs its requests by a transport.
+"""Drives a dispatcher on an event loop, and runs its requests through a transport.
 
-What happens within one turn of the loop reaches the dispatcher as one step, so that queries that arrive
-together compete by deadline. How an attempt runs at an engine, and how an answer reaches a client, is up to
-the transport: `flight.py` here, `platform/upstream/`.
+All inputs of one turn of the loop are passed to the dispatcher in one step, so that queries that arrive
+together compete by deadline. The transport defines how an attempt runs at an engine and how an answer reaches
+a client. There are two transports: `flight.py` and `platform/upstream/`.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 
 
 class Executor:
-    """Runs requests through a dispatcher on engines.
+    """Runs requests on engines as the dispatcher decides.
 
     Args:
-        dispatcher: decides; this object alone steps it.
-        transport: runs attempts and answers clients.
-        send_gossip: carries a message to a peer gateway, or to all.
-        persist: stores changes of the learned state; a write ahead returns a future that tells whether it is
-            durable.
+        dispatcher: The dispatcher. Only this executor calls its `step`.
+        transport: The transport that runs attempts and answers clients.
+        send_gossip: A function that sends a message to one peer gateway, or to all if the peer is None.
+        persist: A function that stores changes of the learned state. For a write-ahead it returns a future,
+            which resolves to whether the changes are durable.
     """
 
     def __init__(
@@ -44,50 +44,56 @@
     ) -> None:
         self.dispatcher = dispatcher
         self.transport = transport
-        self.non_durable_count = 0  # attempts that started before their write ahead was durable
+        self.non_durable_count = 0  # attempts sent before their write-ahead was durable
         self._loop = asyncio.get_running_loop()
         self._inputs: list[dispatch.Input] = []
         self._scheduled_step: asyncio.Handle | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._timer_deadline = math.inf
         self._requests = RequestLedger()
-        self._effects = EffectRunner(dispatcher, transport, self._requests, self.feed, send_gossip, persist)
+        self._effect_runner = EffectRunner(
+            dispatcher, transport, self._requests, self.feed, send_gossip, persist
+        )
         transport.bind(self)
 
     # --- requests ---
 
     def submit(
-        self, work: Any, sink: Any, make_input: Callable[[int], dispatch.Submit], idempotency_key: str = ""
+        self,
+        statement: Any,
+        sink: Any,
+        make_input: Callable[[int], dispatch.Submit],
+        idempotency_key: str = "",
     ) -> int:
         """Accept a request and return its number.
 
         Args:
-            work: what the transport runs.
-            sink: where the transport's answer goes.
-            make_input: builds the dispatcher's input from the request's number.
-            idempotency_key: the key that engines are given; empty: none.
+            statement: The statement that the transport runs.
+            sink: The object that receives the answer from the transport.
+            make_input: A function that builds the dispatcher's input from the number of the request.
+            idempotency_key: The key that is sent to engines, or empty if there is none.
         """
         number = self.dispatcher.new_request()
-        self._requests.open(number, work, sink, idempotency_key)
+        self._requests.add(number, statement, sink, idempotency_key)
         self.feed(make_input(number))
         return number
 
-    def open_request(self, number: int) -> Request | None:
-        """Return a request that has no answer yet, or None."""
-        return self._requests.unanswered(number)
+    def unanswered_request(self, number: int) -> Request | None:
+        """Return a request, or None if it has been answered or is unknown."""
+        return self._requests.get_unanswered(number)
 
     def disconnect_client(self, number: int) -> None:
-        """Give up a request whose client no longer waits for the answer."""
-        request = self._requests.unanswered(number)
+        """Abandon a request whose client no longer waits for the answer."""
+        request = self._requests.get_unanswered(number)
         if request is not None:
-            self._requests.close_request(request)
+            self._requests.mark_answered(request)
             self.feed(dispatch.ClientDisconnected(number))
-            self._requests.remove_if_over(request)
+            self._requests.remove_if_ended(request)
 
-    # --- stepping ---
+    # --- steps of the dispatcher ---
 
     def feed(self, event: dispatch.Input) -> None:
-        """Queue an input; the dispatcher is stepped in the next turn of the loop."""
+        """Queue an input. The dispatcher processes it in the next turn of the event loop."""
         self._inputs.append(event)
         self._schedule_step()
 
@@ -100,8 +106,8 @@
         inputs = self._inputs
         self._inputs = []
         try:
-            self._effects.run(self.dispatcher.step(self._loop.time(), inputs))
-        finally:  # a step that fails must not stop the timers
+            self._effect_runner.run(self.dispatcher.step(self._loop.time(), inputs))
+        finally:  # a failed step must not stop the timers
             self._set_timer()
 
     def _set_timer(self) -> None:
@@ -119,7 +125,7 @@
         self._timer = None
         self._schedule_step()
 
-    # --- the transport's side ---
+    # --- reports of the transport ---
 
     def finish_attempt(
         self,
@@ -131,16 +137,16 @@
         load_report: tuple[float, ...] = (),
         is_query_fault: bool = False,
     ) -> None:
-        """Report the end of an attempt; only the first report counts.
+        """Report the end of an attempt. Reports after the first are ignored.
 
         Args:
-            attempt: the attempt.
-            outcome: how it ended.
-            elapsed: seconds from its start to its end.
-            work: seconds of work that the engine reported; 0: none reported.
-            memory_mb: memory that the engine reported; 0: none reported.
-            load_report: the engine's load report, if it came with the result.
-            is_query_fault: whether the query itself is wrong, on whatever engine.
+            attempt: The attempt that has ended.
+            outcome: How the attempt ended.
+            elapsed: The seconds from the start of the attempt to its end.
+            work: The work that the engine reported, in thread-seconds, or 0 if it reported none.
+            memory_mb: The memory that the engine reported, in MB, or 0 if it reported none.
+            load_report: The engine's load report, or empty if the answer had none.
+            is_query_fault: Whether the query itself is invalid, so that every engine would reject it.
         """
         if attempt.has_ended:
             return
@@ -159,7 +165,7 @@
                 request_id, attempt.number, outcome, elapsed, work, memory_mb, load_report, is_query_fault
             )
         )
-        # The dispatcher answers in this turn's step; what the attempt holds must live until then.
+        # The scheduled step may answer with the attempt's result, so the attempt is released after that step.
         self._loop.call_soon(self._release_attempt, attempt)
 
     def _release_attempt(self, attempt: Attempt) -> None:
@@ -184,7 +190,7 @@
             await asyncio.sleep(IDLE_POLL_INTERVAL)
 
     def close(self) -> None:
-        """Stop at once, without waiting for attempts."""
+        """Stop immediately, without waiting for attempts."""
         if self._timer is not None:
             self._timer.cancel()
         self.transport.close()
--- a/saffronlane/engines/flight.py
+++ b/saffronlane/engines/flight.py
@@ -1,6 +1,7 @@
-"""The transport by Flight SQL: pooled channels to engines, results that flow batch by batch, gRPC answers.
+"""The transport for Flight SQL: pooled channels to engines, streamed results, and gRPC answers to clients.
 
-Results are held back until the dispatcher allows them to leave; then they flow as fast as the client reads.
+A result is buffered until the dispatcher commits the request to its attempt. From then on it is streamed as
+fast as the client reads.
 """
 
 from __future__ import annotations
@@ -32,388 +33,482 @@
 from .transport import Attempt, Request
 
 log = structlog.get_logger()
-MOST_ERROR = 300  # characters of an engine's words in our own answer
+MAX_ERROR_CHARACTERS = 300  # longer error messages of engines are truncated in answers to clients
 Headers = tuple[tuple[str, str | bytes], ...]
 
 
 @dataclass(frozen=True, slots=True)
-class ExecutorLimits:
-    """Bytes and seconds."""
+class FlightTransportLimits:
+    """The limits of the transport.
+
+    Attributes:
+        max_buffered_bytes: The size up to which a result is buffered before its attempt must be committed.
+        cancel_ack_timeout: The seconds to wait for the engine to acknowledge a cancel.
+        pool: The limits of the connections to each engine.
+        http: The limits of each HTTP/2 connection, or None for the defaults.
+    """
 
-    hold_back: int = 262_144  # of a result, until it is passed on for good
-    cancel_wait: float = 1.0  # for the engine's sign that it has taken a cancel in
+    max_buffered_bytes: int = 262_144
+    cancel_ack_timeout: float = 1.0
     pool: PoolLimits = field(default_factory=PoolLimits)
     http: ConnectionLimits | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
-    """A statement as an attempt runs it: a query by GetFlightInfo and DoGet, an update by DoPut.
-
-    A `prepared` one is prepared at the engine first, and its `batches` (FlightData messages) are bound there.
+class FlightStatement:
+    """A statement to run: a query by GetFlightInfo and DoGet, or an update by DoPut.
+
+    Attributes:
+        query: The text of the statement.
+        is_update: Whether the statement is an update.
+        parameter_batches: FlightData messages with the parameters of the statement.
+        is_prepared: Whether the statement is prepared at the engine before its parameters are bound.
+        headers: gRPC headers that are sent along with every call.
     """
 
     query: str
-    update: bool = False
-    batches: tuple[bytes, ...] = ()
-    prepared: bool = False
+    is_update: bool = False
+    parameter_batches: tuple[bytes, ...] = ()
+    is_prepared: bool = False
     headers: Headers = ()
 
 
 class Sink(Protocol):
-    """Where an answer goes; the front makes one for each request."""
+    """Receives the answer of one request. The Flight SQL front end creates one for each request."""
 
     async def write(self, message: bytes) -> None:
-        """Pass a part of the result on; waits while the client does not read."""
+        """Send a part of the result. Waits while the client does not read."""
 
-    def write_now(self, message: bytes) -> None: ...
+    def write_now(self, message: bytes) -> None:
+        """Send a part of the result without waiting for the client."""
+        ...
 
     def end(self, status: Status) -> None:
-        """The final answer. Called once."""
+        """Send the final status. Called once."""
 
-    def note(self, kind: api.ProgressKind, amount: float) -> None: ...
+    def on_progress(self, kind: api.ProgressKind, amount: float) -> None:
+        """Handle a progress report of the engine."""
+        ...
 
 
 @dataclass(slots=True, eq=False)
-class _Running(Attempt):
-    """One attempt under way."""
+class _FlightAttempt(Attempt):
+    """One attempt of this transport.
+
+    Attributes:
+        task: The task that runs the attempt.
+        call: The latest call to the engine.
+        channel: The channel of that call.
+        was_sent: Whether a call of the attempt has been handed to a connection.
+        earlier_call_processed: Whether the engine has answered an earlier call of the attempt.
+        committed: Set once the request is committed to the result of the attempt.
+        is_streaming: Whether the result is no longer buffered.
+        is_cancelled: Whether the attempt has been cancelled, withdrawn or discarded.
+        buffer: The messages of the result that have not been forwarded.
+        buffered_bytes: The size of the messages that have been buffered.
+        status: The status of the call that ended last.
+    """
 
     task: asyncio.Task[None] | None = None
     call: ClientCall | None = None
     channel: Channel | None = None
-    left: bool = False  # something of it has been handed to a connection
-    heard: bool = False  # the engine has answered an earlier call of it
+    was_sent: bool = False
+    earlier_call_processed: bool = False
     committed: asyncio.Event = field(default_factory=asyncio.Event)
-    passing: bool = False
-    cancelled: bool = False
-    held: deque[bytes] = field(default_factory=deque)
-    held_size: int = 0
+    is_streaming: bool = False
+    is_cancelled: bool = False
+    buffer: deque[bytes] = field(default_factory=deque)
+    buffered_bytes: int = 0
     status: Status = field(default_factory=lambda: Status(Code.OK))
 
 
-class FlightLinks:
-    """Runs attempts at engines that speak Flight SQL, and ends the calls of their clients.
+class FlightTransport:
+    """Runs attempts at engines by Flight SQL, and answers the calls of clients.
 
     Args:
-        limits: of connections and of what is held back.
-        address: host and port of an engine by its id; None: not known (any more).
-        name: of this gateway, told to the engines.
+        limits: The limits of connections and buffers.
+        resolve_address: A function that returns host and port of an engine by its id, or None if the engine
+            is not listed.
+        gateway_name: The name of this gateway, which is sent to engines.
     """
 
     def __init__(
         self,
-        limits: ExecutorLimits,
-        address: Callable[[bytes], tuple[str, int] | None],
-        name: str = "0",
+        limits: FlightTransportLimits,
+        resolve_address: Callable[[bytes], tuple[str, int] | None],
+        gateway_name: str = "0",
     ) -> None:
-        self._limits, self._address, self._name = limits, address, name
+        self._limits, self._resolve_address, self._gateway_name = limits, resolve_address, gateway_name
         self._loop = asyncio.get_running_loop()
         self._executor: Executor
         self._pools: dict[bytes, Pool] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     def bind(self, executor: Executor) -> None:
+        """Set the executor that receives the ends of attempts and the results of probes."""
         self._executor = executor
 
     def cancel_request(self, number: int, status: Status) -> bool:
-        """The client takes a request back by another call: it ends with this status. Whether it was open."""
-        request = self._executor.open_request(number)
+        """End a request that its client cancels by a separate call.
+
+        Args:
+            number: The number of the request.
+            status: The final status of the request.
+
+        Returns:
+            Whether the request was unanswered.
+        """
+        request = self._executor.unanswered_request(number)
         if request is None:
             return False
         request.sink.end(status)
         self._executor.disconnect_client(number)
         return True
 
-    # --- what the executor asks for ---
+    # --- interface for the executor ---
 
     def create_attempt(self, request: Request, effect: dispatch.StartAttempt, started_at: float) -> Attempt:
-        return _Running(request, effect.attempt, effect.engine, effect, started_at)
+        """Return a new attempt that does not run yet. `started_at` is the time of the event loop."""
+        return _FlightAttempt(request, effect.attempt, effect.engine, effect, started_at)
 
     def begin(self, attempt: Attempt) -> None:
-        assert isinstance(attempt, _Running)
-        running = attempt
-        running.task = self._spawn(self._run(running))
-        # Guards against a cancel before the task's first turn: its body never runs then, and tells nothing.
-        running.task.add_done_callback(lambda _: self._done(running, Verdict(api.Outcome.NOT_SENT)))
-
-    def _spawn(self, work: object) -> asyncio.Task[None]:
-        task: asyncio.Task[None] = self._loop.create_task(work)  # type: ignore[arg-type]
+        """Start an attempt."""
+        assert isinstance(attempt, _FlightAttempt)
+        flight_attempt = attempt
+        flight_attempt.task = self._spawn(self._run(flight_attempt))
+        # A task that is cancelled before its first turn never runs its body, so the callback reports its end.
+        flight_attempt.task.add_done_callback(
+            lambda _: self._finish(flight_attempt, Verdict(api.Outcome.NOT_SENT))
+        )
+
+    def _spawn(self, coroutine: object) -> asyncio.Task[None]:
+        task: asyncio.Task[None] = self._loop.create_task(coroutine)  # type: ignore[arg-type]
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     def cancel(self, attempt: Attempt) -> None:
-        assert isinstance(attempt, _Running)
-        if attempt.task is not None and not attempt.cancelled:
-            attempt.cancelled = True
+        """Cancel an attempt at its engine."""
+        assert isinstance(attempt, _FlightAttempt)
+        if attempt.task is not None and not attempt.is_cancelled:
+            attempt.is_cancelled = True
             attempt.task.cancel()
 
     def discard(self, attempt: Attempt) -> None:
-        assert isinstance(attempt, _Running)
-        # Guards against an attempt that waits for its channel and is sent after its client has gone.
+        """Read the result of an attempt to its end and drop it, without cancelling the attempt."""
+        assert isinstance(attempt, _FlightAttempt)
+        # An attempt that still waits for a channel must not be sent after its client has disconnected.
         self.withdraw(attempt)
-        attempt.passing = True  # read on to the end, into nothing
-        attempt.held.clear()
+        attempt.is_streaming = True  # the result is neither buffered nor forwarded
+        attempt.buffer.clear()
         attempt.committed.set()
-        attempt.cancelled = True
+        attempt.is_cancelled = True
 
     def withdraw(self, attempt: Attempt) -> None:
-        assert isinstance(attempt, _Running)
-        if not attempt.left and attempt.task is not None:
-            attempt.cancelled = True
+        """End an attempt if it has not been sent yet."""
+        assert isinstance(attempt, _FlightAttempt)
+        if not attempt.was_sent and attempt.task is not None:
+            attempt.is_cancelled = True
             attempt.task.cancel()
 
     def commit(self, attempt: Attempt) -> None:
-        assert isinstance(attempt, _Running)
+        """Forward the result of this attempt to the client."""
+        assert isinstance(attempt, _FlightAttempt)
         attempt.committed.set()
 
     def complete(self, request: Request, attempt: Attempt, is_query_fault: bool) -> None:
-        assert isinstance(attempt, _Running)
+        """Answer with the result of an attempt, or with the engine's error if the query is at fault."""
+        assert isinstance(attempt, _FlightAttempt)
         if is_query_fault:
             self._answer(request, attempt.status)
             return
-        while attempt.held:
-            request.sink.write_now(attempt.held.popleft())
+        while attempt.buffer:
+            request.sink.write_now(attempt.buffer.popleft())
         self._answer(request, Status(Code.OK))
 
     def reject(self, request: Request, retry_after: float, reason: str) -> None:
-        text = reason + (f" ({request.last_error})" if request.last_error else "")
-        about = {"request": str(request.id)}
-        self._answer(request, detailed(Code.UNAVAILABLE, text, "REFUSED", retry_after, about))
+        """Answer that the request did not run and may be retried after `retry_after` seconds."""
+        message = reason + (f" ({request.last_error})" if request.last_error else "")
+        metadata = {"request": str(request.id)}
+        self._answer(request, detailed(Code.UNAVAILABLE, message, "REFUSED", retry_after, metadata))
 
     def fail(self, request: Request, reason: str) -> None:
-        text = reason + (f" ({request.last_error})" if request.last_error else "")
-        self._answer(request, detailed(Code.ABORTED, text, "FAILED", None, {"request": str(request.id)}))
+        """Answer that the request failed and may have run."""
+        message = reason + (f" ({request.last_error})" if request.last_error else "")
+        self._answer(request, detailed(Code.ABORTED, message, "FAILED", None, {"request": str(request.id)}))
 
     def _answer(self, request: Request, status: Status) -> None:
-        tell = log.info if status.code is Code.ABORTED else log.debug
-        tell("answered", request=request.id, code=status.code.name, why=status.message)
+        log_event = log.info if status.code is Code.ABORTED else log.debug
+        log_event("request answered", request=request.id, code=status.code.name, why=status.message)
         request.sink.end(status)
 
     def probe(self, engine: bytes) -> None:
+        """Request a load report from an engine. The result is passed to `Executor.feed`."""
         self._spawn(self._run_probe(engine))
 
     def close_idle(self, engine: bytes) -> None:
+        """Close the idle connections to an engine."""
         if engine in self._pools:
             self._pools[engine].close_idle()
 
     def on_attempt_released(self, attempt: Attempt) -> None:
-        if self._address(attempt.engine) is None:  # it went from the list while this ran
-            self.forget_engine(attempt.engine)
+        """Close the idle connections to the engine of an ended attempt if it is not listed any more."""
+        if self._resolve_address(attempt.engine) is None:  # it was removed from the list during the attempt
+            self.remove_engine(attempt.engine)
 
     # --- attempts ---
 
     def _pool(self, engine: bytes) -> Pool | None:
-        address = self._address(engine)
+        address = self._resolve_address(engine)
         pool = self._pools.get(engine)
         if pool is not None and address is not None and (pool.host, pool.port) != address:
-            pool.close()  # the name moved to another address: nothing of the old one is used
+            pool.close()  # the engine moved to another address, so its old connections are not used any more
             pool = None
         if pool is None and address is not None:
             pool = self._pools[engine] = Pool(*address, self._limits.pool, self._limits.http)
         return pool
 
-    def forget_engine(self, engine: bytes) -> None:
-        """Close what is idle of an engine that has gone from the list."""
+    def remove_engine(self, engine: bytes) -> None:
+        """Close the idle connections to an engine that is not listed any more.
+
+        Its pool is removed once it has no call in flight.
+        """
         pool = self._pools.get(engine)
         if pool is not None:
             pool.close_idle()
-            if pool.idle:
+            if pool.is_idle:
                 del self._pools[engine]
 
-    async def _run(self, running: _Running) -> None:
-        effect = running.effect
-        ending = running.started_at + effect.timeout
+    async def _run(self, attempt: _FlightAttempt) -> None:
+        effect = attempt.effect
+        deadline = attempt.started_at + effect.timeout
         verdict: Verdict
         try:
-            async with asyncio.timeout_at(ending):
-                if not await running.wait_until_durable():
+            async with asyncio.timeout_at(deadline):
+                if not await attempt.wait_until_durable():
                     self._executor.non_durable_count += 1
-                    log.warning("attempt leaves unsaved", request=running.request.id, attempt=running.number)
-                verdict = await self._talk(running)
+                    log.warning(
+                        "attempt sent before its write-ahead was durable",
+                        request=attempt.request.id,
+                        attempt=attempt.number,
+                    )
+                verdict = await self._execute(attempt)
         except TimeoutError:
-            verdict = await self._stopped(running, api.Outcome.TIMEOUT)
+            verdict = await self._stop_at_engine(attempt, api.Outcome.TIMEOUT)
         except asyncio.CancelledError:
-            verdict = await self._stopped(running, api.Outcome.CANCELLED)
+            verdict = await self._stop_at_engine(attempt, api.Outcome.CANCELLED)
         except ConnectFailed as error:
-            running.request.last_error = str(error)
-            verdict = Verdict(api.Outcome.RESET if running.left else api.Outcome.CONNECT_FAILED)
+            attempt.request.last_error = str(error)
+            verdict = Verdict(api.Outcome.RESET if attempt.was_sent else api.Outcome.CONNECT_FAILED)
         except (DecodeError, RpcError) as error:
-            running.request.last_error = str(error)
-            verdict = Verdict(api.Outcome.ERROR if running.left else api.Outcome.NOT_SENT)
+            attempt.request.last_error = str(error)
+            verdict = Verdict(api.Outcome.ERROR if attempt.was_sent else api.Outcome.NOT_SENT)
         except Exception as error:
-            log.exception("attempt failed", request=running.request.id, attempt=running.number)
-            running.request.last_error = repr(error)
-            await self._stopped(running, api.Outcome.RESET)
-            verdict = Verdict(api.Outcome.RESET if running.left else api.Outcome.NOT_SENT)
-        self._done(running, verdict)
-
-    def _done(self, running: _Running, verdict: Verdict) -> None:
-        if running.has_ended:
+            log.exception("attempt failed", request=attempt.request.id, attempt=attempt.number)
+            attempt.request.last_error = repr(error)
+            await self._stop_at_engine(attempt, api.Outcome.RESET)
+            verdict = Verdict(api.Outcome.RESET if attempt.was_sent else api.Outcome.NOT_SENT)
+        self._finish(attempt, verdict)
+
+    def _finish(self, attempt: _FlightAttempt, verdict: Verdict) -> None:
+        if attempt.has_ended:
             return
-        request, call = running.request, running.call
-        elapsed = self._loop.time() - running.started_at - running.durability_wait
-        told = orca.Told()
+        request, call = attempt.request, attempt.call
+        elapsed = self._loop.time() - attempt.started_at - attempt.durability_wait
+        load_report = orca.LoadReport()
         if call is not None and call.ending is Ending.STATUS:
-            told = orca.read(call.trailers, self._executor.dispatcher.settings.report_columns)
-        if running.status.message and verdict.outcome is not api.Outcome.OK:
-            name = running.engine.decode("utf-8", "replace")
-            text = running.status.message[:MOST_ERROR]
-            request.last_error = f"engine {name}: {running.status.code.name}: {text}"
-        pool = self._pools.get(running.engine)
+            load_report = orca.read_load_report(
+                call.trailers, self._executor.dispatcher.settings.report_columns
+            )
+        if attempt.status.message and verdict.outcome is not api.Outcome.OK:
+            engine_name = attempt.engine.decode("utf-8", "replace")
+            message = attempt.status.message[:MAX_ERROR_CHARACTERS]
+            request.last_error = f"engine {engine_name}: {attempt.status.code.name}: {message}"
+        pool = self._pools.get(attempt.engine)
         if pool is not None:
-            pool.released()
+            pool.on_call_ended()
         self._executor.finish_attempt(
-            running, verdict.outcome, elapsed, told.work, told.memory_mb, told.report, verdict.is_query_fault
+            attempt,
+            verdict.outcome,
+            elapsed,
+            load_report.work,
+            load_report.memory_mb,
+            load_report.column_values,
+            verdict.is_query_fault,
         )
 
-    async def _stopped(self, running: _Running, outcome: api.Outcome) -> Verdict:
-        """Stop the attempt at its engine; told only once the engine has taken that in, or the wait is over.
+    async def _stop_at_engine(self, attempt: _FlightAttempt, outcome: api.Outcome) -> Verdict:
+        """Cancel the attempt at its engine, and wait until the engine acknowledges the cancel or a timeout.
+
+        A PING follows RST_STREAM on the same connection. Since frames are processed in order, the PING's
+        acknowledgement proves that the engine has received the cancel, so that this
+        engine does not continue the attempt unaware of the cancel while a retry runs at another engine.
 
-        A PING follows the reset on the same connection: frames are taken in order, so its acknowledgement
-        proves that the engine knows of the cancel, and a repeat elsewhere cannot overlap unknown to it.
+        Returns:
+            The given outcome, or NOT_SENT if nothing of the attempt was sent.
         """
-        call, channel = running.call, running.channel
+        call, channel = attempt.call, attempt.channel
         if call is not None and call.ending is None:
-            if not call.cancel() and not running.heard:
-                running.left = False
-            elif channel is not None and not running.passing:
-                with contextlib.suppress(asyncio.CancelledError):  # cancelled once more: it stays as it is
-                    await channel.ping(self._limits.cancel_wait)
-        return Verdict(outcome if running.left else api.Outcome.NOT_SENT)
-
-    async def _talk(self, running: _Running) -> Verdict:
-        """The whole exchange of an attempt with its engine."""
-        work = running.request.work
+            if not call.cancel() and not attempt.earlier_call_processed:
+                attempt.was_sent = False
+            elif channel is not None and not attempt.is_streaming:
+                with contextlib.suppress(asyncio.CancelledError):  # a second cancel has no further effect
+                    await channel.ping(self._limits.cancel_ack_timeout)
+        return Verdict(outcome if attempt.was_sent else api.Outcome.NOT_SENT)
+
+    async def _execute(self, attempt: _FlightAttempt) -> Verdict:
+        """Make all calls of an attempt to its engine, and stream the result."""
+        statement = attempt.request.statement
         command: Message
-        if work.prepared:
-            handle = await self._prepare(running, work)
+        if statement.is_prepared:
+            handle = await self._prepare_statement(attempt, statement)
             if isinstance(handle, Verdict):
                 return handle
-            if work.update:
+            if statement.is_update:
                 command = sql.CommandPreparedStatementUpdate(prepared_statement_handle=handle)
             else:
                 command = sql.CommandPreparedStatementQuery(prepared_statement_handle=handle)
-        elif work.update:
-            command = sql.CommandStatementUpdate(query=work.query)
+        elif statement.is_update:
+            command = sql.CommandStatementUpdate(query=statement.query)
         else:
-            command = sql.CommandStatementQuery(query=work.query)
-        if work.update:
-            return await self._pass_on(running, await self._put(running, command, work.batches))
-        answer = await self._ask(running, "GetFlightInfo", descriptor(command))
+            command = sql.CommandStatementQuery(query=statement.query)
+        if statement.is_update:
+            return await self._stream_result(
+                attempt, await self._start_put(attempt, command, statement.parameter_batches)
+            )
+        answer = await self._call_unary(attempt, "GetFlightInfo", descriptor(command))
         if isinstance(answer, Verdict):
             return answer
-        verdict = Verdict(api.Outcome.OK)  # of a result without endpoints, which is empty
+        verdict = Verdict(api.Outcome.OK)  # for a FlightInfo without endpoints: the result is empty
         for endpoint in flight.FlightInfo.FromString(answer).endpoint:
-            call = await self._call(running, "DoGet")
+            call = await self._start_call(attempt, "DoGet")
             call.write_now(endpoint.ticket.SerializeToString(), end=True)
-            verdict = await self._pass_on(running, call)
+            verdict = await self._stream_result(attempt, call)
             if verdict.outcome is not api.Outcome.OK:
                 return verdict
         return verdict
 
-    async def _ask(self, running: _Running, method: str, request: Message) -> bytes | Verdict:
-        """One message there and one back; a Verdict where the attempt ends with it."""
-        call = await self._call(running, method)
+    async def _call_unary(self, attempt: _FlightAttempt, method: str, request: Message) -> bytes | Verdict:
+        """Make a call with one request message and one response message.
+
+        Returns:
+            The response, or a verdict if the call failed and the attempt ends with it.
+        """
+        call = await self._start_call(attempt, method)
         call.write_now(request.SerializeToString(), end=True)
         answer = await call.read()
         while answer is not None and await call.read() is not None:
             pass
-        verdict = self._ended(running, call)
+        verdict = self._classify_end(attempt, call)
         if verdict.outcome is not api.Outcome.OK:
             return verdict
-        running.heard = True
+        attempt.earlier_call_processed = True
         return answer if answer is not None else b""
 
-    async def _prepare(self, running: _Running, work: Work) -> bytes | Verdict:
-        """Prepare at the engine and bind what was bound here; the engine's handle."""
-        request = packed(sql.ActionCreatePreparedStatementRequest(query=work.query))
+    async def _prepare_statement(
+        self, attempt: _FlightAttempt, statement: FlightStatement
+    ) -> bytes | Verdict:
+        """Prepare the statement at the engine, and bind the parameters of a query.
+
+        Returns:
+            The engine's handle of the prepared statement, or a verdict if a call failed and ends the attempt.
+        """
+        request = packed(sql.ActionCreatePreparedStatementRequest(query=statement.query))
         action = flight.Action(type="CreatePreparedStatement", body=request.SerializeToString())
-        answer = await self._ask(running, "DoAction", action)
+        answer = await self._call_unary(attempt, "DoAction", action)
         if isinstance(answer, Verdict):
             return answer
-        box = AnyMessage.FromString(flight.Result.FromString(answer).body)
-        made = sql.ActionCreatePreparedStatementResult.FromString(box.value)
-        handle = made.prepared_statement_handle
-        if work.update or not work.batches:
+        envelope = AnyMessage.FromString(flight.Result.FromString(answer).body)
+        prepared = sql.ActionCreatePreparedStatementResult.FromString(envelope.value)
+        handle = prepared.prepared_statement_handle
+        if statement.is_update or not statement.parameter_batches:
             return handle
         command = sql.CommandPreparedStatementQuery(prepared_statement_handle=handle)
-        call = await self._put(running, command, work.batches)
-        bound = b""
+        call = await self._start_put(attempt, command, statement.parameter_batches)
+        put_metadata = b""
         while (message := await call.read()) is not None:
-            bound = bound or flight.PutResult.FromString(message).app_metadata
-        verdict = self._ended(running, call)
+            put_metadata = put_metadata or flight.PutResult.FromString(message).app_metadata
+        verdict = self._classify_end(attempt, call)
         if verdict.outcome is not api.Outcome.OK:
             return verdict
-        fresh = sql.DoPutPreparedStatementResult.FromString(bound)
-        return fresh.prepared_statement_handle or handle
-
-    async def _put(self, running: _Running, command: Message, batches: tuple[bytes, ...]) -> ClientCall:
-        call = await self._call(running, "DoPut")
-        # Joined messages are merged by protobuf, so the descriptor goes with the first batch as it is.
-        first = flight.FlightData(flight_descriptor=descriptor(command)).SerializeToString()
-        parts = [first + batches[0], *batches[1:]] if batches else [first]
-        for part in parts[:-1]:
-            await call.write(part)
-        await call.write(parts[-1], end=True)
+        put_result = sql.DoPutPreparedStatementResult.FromString(put_metadata)
+        return put_result.prepared_statement_handle or handle
+
+    async def _start_put(
+        self, attempt: _FlightAttempt, command: Message, batches: tuple[bytes, ...]
+    ) -> ClientCall:
+        call = await self._start_call(attempt, "DoPut")
+        # Concatenated protobuf messages merge on decoding, so the descriptor can precede the first batch.
+        head = flight.FlightData(flight_descriptor=descriptor(command)).SerializeToString()
+        messages = [head + batches[0], *batches[1:]] if batches else [head]
+        for message in messages[:-1]:
+            await call.write(message)
+        await call.write(messages[-1], end=True)
         return call
 
-    async def _call(self, running: _Running, method: str) -> ClientCall:
-        pool = self._pool(running.engine)
+    async def _start_call(self, attempt: _FlightAttempt, method: str) -> ClientCall:
+        pool = self._pool(attempt.engine)
         if pool is None:
             raise ConnectFailed("the engine has no address")
-        effect = running.effect
+        effect = attempt.effect
         channel = await pool.channel()
-        left = running.started_at + effect.timeout - self._loop.time()
-        extra: list[tuple[str, str | bytes]] = [
-            ("saffronlane-gateway", self._name),
-            ("saffronlane-request", str(running.request.id)),
-            ("saffronlane-attempt", str(running.number)),
+        remaining = attempt.started_at + effect.timeout - self._loop.time()
+        attempt_headers: list[tuple[str, str | bytes]] = [
+            ("saffronlane-gateway", self._gateway_name),
+            ("saffronlane-request", str(attempt.request.id)),
+            ("saffronlane-attempt", str(attempt.number)),
         ]
-        if running.request.idempotency_key:
-            extra.append(("saffronlane-key", running.request.idempotency_key))
+        if attempt.request.idempotency_key:
+            attempt_headers.append(("saffronlane-key", attempt.request.idempotency_key))
         if effect.grant_mb:
-            extra.append(("saffronlane-grant-mb", f"{effect.grant_mb:.1f}"))
+            attempt_headers.append(("saffronlane-grant-mb", f"{effect.grant_mb:.1f}"))
         if effect.priority is not None:
-            extra.append(("saffronlane-priority", str(effect.priority)))
-        # No await between here and the call: a drain told meanwhile has recalled the attempt already.
-        running.call = channel.start(SERVICE + method, running.request.work.headers + tuple(extra), left)
-        running.channel = channel
-        running.left = True
-        return running.call
-
-    def _ended(self, running: _Running, call: ClientCall) -> Verdict:
-        running.status = call.status or Status(Code.UNKNOWN, "no status")
-        return classify(call.ending or Ending.RESET, running.status, running.heard)
-
-    async def _pass_on(self, running: _Running, call: ClientCall) -> Verdict:
-        """Hold the result back up to the limit; past it, pass it on once the dispatcher allows."""
-        request = running.request
+            attempt_headers.append(("saffronlane-priority", str(effect.priority)))
+        # There is no await from here to the start of the call. A withdrawal during the wait for a channel has
+        # cancelled this task, so that a withdrawn attempt is never sent.
+        attempt.call = channel.start(
+            SERVICE + method, attempt.request.statement.headers + tuple(attempt_headers), remaining
+        )
+        attempt.channel = channel
+        attempt.was_sent = True
+        return attempt.call
+
+    def _classify_end(self, attempt: _FlightAttempt, call: ClientCall) -> Verdict:
+        attempt.status = call.status or Status(Code.UNKNOWN, "no status")
+        return classify(call.ending or Ending.RESET, attempt.status, attempt.earlier_call_processed)
+
+    async def _stream_result(self, attempt: _FlightAttempt, call: ClientCall) -> Verdict:
+        """Read the result of a call.
+
+        The result is buffered up to a limit. A larger result is streamed to the client once the dispatcher
+        has committed the request to this attempt.
+        """
+        request = attempt.request
         while (message := await call.read()) is not None:
-            note = orca.read_note(message)
-            if note is not None:
-                self._executor.feed(dispatch.AttemptProgress(request.id, running.number, *note))
-                request.sink.note(*note)
+            progress = orca.decode_progress_report(message)
+            if progress is not None:
+                self._executor.feed(dispatch.AttemptProgress(request.id, attempt.number, *progress))
+                request.sink.on_progress(*progress)
                 continue
-            if running.cancelled:
+            if attempt.is_cancelled:
                 continue
-            if running.passing:
+            if attempt.is_streaming:
                 await request.sink.write(message)
                 continue
-            running.held.append(message)
-            running.held_size += len(message)
-            if running.held_size > self._limits.hold_back:
-                self._executor.feed(dispatch.ResultReady(request.id, running.number))
-                await running.committed.wait()
-                running.passing = True
-                while running.held:
-                    await request.sink.write(running.held.popleft())
-        return self._ended(running, call)
+            attempt.buffer.append(message)
+            attempt.buffered_bytes += len(message)
+            if attempt.buffered_bytes > self._limits.max_buffered_bytes:
+                self._executor.feed(dispatch.ResultReady(request.id, attempt.number))
+                await attempt.committed.wait()
+                attempt.is_streaming = True
+                while attempt.buffer:
+                    await request.sink.write(attempt.buffer.popleft())
+        return self._classify_end(attempt, call)
 
     async def _run_probe(self, engine: bytes) -> None:
-        """Ask an engine for its load: an action whose answer's trailers carry the report."""
-        started = self._loop.time()
-        outcome, told = api.Outcome.OK, orca.Told()
+        """Request a load report by a ListActions call, whose trailers carry the report."""
+        started_at = self._loop.time()
+        outcome, load_report = api.Outcome.OK, orca.LoadReport()
         try:
             pool = self._pool(engine)
             if pool is None:
@@ -424,17 +519,21 @@
                 call.write_now(b"", end=True)
                 while await call.read() is not None:
                     pass
-            told = orca.read(call.trailers, self._executor.dispatcher.settings.report_columns)
+            load_report = orca.read_load_report(
+                call.trailers, self._executor.dispatcher.settings.report_columns
+            )
             status = call.status or Status(Code.UNKNOWN)
             outcome = classify(call.ending or Ending.RESET, status, earlier_call_processed=False).outcome
         except (ConnectFailed, RpcError):
             outcome = api.Outcome.CONNECT_FAILED
         except TimeoutError:
             outcome = api.Outcome.TIMEOUT
-        self._executor.feed(api.ProbeResult(engine, outcome, self._loop.time() - started, told.report))
+        self._executor.feed(
+            api.ProbeResult(engine, outcome, self._loop.time() - started_at, load_report.column_values)
+        )
 
     def close(self) -> None:
-        """End at once."""
+        """Cancel all attempts and close all connections immediately."""
         for task in list(self._tasks):
             task.cancel()
         for pool in self._pools.values():
--- a/saffronlane/engines/orca.py
+++ b/saffronlane/engines/orca.py
@@ -1,8 +1,9 @@
-"""Load reports of engines: ORCA in the trailer `endpoint-load-metrics-bin`, and notes of progress.
+"""Load reports of engines, and progress reports in their results.
 
-A report's columns are named in the settings. A name is looked up in `named_metrics`, then `utilization`,
-then among ORCA's own fields (`cpu`, `memory`, `rps`, `eps`, `application`). What the query itself took comes
-as `request_cost`: `work` in seconds of one thread, `memory` in MB.
+Load reports are ORCA messages in the trailer `endpoint-load-metrics-bin`. The settings name the columns of a
+report. A column is looked up in `named_metrics`, then in `utilization`, then among ORCA's own fields (`cpu`,
+`memory`, `rps`, `eps`, `application`). The resources that the query itself used are in `request_cost`: `work`
+in seconds of one thread, `memory` in MB.
 """
 
 from __future__ import annotations
@@ -18,8 +19,8 @@
 from ..rpc.metadata import Metadata
 
 TRAILER = "endpoint-load-metrics-bin"
-NOTE_TAG = 0x1A  # field 3 of FlightData, app_metadata
-KINDS = {
+APP_METADATA_TAG = 0x1A  # protobuf tag of FlightData.app_metadata: field 3, length-delimited
+PROGRESS_KINDS = {
     "progress": ProgressKind.PROGRESS,
     "spilling": ProgressKind.SPILLING,
     "waiting": ProgressKind.WAITING,
@@ -27,61 +28,80 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """What one answer told; zeros where nothing was told or what was told is absurd."""
+class LoadReport:
+    """The load report in one answer. Missing and invalid values are zero.
+
+    Attributes:
+        work: The work of the query in seconds of one thread.
+        memory_mb: The memory that the query used, in MB.
+        column_values: The load of the engine, one value per configured column, or empty without a report.
+    """
 
     work: float = 0.0
     memory_mb: float = 0.0
-    report: tuple[float, ...] = ()
+    column_values: tuple[float, ...] = ()
 
 
-def _sane(value: float) -> float:
+def _valid_or_zero(value: float) -> float:
     return value if 0.0 <= value < math.inf else 0.0  # NaN fails both comparisons
 
 
-def read(trailers: Metadata, columns: tuple[str, ...]) -> Told:
-    """Never raises: an engine that reports nonsense is an engine that reports nothing."""
+def read_load_report(trailers: Metadata, columns: tuple[str, ...]) -> LoadReport:
+    """Read the load report in the trailers of an answer.
+
+    Never raises: a malformed report is treated as missing.
+    """
     raw = trailers.binary(TRAILER)
     if raw is None:
-        return Told()
+        return LoadReport()
     try:
         report = OrcaLoadReport.FromString(raw)
     except DecodeError:
-        return Told()
-    own = {
+        return LoadReport()
+    standard_fields = {
         "cpu": report.cpu_utilization,
         "memory": report.mem_utilization,
         "rps": report.rps_fractional or float(report.rps),
         "eps": report.eps,
         "application": report.application_utilization,
     }
-    values = own | dict(report.utilization) | dict(report.named_metrics)
-    told = tuple(_sane(values.get(name, 0.0)) for name in columns)
+    values = standard_fields | dict(report.utilization) | dict(report.named_metrics)
+    column_values = tuple(_valid_or_zero(values.get(name, 0.0)) for name in columns)
     cost = report.request_cost
-    return Told(_sane(cost.get("work", 0.0)), _sane(cost.get("memory", 0.0)), told)
+    return LoadReport(
+        _valid_or_zero(cost.get("work", 0.0)), _valid_or_zero(cost.get("memory", 0.0)), column_values
+    )
 
 
-class _Note(msgspec.Struct):
+class _ProgressNote(msgspec.Struct):
     note: str
     amount: float = 0.0
 
 
-_DECODER = msgspec.json.Decoder(_Note)
+_DECODER = msgspec.json.Decoder(_ProgressNote)
+
 
+def decode_progress_report(message: bytes) -> tuple[ProgressKind, float] | None:
+    """Return the progress report in a FlightData message, or None if the message holds data.
 
-def read_note(message: bytes) -> tuple[ProgressKind, float] | None:
-    """The note in a FlightData message that has nothing but `app_metadata`; None: it is data."""
-    if len(message) < 2 or message[0] != NOTE_TAG or message[1] != len(message) - 2 or message[1] > 127:
-        return None  # a note is under 128 bytes, so that its length is one byte
+    A progress report is a message in which only `app_metadata` is set.
+    """
+    if (
+        len(message) < 2
+        or message[0] != APP_METADATA_TAG
+        or message[1] != len(message) - 2
+        or message[1] > 127
+    ):
+        return None  # a progress report has less than 128 bytes, so that its length is encoded in one byte
     try:
         note = _DECODER.decode(message[2:])
     except msgspec.DecodeError:
         return None
-    kind = KINDS.get(note.note)
-    return None if kind is None else (kind, _sane(note.amount))
+    kind = PROGRESS_KINDS.get(note.note)
+    return None if kind is None else (kind, _valid_or_zero(note.amount))
 
 
-def write_note(kind: str, amount: float) -> bytes:
-    """A FlightData message that holds one note."""
-    body = msgspec.json.encode(_Note(kind, round(amount, 4)))
-    return bytes((NOTE_TAG, len(body))) + body
+def encode_progress_report(kind: str, amount: float) -> bytes:
+    """Return a FlightData message that holds one progress report."""
+    body = msgspec.json.encode(_ProgressNote(kind, round(amount, 4)))
+    return bytes((APP_METADATA_TAG, len(body))) + body
--- a/saffronlane/engines/outcomes.py
+++ b/saffronlane/engines/outcomes.py
@@ -1,8 +1,8 @@
-"""Classifies how an attempt ended by how its last call ended.
+"""Classifies the outcome of an attempt by the end of its last call.
 
-Retries of non-idempotent requests depend on this table: `CONNECT_FAILED` and `REJECTED` state that the query
-never ran, and are given only where that is certain. A query is at fault itself where the engine answers with
-a code that every other engine would give.
+Retries of non-idempotent requests depend on this classification: the outcomes `CONNECT_FAILED` and `REJECTED`
+state that the query never ran, and are used only where this is certain. The query itself is at fault if the
+engine answers with a code that every other engine would return as well.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from ..interface import Outcome
 from ..rpc.status import Code, Ending, Status
 
-NEVER_RAN_REASON = "NEVER_RAN"  # of an ErrorInfo by which an engine states that it did nothing
+NEVER_RAN_REASON = "NEVER_RAN"  # ErrorInfo reason by which an engine states that the query never ran
 QUERY_FAULT_CODES = frozenset(
     (
         Code.INVALID_ARGUMENT,
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """How an attempt ended; `is_query_fault` if every engine would reject the query."""
+    """The outcome of an attempt. `is_query_fault` is set if every engine would reject the query."""
 
     outcome: Outcome
     is_query_fault: bool = False
@@ -39,10 +39,10 @@
     """Classify an attempt whose last call has ended.
 
     Args:
-        ending: how the call ended on the wire.
-        status: its status; the engine's own only if `ending` is STATUS.
-        earlier_call_processed: whether the engine processed an earlier call of the same attempt. Then a call
-            that was never processed does not mean that the attempt never ran.
+        ending: How the call ended on the wire.
+        status: The status of the call. It comes from the engine only if `ending` is STATUS.
+        earlier_call_processed: Whether the engine processed an earlier call of the same attempt. In that case
+            an unprocessed last call does not prove that the attempt never ran.
     """
     match ending:
         case Ending.UNPROCESSED:
--- a/saffronlane/engines/pool.py
+++ b/saffronlane/engines/pool.py
@@ -1,4 +1,4 @@
-"""Connections to one engine, opened as needed and shared by as many calls as the engine allows."""
+"""Connections to one engine, opened on demand and shared by as many calls as the engine allows."""
 
 from __future__ import annotations
 
@@ -12,28 +12,48 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolLimits:
-    """Seconds and counts."""
+    """The limits of the connections to one engine.
+
+    Attributes:
+        connect_timeout: The seconds within which a connection must be established.
+        max_connections: The largest number of connections.
+        idle_timeout: The seconds that a connection may be idle. Not enforced: `Pool.close_idle` closes idle
+            connections whenever it is called.
+    """
 
     connect_timeout: float = 1.0
     max_connections: int = 4
-    idle_time: float = 60.0
+    idle_timeout: float = 60.0
 
 
 class Pool:
-    """Channels to one address. A channel that says GOAWAY or breaks takes no new call."""
+    """Channels to one address. A channel that received GOAWAY or is broken gets no new calls.
+
+    Args:
+        host: The host of the engine.
+        port: The port of the engine.
+        limits: The limits of the pool.
+        http_limits: The limits of each HTTP/2 connection, or None for the defaults.
+    """
 
     def __init__(
-        self, host: str, port: int, limits: PoolLimits, http: ConnectionLimits | None = None
+        self, host: str, port: int, limits: PoolLimits, http_limits: ConnectionLimits | None = None
     ) -> None:
         self.host, self.port = host, port
-        self._limits, self._http = limits, http
+        self._limits, self._http_limits = limits, http_limits
         self._channels: list[Channel] = []
         self._connecting: asyncio.Task[None] | None = None
-        self._freed = asyncio.Event()
-        self._waiting = 0
+        self._stream_available = asyncio.Event()
+        self._waiter_count = 0
 
     async def channel(self) -> Channel:
-        """One that takes a call now. ConnectFailed; the caller bounds the wait for a free stream."""
+        """Return a channel that accepts a new call now, and open one if necessary.
+
+        The wait for a free stream is not bounded here; the caller must set a timeout.
+
+        Raises:
+            ConnectFailed: A new connection could not be established.
+        """
         while True:
             self._prune()
             usable = [c for c in self._channels if c.usable]
@@ -42,39 +62,42 @@
             if len(self._channels) < self._limits.max_connections:
                 await self._connect()
                 continue
-            self._freed.clear()
-            self._waiting += 1
+            self._stream_available.clear()
+            self._waiter_count += 1
             try:
-                await asyncio.wait_for(self._freed.wait(), self._limits.connect_timeout)
+                await asyncio.wait_for(self._stream_available.wait(), self._limits.connect_timeout)
             except TimeoutError:
-                continue  # a stream may have ended unseen: look again
+                continue  # a stream may have ended without a notification, so the channels are checked again
             finally:
-                self._waiting -= 1
+                self._waiter_count -= 1
 
     async def _connect(self) -> None:
-        """All that wait share one attempt to connect, and its failure."""
+        """Open a connection. Concurrent callers share one connection attempt and its failure."""
         if self._connecting is None:
             self._connecting = asyncio.get_running_loop().create_task(self._open())
         try:
             await asyncio.shield(self._connecting)
         except (OSError, TimeoutError) as error:
-            raise ConnectFailed(f"{self.host}:{self.port}: {error or 'no connection in time'}") from None
+            raise ConnectFailed(
+                f"{self.host}:{self.port}: connection failed: {error or 'timed out'}"
+            ) from None
 
     async def _open(self) -> None:
-        # All bookkeeping happens before the task is done. In a callback of the task it could come too late:
-        # awaiting a done task does not give way, and who looks for a channel again would spin for ever.
+        # The new channel is registered before this task completes. A done callback would run too late:
+        # awaiting a completed task does not yield to the event loop, so that the loop in `channel` would spin
+        # forever.
         try:
             channel = Channel(self.host, self.port)
-            channel.on_closed = self._freed.set
-            await channel.connect(self._limits.connect_timeout, self._http)
+            channel.on_closed = self._stream_available.set
+            await channel.connect(self._limits.connect_timeout, self._http_limits)
             self._channels.append(channel)
         finally:
             self._connecting = None
 
-    def released(self) -> None:
-        """A call has ended: whoever waits for a stream may look again."""
-        if self._waiting:
-            self._freed.set()
+    def on_call_ended(self) -> None:
+        """Wake the callers that wait for a free stream."""
+        if self._waiter_count:
+            self._stream_available.set()
 
     def _prune(self) -> None:
         for channel in [c for c in self._channels if c.closed or (c.going and not c.calls)]:
@@ -82,15 +105,18 @@
             channel.close()
 
     def close_idle(self) -> None:
+        """Close the channels without calls."""
         for channel in [c for c in self._channels if not c.calls]:
             self._channels.remove(channel)
             channel.close()
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
+        """Whether no channel has a call and none is being opened."""
         return self._connecting is None and not any(c.calls for c in self._channels)
 
     def close(self) -> None:
+        """Close all channels immediately."""
         if self._connecting is not None:
             self._connecting.cancel()
         for channel in self._channels:
--- a/saffronlane/engines/request_ledger.py
+++ b/saffronlane/engines/request_ledger.py
@@ -8,7 +8,7 @@
 
 
 class RequestLedger:
-    """Requests by number, until they are answered and all their attempts have ended."""
+    """Requests by number. A request is removed once it is answered and all its attempts have ended."""
 
     def __init__(self) -> None:
         self._requests: dict[int, Request] = {}
@@ -19,34 +19,34 @@
     def __getitem__(self, number: int) -> Request:
         return self._requests[number]
 
-    def open(self, number: int, work: Any, sink: Any, idempotency_key: str) -> None:
-        """Add a request that is to be answered."""
-        self._requests[number] = Request(number, work, sink, idempotency_key)
+    def add(self, number: int, statement: Any, sink: Any, idempotency_key: str) -> None:
+        """Add an unanswered request."""
+        self._requests[number] = Request(number, statement, sink, idempotency_key)
 
     def get(self, number: int) -> Request | None:
-        """Return a request, answered or not, or None if it is over."""
+        """Return a request, answered or not, or None if it has ended."""
         return self._requests.get(number)
 
-    def unanswered(self, number: int) -> Request | None:
-        """Return a request that has no answer yet, or None."""
+    def get_unanswered(self, number: int) -> Request | None:
+        """Return a request, or None if it has been answered or is unknown."""
         request = self._requests.get(number)
         return None if request is None or request.is_answered else request
 
-    def attempt(self, number: int, attempt_number: int) -> Attempt | None:
+    def get_attempt(self, number: int, attempt_number: int) -> Attempt | None:
         """Return an attempt in flight, or None if it has ended."""
         request = self._requests.get(number)
         return None if request is None else request.attempts_in_flight.get(attempt_number)
 
-    def close_request(self, request: Request) -> None:
-        """Note that a request needs no answer any more."""
+    def mark_answered(self, request: Request) -> None:
+        """Mark a request as answered, or as abandoned by its client."""
         request.is_answered = True
 
     def remove_attempt(self, attempt: Attempt) -> None:
-        """Remove an ended attempt, and its request if nothing else keeps it."""
+        """Remove an ended attempt, and its request if it is answered and has no other attempt in flight."""
         attempt.request.attempts_in_flight.pop(attempt.number, None)
-        self.remove_if_over(attempt.request)
+        self.remove_if_ended(attempt.request)
 
-    def remove_if_over(self, request: Request) -> None:
+    def remove_if_ended(self, request: Request) -> None:
         """Remove a request that is answered and has no attempt in flight."""
         if request.is_answered and not request.attempts_in_flight:
             self._requests.pop(request.id, None)
--- a/saffronlane/engines/transport.py
+++ b/saffronlane/engines/transport.py
@@ -1,4 +1,4 @@
-"""What the executor keeps of requests and attempts, and what it needs of a transport."""
+"""The executor's records of requests and attempts, and the interface of a transport."""
 
 from __future__ import annotations
 
@@ -14,38 +14,56 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One request of a client, until it is answered and all its attempts have ended.
-
-    `work` is what the transport runs, `sink` where its answer goes; only transports know their types.
+    """One request of a client. It is kept until it is answered and all its attempts have ended.
+
+    Attributes:
+        id: The number of the request.
+        statement: The statement that the transport runs. Its type depends on the transport.
+        sink: The object that receives the answer. Its type depends on the transport.
+        idempotency_key: The key that is sent to engines, or empty if there is none.
+        attempts_in_flight: The attempts that have not ended, by number.
+        last_error: The error of the attempt that failed last, or empty.
+        is_answered: Whether the request is answered, or its client has disconnected.
     """
 
     id: int
-    work: Any
+    statement: Any
     sink: Any
-    idempotency_key: str = ""  # sent along to engines
-    attempts_in_flight: dict[int, Attempt] = field(default_factory=dict)  # by number
+    idempotency_key: str = ""
+    attempts_in_flight: dict[int, Attempt] = field(default_factory=dict)
     last_error: str = ""
     is_answered: bool = False
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt of a request; a transport derives its own class with what it needs."""
+    """One attempt of a request. Each transport derives a class with its own fields.
+
+    Attributes:
+        request: The request that this attempt belongs to.
+        number: The number of the attempt within its request.
+        engine: The id of the engine.
+        effect: The effect that started the attempt.
+        started_at: The time of the event loop when the attempt was created.
+        write_ahead: Resolves to whether the write-ahead entries are durable, or None if there are none.
+        durability_wait: The seconds spent waiting for `write_ahead`.
+        has_ended: Whether the end of the attempt has been reported.
+    """
 
     request: Request
     number: int
     engine: bytes
     effect: dispatch.StartAttempt
     started_at: float
-    write_ahead: asyncio.Future[bool] | None = None  # whether what must be stored first is durable
-    durability_wait: float = 0.0  # seconds spent waiting for that
+    write_ahead: asyncio.Future[bool] | None = None
+    durability_wait: float = 0.0
     has_ended: bool = False
 
     async def wait_until_durable(self) -> bool:
-        """Wait for the write ahead of this attempt, up to the timeout of its effect.
+        """Wait for the write-ahead of this attempt, up to the timeout in its effect.
 
         Returns:
-            Whether there was nothing to wait for or it is durable.
+            True if the attempt has no write-ahead or the write-ahead is durable, False otherwise.
         """
         if self.write_ahead is None:
             return True
@@ -59,48 +77,48 @@
 class Transport(Protocol):
     """Runs attempts at engines and answers clients.
 
-    An attempt from `create_attempt` ends once, by `Executor.finish_attempt`. A request is answered once, by
-    `complete`, `reject` or `fail`.
+    A transport reports the end of each attempt by one call of `Executor.finish_attempt`. The executor answers
+    each request by one call of `complete`, `reject` or `fail`.
     """
 
     def bind(self, executor: Executor) -> None:
-        """Set the executor that attempts and probes are reported to."""
+        """Set the executor that receives the ends of attempts and the results of probes."""
 
     def create_attempt(self, request: Request, effect: dispatch.StartAttempt, started_at: float) -> Attempt:
-        """Return a new attempt that does not run yet; `started_at` is the loop's time."""
+        """Return a new attempt that does not run yet. `started_at` is the time of the event loop."""
 
     def begin(self, attempt: Attempt) -> None:
-        """Run an attempt; it is in the executor's table now, and may end."""
+        """Start an attempt that the executor has added to its ledger. The attempt may end from now on."""
 
     def cancel(self, attempt: Attempt) -> None:
-        """Stop an attempt at its engine."""
+        """Cancel an attempt at its engine."""
 
     def discard(self, attempt: Attempt) -> None:
-        """Discard the result of an attempt that may not be stopped."""
+        """Discard the result of an attempt without cancelling it at its engine."""
 
     def withdraw(self, attempt: Attempt) -> None:
-        """End an attempt that has not been sent; do nothing if it has."""
+        """End an attempt if it has not been sent yet."""
 
     def commit(self, attempt: Attempt) -> None:
-        """Pass on the result of this attempt, and of no other."""
+        """Forward the result of this attempt to the client."""
 
     def complete(self, request: Request, attempt: Attempt, is_query_fault: bool) -> None:
-        """Answer with the result of an attempt, or with its error if the query is at fault."""
+        """Answer with the result of an attempt, or with the engine's error if the query is at fault."""
 
     def reject(self, request: Request, retry_after: float, reason: str) -> None:
-        """Answer that the request did not run and may be retried after some seconds."""
+        """Answer that the request did not run and may be retried after `retry_after` seconds."""
 
     def fail(self, request: Request, reason: str) -> None:
         """Answer that the request failed and may have run."""
 
     def probe(self, engine: bytes) -> None:
-        """Ask an engine for its load; the result arrives by `Executor.feed`."""
+        """Request a load report from an engine. The result is passed to `Executor.feed`."""
 
     def close_idle(self, engine: bytes) -> None:
         """Close the idle connections to an engine."""
 
     def on_attempt_released(self, attempt: Attempt) -> None:
-        """Release the resources of an ended attempt that the executor has removed."""
+        """Release resources after an ended attempt has been removed from the executor's ledger."""
 
     def close(self) -> None:
-        """Close all connections at once."""
+        """Close all connections immediately."""
--- a/saffronlane/flight/service.py
+++ b/saffronlane/flight/service.py
@@ -15,7 +15,7 @@
 from .. import dispatch
 from ..config import Config
 from ..engines import Executor
-from ..engines.flight import FlightLinks, Work
+from ..engines.flight import FlightStatement, FlightTransport
 from ..proto import flight_pb2 as flight
 from ..proto import flight_sql_pb2 as sql
 from ..proto.commands import SERVICE, packed
@@ -55,7 +55,7 @@
 class FlightFront:
     """Turns calls into requests of an Executor. `handlers` is what an `rpc.Server` serves."""
 
-    def __init__(self, config: Config, executor: Executor, links: FlightLinks) -> None:
+    def __init__(self, config: Config, executor: Executor, links: FlightTransport) -> None:
         self._config, self._executor, self._links = config, executor, links
         self._loop = asyncio.get_running_loop()
         self.sessions = Sessions(config.session_idle, config.sessions_most, self._loop.time)
@@ -219,7 +219,7 @@
         if call.deadline is not None and isinstance(sink, CallSink):
             remaining = min(remaining, call.deadline - self._loop.time())
         update = isinstance(sink, CallSink) and call.path.endswith("DoPut")
-        work = Work(handle.query, update, handle.batches, handle.prepared, _passed(call))
+        work = FlightStatement(handle.query, update, handle.batches, handle.prepared, _passed(call))
         return self._executor.submit(
             work,
             sink,
--- a/saffronlane/flight/sinks.py
+++ b/saffronlane/flight/sinks.py
@@ -27,7 +27,7 @@
         if not self.over.done():
             self.over.set_result(None)
 
-    def note(self, kind: ProgressKind, amount: float) -> None:
+    def on_progress(self, kind: ProgressKind, amount: float) -> None:
         return None
 
 
@@ -66,7 +66,7 @@
         self.ready.set()
         self._more.set()
 
-    def note(self, kind: ProgressKind, amount: float) -> None:
+    def on_progress(self, kind: ProgressKind, amount: float) -> None:
         if kind is ProgressKind.PROGRESS:
             self.progress = max(self.progress, min(1.0, amount))
 
--- a/saffronlane/lab/engine.py
+++ b/saffronlane/lab/engine.py
@@ -329,7 +329,7 @@
             await asyncio.sleep(self.config.note_period)
             self.machine.advance(self._loop.time())
             kind, amount = ("waiting", 1.0) if run.waiting else ("progress", run.progress)
-            call.write_now(orca.write_note(kind, amount))
+            call.write_now(orca.encode_progress_report(kind, amount))
 
     def _schedule(self) -> None:
         """Tell what has ended, and look again when the next run will."""
--- a/saffronlane/platform/upstream/attempt.py
+++ b/saffronlane/platform/upstream/attempt.py
@@ -47,7 +47,7 @@
     @property
     def statement(self) -> Statement:
         """What is sent."""
-        statement: Statement = self.request.work
+        statement: Statement = self.request.statement
         return statement
 
     @property
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -231,7 +231,7 @@
         assert child.wait(10.0) == 0
         by_event = {line["event"]: line for line in lines}
         assert by_event["attempt ended"]["engine"] == "e0" and by_event["attempt ended"]["attempt"] == 0
-        assert by_event["answered"]["request"] == by_event["request"]["request"] == 1
+        assert by_event["request answered"]["request"] == by_event["request"]["request"] == 1
 
 
 def test_lab_up_says_where_it_is_and_ends_on_a_signal() -> None:
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -11,7 +11,7 @@
 from saffronlane import dispatch
 from saffronlane import interface as api
 from saffronlane.engines import Executor, orca
-from saffronlane.engines.flight import ExecutorLimits, FlightLinks, Work
+from saffronlane.engines.flight import FlightStatement, FlightTransport, FlightTransportLimits
 from saffronlane.engines.outcomes import NEVER_RAN_REASON, Verdict, classify
 from saffronlane.engines.pool import PoolLimits
 from saffronlane.http2 import ErrorCode
@@ -93,7 +93,7 @@
         self.status = status
         self.over.set()
 
-    def note(self, kind: ProgressKind, amount: float) -> None:
+    def on_progress(self, kind: ProgressKind, amount: float) -> None:
         return None
 
 
@@ -115,14 +115,16 @@
             self.port = sockets[0].getsockname()[1]
             self.server.listen(sockets)
         pool = limits.pop("pool", PoolLimits(connect_timeout=0.3))
-        bounds = ExecutorLimits(pool=pool, cancel_wait=limits.pop("cancel_wait", 0.3), **limits)
-        self.executor = Executor(self.core, FlightLinks(bounds, lambda _: ("127.0.0.1", self.port)))
+        bounds = FlightTransportLimits(
+            pool=pool, cancel_ack_timeout=limits.pop("cancel_ack_timeout", 0.3), **limits
+        )
+        self.executor = Executor(self.core, FlightTransport(bounds, lambda _: ("127.0.0.1", self.port)))
         entry = api.EngineEntry(b"engine", api.EngineState.READY)
         self.executor.feed(api.EndpointListUpdate(api.EndpointListMode.FULL, 1, (entry,)))
 
-    def ask(self, remaining: float = 5.0, work: Work | None = None) -> tuple[int, Answer]:
+    def ask(self, remaining: float = 5.0, work: FlightStatement | None = None) -> tuple[int, Answer]:
         answer = Answer()
-        work = work or Work("SELECT 1")
+        work = work or FlightStatement("SELECT 1")
         return self.executor.submit(work, answer, lambda n: dispatch.Submit(n, 0, remaining)), answer
 
     async def end(self) -> dispatch.AttemptDone:
@@ -333,7 +335,7 @@
                 taken.set()
 
         server = await asyncio.start_server(deaf, "127.0.0.1", 0)
-        peer = Peer(None, cancel_wait=0.2)
+        peer = Peer(None, cancel_ack_timeout=0.2)
         peer.port = server.sockets[0].getsockname()[1]
         number, _ = peer.ask()
         await taken.wait()
@@ -386,8 +388,8 @@
     async def work() -> None:
         async def notes(call: ServerCall) -> None:
             await call.read()
-            await call.write(orca.write_note("progress", 0.25))
-            await call.write(orca.write_note("waiting", 1.0))
+            await call.write(orca.encode_progress_report("progress", 0.25))
+            await call.write(orca.encode_progress_report("waiting", 1.0))
             await call.write(flight.FlightData(data_header=b"h").SerializeToString())
 
         peer = Peer({"GetFlightInfo": info, "DoGet": notes})
@@ -415,7 +417,7 @@
     ],
 )
 def test_what_only_looks_like_a_note_is_data(message: bytes) -> None:
-    assert orca.read_note(message) is None
+    assert orca.decode_progress_report(message) is None
 
 
 def test_absurd_reports_are_no_reports() -> None:
@@ -423,9 +425,9 @@
         named_metrics={"active": float("nan")}, request_cost={"work": -1.0, "memory": float("inf")}
     )
     trailers = Metadata(((orca.TRAILER, odd.SerializeToString()),))
-    assert orca.read(trailers, ("active", "missing")) == orca.Told(0.0, 0.0, (0.0, 0.0))
-    assert orca.read(Metadata(((orca.TRAILER, b"\xff\xff"),)), ("active",)) == orca.Told()
-    assert orca.read(Metadata(), ("active",)) == orca.Told()
+    assert orca.read_load_report(trailers, ("active", "missing")) == orca.LoadReport(0.0, 0.0, (0.0, 0.0))
+    assert orca.read_load_report(Metadata(((orca.TRAILER, b"\xff\xff"),)), ("active",)) == orca.LoadReport()
+    assert orca.read_load_report(Metadata(), ("active",)) == orca.LoadReport()
 
 
 def test_a_stream_shared_by_many_calls_stays_within_what_the_engine_takes() -> None:
@@ -506,7 +508,7 @@
     async def work() -> None:
         peer = Peer({"GetFlightInfo": info, "DoGet": empty})
         first, second = peer.ask(), peer.ask()
-        effects = peer.executor._effects
+        effects = peer.executor._effect_runner
         start = effects._start_attempt
 
         def faulty(effect: dispatch.StartAttempt) -> None:
