--- a/saffronlane/dispatch/action_handler.py
+++ b/saffronlane/dispatch/action_handler.py
@@ -1,4 +1,4 @@
-"""Turns the policy's actions into effects, and drops actions that the state of their request rules out."""
+"""Turns the policy's actions into effects, and drops actions for requests that have ended."""
 
 from __future__ import annotations
 
@@ -8,13 +8,14 @@
 from .requests import RequestTable, ResourceGrant
 from .timers import TimerQueue
 
+# Recordings store these reasons and a replay compares them, so a changed text makes old recordings differ.
 NO_CAPACITY = "no engine can serve it in time"
 MAY_HAVE_RUN = "no answer in time, and it may have run"
 REPEAT_NOT_ALLOWED = "a request with this key may have run before, and may not be repeated now"
 
 
 class ActionHandler:
-    """Turns actions into effects, and drops those for requests that have ended.
+    """Applies the policy's actions to the table of requests, and emits the resulting effects.
 
     Args:
         requests: The table of requests and attempts.
--- a/saffronlane/engines/flight.py
+++ b/saffronlane/engines/flight.py
@@ -271,7 +271,7 @@
     def remove_engine(self, engine: bytes) -> None:
         """Close the idle connections to an engine that is not listed any more.
 
-        Its pool is removed once it has no call in flight.
+        Its pool is removed if no call is in flight. Otherwise it is removed when the last attempt ends.
         """
         pool = self._pools.get(engine)
         if pool is not None:
@@ -341,8 +341,8 @@
         """Cancel the attempt at its engine, and wait until the engine acknowledges the cancel or a timeout.
 
         A PING follows RST_STREAM on the same connection. Since frames are processed in order, the PING's
-        acknowledgement proves that the engine has received the cancel, so that this
-        engine does not continue the attempt unaware of the cancel while a retry runs at another engine.
+        acknowledgement proves that the engine has received the cancel. A retry at another engine therefore
+        does not overlap with an attempt whose engine is unaware of the cancel.
 
         Returns:
             The given outcome, or NOT_SENT if nothing of the attempt was sent.
@@ -352,7 +352,7 @@
             if not call.cancel() and not attempt.earlier_call_processed:
                 attempt.was_sent = False
             elif channel is not None and not attempt.is_streaming:
-                with contextlib.suppress(asyncio.CancelledError):  # a second cancel has no further effect
+                with contextlib.suppress(asyncio.CancelledError):  # a second cancel only ends the wait
                     await channel.ping(self._limits.cancel_ack_timeout)
         return Verdict(outcome if attempt.was_sent else api.Outcome.NOT_SENT)
 
@@ -449,7 +449,7 @@
     async def _start_call(self, attempt: _FlightAttempt, method: str) -> ClientCall:
         pool = self._pool(attempt.engine)
         if pool is None:
-            raise ConnectFailed("the engine has no address")
+            raise ConnectFailed("no address: the engine is not in the engine list")
         effect = attempt.effect
         channel = await pool.channel()
         remaining = attempt.started_at + effect.timeout - self._loop.time()
@@ -512,7 +512,7 @@
         try:
             pool = self._pool(engine)
             if pool is None:
-                raise ConnectFailed("the engine has no address")
+                raise ConnectFailed("no address: the engine is not in the engine list")
             async with asyncio.timeout(self._limits.pool.connect_timeout):
                 channel = await pool.channel()
                 call = channel.start(SERVICE + "ListActions", (("saffronlane-probe", "load"),))
