--- a/saffronlane/platform/__main__.py
+++ b/saffronlane/platform/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m saffronlane.platform`: one dispatcher, configured by the file that BALANCER_CONFIG names."""
+"""`python -m saffronlane.platform` runs one dispatcher, configured by the file that BALANCER_CONFIG names."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         print(f"configuration: {error}", file=sys.stderr)
         return EXIT_BAD_CONFIG
     gc.collect()
-    gc.freeze()  # objects made so far stay: collections skip them
+    gc.freeze()  # later collections skip the long-lived objects created so far
     try:
         asyncio.run(serve(config, Path(path)))
     except OSError as error:
--- a/saffronlane/platform/config.py
+++ b/saffronlane/platform/config.py
@@ -1,6 +1,6 @@
-"""The dispatcher's configuration: JSON, read at the start and again on SIGHUP.
+"""The dispatcher's configuration: a JSON file that is read at startup and again on SIGHUP.
 
-The structures map the file's and the control feed's names; nothing behind this module uses those.
+The structures map the names in this file and in the control feed to the names that all other modules use.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class EndpointList(msgspec.Struct):
-    """Endpoints that changed, or all of them where the list is complete."""
+    """The endpoints that changed, or all endpoints if the list is complete."""
 
     endpoints: list[ListedEngine] = msgspec.field(name="members")
     revision: int = 0
@@ -83,20 +83,20 @@
     """A valid configuration.
 
     Attributes:
-        name: of this dispatcher.
-        listen: where clients connect.
-        feed: address of the control feed.
-        seed: of the random numbers.
-        max_sockets: limit on descriptors.
-        memory_mb: that the process may use.
-        cores: that the process may use.
-        peer_listen: where gossip comes in; None: there is none.
-        peers: all dispatchers' addresses by position.
-        broadcast_address: one address that reaches every peer; None: each is written to.
-        last_sequence: number of the last known event.
-        known_events: the endpoint lists known at the start, in order.
-        settings: of the policy.
-        engine_idle_timeout: seconds after which engines close idle connections; 0: unknown.
+        name: The name of this dispatcher.
+        listen: The address that clients connect to.
+        feed: The address of the control feed.
+        seed: The seed of the random number generators.
+        max_sockets: The maximum number of descriptors.
+        memory_mb: The memory that the process may use, in MB.
+        cores: The number of cores that the process may use.
+        peer_listen: The address that receives gossip; None if there is no gossip.
+        peers: The gossip addresses of all dispatchers, by position.
+        broadcast_address: The address that reaches all peers; None if each peer is sent its own message.
+        last_sequence: The sequence number of the last known event.
+        known_events: The endpoint lists known at startup, in order.
+        settings: The settings of the scheduling policy.
+        engine_idle_timeout: The seconds after which engines close idle connections; 0 if unknown.
     """
 
     name: str
@@ -119,11 +119,11 @@
     """Parse `host:port`.
 
     Raises:
-        ConfigError: begins with `pointer`.
+        ConfigError: The text has another form; the message begins with `pointer`.
     """
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
-        raise ConfigError(f"{pointer}: no host:port: {text!r}")
+        raise ConfigError(f"{pointer}: expected host:port, got {text!r}")
     return host, int(port)
 
 
@@ -132,10 +132,10 @@
 
 
 def _with_pointer(error: msgspec.ValidationError) -> str:
-    """Return an error's text behind the JSON pointer of its place."""
+    """Return the text of an error, preceded by the JSON pointer to the invalid value."""
     text = str(error)
-    place = _ERROR_PATH.search(text)
-    path = place["path"] if place else ""
+    path_match = _ERROR_PATH.search(text)
+    path = path_match["path"] if path_match else ""
     pointer = re.sub(r"[.\[]+", "/", path.replace("]", "")).strip("/")
     return f"/{pointer}: {_ERROR_PATH.sub('', text)}"
 
@@ -164,20 +164,20 @@
     try:
         return int(text, 16)
     except ValueError as error:
-        raise ConfigError(f"/seed: no hexadecimal number: {text!r}") from error
+        raise ConfigError(f"/seed: expected a hexadecimal number, got {text!r}") from error
 
 
 def parse_config(data: bytes) -> DispatcherConfig:
     """Parse a configuration.
 
     Raises:
-        ConfigError: says what is invalid and where.
+        ConfigError: The configuration is invalid; the message begins with a JSON pointer.
     """
     file = _decode_file(data)
     settings, engine_idle_timeout = _read_settings(file.settings)
     seed = _read_seed(file.seed)
     if file.limits.sockets < MIN_SOCKETS:
-        raise ConfigError(f"/limits/sockets: {file.limits.sockets} is too few, {MIN_SOCKETS} are needed")
+        raise ConfigError(f"/limits/sockets: expected at least {MIN_SOCKETS}, got {file.limits.sockets}")
     events = file.known.events
     return DispatcherConfig(
         name=file.name,
@@ -201,7 +201,7 @@
     """Read a configuration file.
 
     Raises:
-        ConfigError: the file cannot be read or is invalid.
+        ConfigError: The file cannot be read or is invalid.
     """
     try:
         data = path.read_bytes()
--- a/saffronlane/platform/connection_output.py
+++ b/saffronlane/platform/connection_output.py
@@ -1,4 +1,4 @@
-"""The write side of a managed connection: flushes output once a turn of the loop, and measures stalls."""
+"""The write side of a managed connection: flushes output once per event-loop iteration and detects stalls."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class ConnectionOutput(ABC):
-    """Writes as the lifecycle allows.
+    """Writes output while the lifecycle allows it.
 
     Args:
-        stream: of the connection's socket.
-        lifecycle: says what is allowed.
+        stream: The stream of the connection's socket.
+        lifecycle: The lifecycle that decides when output may be written.
     """
 
     def __init__(self, stream: Stream, lifecycle: ConnectionLifecycle) -> None:
@@ -34,29 +34,28 @@
     @property
     @abstractmethod
     def has_queued_output(self) -> bool:
-        """Whether output waits to be handed to the stream."""
+        """Whether output is queued and not handed to the stream yet."""
 
     @abstractmethod
     def handle_event(self, event: Event, why: str) -> None:
-        """Report an event to the lifecycle, and do what the state that it enters asks for."""
+        """Report an event to the lifecycle and perform the actions of the state that it enters."""
 
     @abstractmethod
     def settle(self) -> None:
-        """Advance a graceful shutdown as far as nothing is pending any more."""
+        """Advance a graceful shutdown as far as pending work and output allow."""
 
     def schedule_flush(self) -> None:
-        """Flush at the end of this turn of the loop: what is queued in one turn is written in one piece."""
+        """Flush once at the end of this event-loop iteration, so that its output is written together."""
         if self._is_flush_scheduled:
             return
         if not self.stream.writing():
-            # In the turn in which the first output in a long time is queued, nothing was written since the
-            # output before it: that is not a stall.
+            # No output was pending until now, so the time since the last write does not count as a stall.
             self._progress.record(self.loop.time())
         self._is_flush_scheduled = True
         self.loop.call_soon(self.flush_and_settle)
 
     def flush_and_settle(self) -> None:
-        """Flush now where output may be written, and advance a graceful shutdown."""
+        """Flush now if output may be written, and advance a graceful shutdown."""
         self._is_flush_scheduled = False
         if self.lifecycle.allows_writes:
             self.flush()
@@ -64,7 +63,7 @@
             self.settle()
 
     def write_to_stream(self, data: bytes) -> bool:
-        """Write now; whether the stream accepted it. A broken stream is left to its reader."""
+        """Write data and return whether the stream accepted it; the reader handles a broken stream."""
         try:
             written = self.stream.write(data)
         except StreamClosedError:
@@ -77,23 +76,23 @@
         return True
 
     def _on_written(self) -> None:
-        self.stalled_for()
+        self.update_stall()
         self.flush_and_settle()
 
-    def stalled_for(self) -> float:
-        """Seconds for which none of the pending output was written."""
+    def update_stall(self) -> float:
+        """Record write progress; return the seconds for which none of the pending output was written."""
         now = self.loop.time()
         if self._progress.has_progressed() or not self.has_pending_output:
             self._progress.record(now)
             self.lifecycle.record_write_progress(now)
-        return self._progress.stalled_for(now)
+        return self._progress.stall_duration(now)
 
     @property
     def has_pending_output(self) -> bool:
-        """Whether output is queued or not yet written."""
+        """Whether output is queued or not written completely."""
         return self.has_queued_output or self.stream.writing()
 
     @property
     def backlog(self) -> int:
-        """Bytes that were handed to the stream and are not written."""
+        """The number of bytes that were handed to the stream and are not written yet."""
         return 0 if self.stream.closed() else self.stream.bytes_accepted - self.stream.bytes_written
--- a/saffronlane/platform/descriptors.py
+++ b/saffronlane/platform/descriptors.py
@@ -1,4 +1,4 @@
-"""File descriptors: their allocation to clients and engines, and the report where none is left."""
+"""File descriptors: their allocation to clients and engines, and the detection of their exhaustion."""
 
 from __future__ import annotations
 
@@ -11,34 +11,34 @@
 import structlog
 
 log = structlog.get_logger()
-ENGINE_RATIO = 0.25  # of the descriptors, for connections to engines
+ENGINE_DESCRIPTOR_RATIO = 0.25
 RESERVED_DESCRIPTORS = 16  # for discovery, gossip, and connections that close while others open
-DEFAULT_OPEN_DESCRIPTORS = 8  # standard streams and the event loop's, where the system does not tell
+DEFAULT_OPEN_DESCRIPTORS = 8  # standard streams and the event loop, if the system does not report the number
 LOG_INTERVAL = 5.0  # seconds between log events of exhaustion
-REMEDY = "Raise the limit on descriptors, or look who holds connections; service returns by itself."
+REMEDY = "Raise the descriptor limit, or find out which peers hold connections; service resumes by itself."
 _EXHAUSTION_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 @dataclass(frozen=True, slots=True)
 class DescriptorAllocation:
-    """How many connections to clients and to engines may be open."""
+    """The maximum number of open connections to clients and to engines."""
 
     clients: int
     engines: int
 
 
 def allocate_descriptors(configured_limit: int) -> DescriptorAllocation:
-    """Divide the descriptors that the process may hold.
+    """Divide the descriptors that the process may use between clients and engines.
 
-    Those that are open already are subtracted, so that the reserve is available when it is needed.
+    Descriptors that are already open are subtracted, so that the reserve is available when it is needed.
 
     Args:
-        configured_limit: used unless the system's limit is lower.
+        configured_limit: The configured limit, which applies unless the system's limit is lower.
     """
     system_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     is_unlimited = system_limit == resource.RLIM_INFINITY
     limit = configured_limit if is_unlimited else min(configured_limit, system_limit)
-    engines = int(limit * ENGINE_RATIO)
+    engines = int(limit * ENGINE_DESCRIPTOR_RATIO)
     clients = limit - engines - RESERVED_DESCRIPTORS - _open_descriptor_count()
     return DescriptorAllocation(clients=max(1, clients), engines=max(1, engines))
 
@@ -51,14 +51,14 @@
 
 
 class DescriptorExhaustion:
-    """Recognizes and logs lack of descriptors, at most once in `LOG_INTERVAL`."""
+    """Detects a lack of descriptors, and logs it at most once per `LOG_INTERVAL`."""
 
     def __init__(self) -> None:
         self.occurrence_count = 0
         self._logged_at = -LOG_INTERVAL
 
     def report_if_exhausted(self, error: OSError, operation: str) -> bool:
-        """Return whether an error means that no descriptor, or no memory for one, is left; log it if so."""
+        """Return whether an error is due to a lack of descriptors, or of memory for one; log it if so."""
         if error.errno not in _EXHAUSTION_ERRORS:
             return False
         self.occurrence_count += 1
--- a/saffronlane/platform/downstream/client_connection.py
+++ b/saffronlane/platform/downstream/client_connection.py
@@ -223,7 +223,7 @@
     def check_timeouts(self, now: float) -> None:
         """Close the connection where the client is slow to read or to send, or idle."""
         if self.has_pending_output:
-            if self.stalled_for() > BOUNDS.stall_timeout:
+            if self.update_stall() > BOUNDS.stall_timeout:
                 self.abort("replies not read")
         elif not self.lifecycle.accepts_work:
             return  # closing has timeouts of its own
--- a/saffronlane/platform/errors.py
+++ b/saffronlane/platform/errors.py
@@ -6,27 +6,31 @@
 
 
 class ConfigError(SaffronlaneError):
-    """The configuration is invalid; the text is one line that begins with the JSON pointer."""
+    """The configuration is invalid; the message is one line that begins with a JSON pointer."""
 
-    remedy = "Correct the configuration at the JSON pointer in the text and start or send SIGHUP again."
+    remedy = (
+        "Correct the value at the JSON pointer in the message, then start the process or send SIGHUP again."
+    )
 
 
 class DiscoveryError(SaffronlaneError):
-    """The connection to the control feed cannot be used any more."""
+    """The connection to the control feed is no longer usable."""
 
     remedy = (
-        "Nothing if it is seldom, since the feed is asked again from the last event; else look "
-        "at the feed and the way to it."
+        "If this is rare, no action is needed, since the watch resumes after the last event; otherwise check "
+        "the feed and the network path to it."
     )
 
 
 class BadRequestError(SaffronlaneError):
-    """A request is invalid; the text names the field."""
+    """A request is invalid; the message names the field."""
 
-    remedy = "Have the client correct the field that the text names; nothing is wrong here."
+    remedy = "Have the client correct the field that the message names; the dispatcher needs no action."
 
 
 class InvalidResponse(SaffronlaneError):
-    """A response is not what the protocol allows."""
+    """A response violates the protocol."""
 
-    remedy = "Look at that compute node and the network to it; the attempt has gone elsewhere."
+    remedy = (
+        "Check that compute node and the network path to it; requests are retried at other compute nodes."
+    )
--- a/saffronlane/platform/lifecycle/__init__.py
+++ b/saffronlane/platform/lifecycle/__init__.py
@@ -1,4 +1,4 @@
-"""State machines of a connection and of the process, without I/O or a clock: when each may end."""
+"""State machines, without I/O or a clock, that decide when a connection and the process may end."""
 
 from .connection import ConnectionLifecycle, ConnectionLimits, Event, State
 from .process import OutstandingWork, Phase, ProcessLifecycle
--- a/saffronlane/platform/lifecycle/connection.py
+++ b/saffronlane/platform/lifecycle/connection.py
@@ -1,8 +1,8 @@
 """The lifecycle of one connection, to a client or to a compute node.
 
-The same table serves both sides: graceful shutdown, half-close and lingering close as they are known from TCP
-servers. The driver owns the socket; it reports events and does what the state that is entered asks for:
-HALF_CLOSED, shut the write side down; CLOSED, close the socket.
+Both sides use the same state machine. It implements graceful shutdown, half-close and lingering close as
+usual for TCP servers. The driver owns the socket and reports events. On entering HALF_CLOSED it shuts down
+the write side; on entering CLOSED it closes the socket.
 """
 
 from __future__ import annotations
@@ -13,37 +13,37 @@
 
 
 class State(Enum):
-    """What is read, what is acted on and what is pending; `docs/platform.md` has the table."""
+    """The state of a connection; `docs/platform.md` has the table of transitions."""
 
-    CONNECTING = "connecting"  # outgoing, not established: nothing is read, output waits
-    OPEN = "open"  # all is read and acted on
-    DRAINING = "draining"  # no new work is accepted; pending work is finished
-    FLUSHING = "flushing"  # no work is pending; output is still to be written, input is read and discarded
-    HALF_CLOSED = "half closed"  # our side is shut down; input is discarded until the peer closes
+    CONNECTING = "connecting"  # outgoing and not established: nothing is read, output is queued
+    OPEN = "open"  # all input is processed
+    DRAINING = "draining"  # no new work is accepted; pending work is completed
+    FLUSHING = "flushing"  # no work is pending; remaining output is written, input is discarded
+    HALF_CLOSED = "half closed"  # the write side is shut down; input is discarded until the peer closes
     CLOSED = "closed"
 
 
 class Event(Enum):
-    """What happens to a connection."""
+    """An event that can change the state of a connection."""
 
     CONNECTED = "connected"
-    DRAIN = "drain"  # accept no new work: idle, evicted, replaced, end of the process
+    DRAIN = "drain"  # accept no new work: idle, evicted, replaced, or the process ends
     SETTLED = "settled"  # no work is pending any more
     FLUSHED = "flushed"  # all output is written
-    EOF = "eof"  # the peer has closed: a client has gone, a compute node has given up what was pending
-    BROKEN = "broken"  # refused, reset, unreadable
+    EOF = "eof"  # the peer has closed: a client disconnected, or a compute node dropped its pending work
+    BROKEN = "broken"  # the connection was refused or reset, or its input cannot be parsed
     EXPIRED = "expired"  # the deadline of the state has passed
-    ABORT = "abort"  # close now, whatever is pending
+    ABORT = "abort"  # close immediately, whatever is pending
 
 
-_GRACEFUL: dict[tuple[State, Event], State] = {
+_GRACEFUL_TRANSITIONS: dict[tuple[State, Event], State] = {
     (State.CONNECTING, Event.CONNECTED): State.OPEN,
-    (State.CONNECTING, Event.DRAIN): State.CLOSED,  # nothing was sent: there is nothing to end gracefully
+    (State.CONNECTING, Event.DRAIN): State.CLOSED,  # nothing was sent, so no graceful close is needed
     (State.OPEN, Event.DRAIN): State.DRAINING,
     (State.DRAINING, Event.SETTLED): State.FLUSHING,
     (State.FLUSHING, Event.FLUSHED): State.HALF_CLOSED,
 }
-_FINAL = frozenset((Event.EOF, Event.BROKEN, Event.EXPIRED, Event.ABORT))
+_CLOSING_EVENTS = frozenset((Event.EOF, Event.BROKEN, Event.EXPIRED, Event.ABORT))
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,10 +51,10 @@
     """Limits of the states that wait for the peer.
 
     Attributes:
-        connect_timeout: seconds until a connection is established.
-        stall_timeout: seconds for which output may wait without any of it being written.
-        linger_timeout: seconds until the peer closes its side too.
-        max_linger_bytes: that are read and discarded meanwhile.
+        connect_timeout: The seconds within which a connection must be established.
+        stall_timeout: The seconds for which output may be pending while none of it is written.
+        linger_timeout: The seconds within which the peer must close its side after this side was shut down.
+        max_linger_bytes: The maximum number of input bytes that are discarded while the connection closes.
     """
 
     connect_timeout: float = math.inf
@@ -67,28 +67,32 @@
     """The state of one connection.
 
     Args:
-        limits: of the states that wait for the peer.
-        now: seconds on the driver's clock.
-        outgoing: whether it is still to be established.
+        limits: The limits of the states that wait for the peer.
+        now: The current time on the driver's clock, in seconds.
+        outgoing: Whether the connection has yet to be established.
     """
 
     def __init__(self, limits: ConnectionLimits, now: float, outgoing: bool = False) -> None:
         self._limits = limits
         self._discarded_bytes = 0
         self.state = State.CONNECTING if outgoing else State.OPEN
-        self.deadline = now + limits.connect_timeout if outgoing else math.inf  # when EXPIRED is due
+        self.deadline = now + limits.connect_timeout if outgoing else math.inf  # when EXPIRED is reported
 
     def handle(self, event: Event, now: float) -> State:
-        """The state after an event; one that has no meaning in a state changes nothing."""
+        """Apply an event and return the resulting state; without a transition, the state stays the same."""
         if self.state is State.CLOSED:
             return self.state
-        after = State.CLOSED if event in _FINAL else _GRACEFUL.get((self.state, event), self.state)
+        after = (
+            State.CLOSED
+            if event in _CLOSING_EVENTS
+            else _GRACEFUL_TRANSITIONS.get((self.state, event), self.state)
+        )
         if after is not self.state:
             self.state = after
-            self.deadline = now + self._timeout_of(after)
+            self.deadline = now + self._state_timeout(after)
         return after
 
-    def _timeout_of(self, state: State) -> float:
+    def _state_timeout(self, state: State) -> float:
         match state:
             case State.FLUSHING:
                 return self._limits.stall_timeout
@@ -98,12 +102,12 @@
                 return math.inf
 
     def record_write_progress(self, now: float) -> None:
-        """Some output was written: a slow peer is not a stalled one."""
+        """Restart the stall timeout after some output was written, since a slow peer is not a stalled one."""
         if self.state is State.FLUSHING:
             self.deadline = now + self._limits.stall_timeout
 
     def discard(self, byte_count: int, now: float) -> State:
-        """Input arrived that is not acted on; the state after it, closed once there was too much."""
+        """Count discarded input and return the resulting state, which is CLOSED once there was too much."""
         self._discarded_bytes += byte_count
         if self._discarded_bytes > self._limits.max_linger_bytes:
             return self.handle(Event.EXPIRED, now)
@@ -111,12 +115,12 @@
 
     @property
     def accepts_work(self) -> bool:
-        """Whether new work may begin on it."""
+        """Whether new work may start on the connection."""
         return self.state in (State.CONNECTING, State.OPEN)
 
     @property
     def processes_input(self) -> bool:
-        """Whether input is acted on."""
+        """Whether input is processed rather than discarded."""
         return self.state in (State.OPEN, State.DRAINING)
 
     @property
@@ -126,10 +130,10 @@
 
     @property
     def is_closing(self) -> bool:
-        """Whether no work is pending and it waits for its peer alone."""
+        """Whether no work is pending and the connection only waits for its peer."""
         return self.state in (State.FLUSHING, State.HALF_CLOSED)
 
     @property
     def is_closed(self) -> bool:
-        """Whether it has ended."""
+        """Whether the connection is closed."""
         return self.state is State.CLOSED
--- a/saffronlane/platform/lifecycle/process.py
+++ b/saffronlane/platform/lifecycle/process.py
@@ -1,8 +1,9 @@
 """Graceful shutdown of the process: all requests are answered, and connections close without a reset.
 
-The platform sets the times: new connections come for up to 0.4 s after SIGTERM, requests on open ones for
-0.2 s more, and SIGKILL no sooner than 0.7 s after the longest deadline, which counts as 3 s where it is
-longer. What ends by itself within that is waited for; the rest is answered while there is time.
+The platform defines the times. New connections may arrive for up to 0.4 s after SIGTERM, and requests on open
+connections for another 0.2 s. SIGKILL follows at least 0.7 s after the longest deadline; a deadline of more
+than 3 s counts as 3 s. Requests that end within that time are awaited. All others are answered shortly before
+SIGKILL.
 """
 
 from __future__ import annotations
@@ -11,15 +12,15 @@
 from dataclasses import dataclass
 from enum import Enum
 
-NEW_REQUEST_WINDOW = 1.0  # seconds after SIGTERM in which requests may come, with a margin for a slow loop
-QUIET_PERIOD = 0.3  # seconds without a new request until the end
-MAX_DEADLINE = 3.0  # seconds that the longest deadline counts for at most
+NEW_REQUEST_WINDOW = 1.0  # seconds after SIGTERM in which requests may arrive, with a margin for a slow loop
+QUIET_PERIOD = 0.3  # seconds without a new request before connections are closed
+MAX_DEADLINE = 3.0  # seconds; a longer deadline counts as this
 KILL_DELAY = 0.7  # seconds from the longest deadline to SIGKILL
-ANSWER_MARGIN = 0.25  # seconds before SIGKILL in which the remaining answers have to arrive
+ANSWER_MARGIN = 0.25  # seconds before SIGKILL that are left for the remaining answers
 
 
 def shutdown_grace_period(longest_deadline: float) -> float:
-    """Seconds after SIGTERM for which answers are waited for."""
+    """Return the seconds after SIGTERM for which answers are awaited."""
     return min(longest_deadline, MAX_DEADLINE) + KILL_DELAY - ANSWER_MARGIN
 
 
@@ -28,19 +29,19 @@
 
     SERVING = "serving"
     DRAINING = "draining"  # health checks fail; requests are still accepted, and all are answered
-    CLOSING = "closing"  # nothing is pending, nobody listens; connections are half closed and linger
+    CLOSING = "closing"  # no request is pending, nothing listens; connections are half-closed and linger
     ENDED = "ended"
 
 
 @dataclass(frozen=True, slots=True)
 class OutstandingWork:
-    """What the driver sees.
+    """What must still be completed before the process ends, as observed by the driver.
 
     Attributes:
-        last_request_at: when the last request came, in seconds.
-        has_unanswered: whether requests have no answer, or answers are not written.
-        has_unread: whether something waits to be accepted or read.
-        connection_count: of clients, those that linger among them.
+        last_request_at: The time at which the last request arrived, in seconds.
+        has_unanswered: Whether a request has no answer, or an answer is not written completely.
+        has_unread: Whether connections wait to be accepted, or input waits to be read.
+        connection_count: The number of client connections, including lingering ones.
     """
 
     last_request_at: float
@@ -53,8 +54,8 @@
     """The phase of the process.
 
     Args:
-        linger_timeout: seconds that connections may take to close.
-        grace_period: seconds after SIGTERM for which answers are waited for.
+        linger_timeout: The seconds that connections may take to close.
+        grace_period: The seconds after SIGTERM for which answers are awaited.
     """
 
     def __init__(self, linger_timeout: float, grace_period: float) -> None:
@@ -62,18 +63,19 @@
         self._grace_period = grace_period
         self._phase_started_at = -math.inf
         self.phase = Phase.SERVING
-        # Terminated twice, or SIGKILL is near: pending requests are answered at once, no new ones awaited.
+        # Set by a second signal, or when SIGKILL is near: pending requests are answered immediately, and new
+        # ones are no longer awaited.
         self.is_expedited = False
 
     def terminate(self, now: float) -> None:
-        """Handle SIGTERM or SIGINT."""
+        """Handle SIGTERM or SIGINT; a second signal expedites the shutdown."""
         if self.phase is Phase.SERVING:
             self._enter(Phase.DRAINING, now)
         else:
             self.is_expedited = True
 
     def advance(self, now: float, outstanding: OutstandingWork) -> Phase:
-        """Enter the next phase where nothing holds it up; returns the phase after that."""
+        """Enter the next phase if nothing prevents it; return the resulting phase."""
         is_overdue = now >= self._phase_started_at + self._phase_timeout()
         if self.phase is Phase.DRAINING:
             self.is_expedited = self.is_expedited or is_overdue
--- a/saffronlane/platform/managed_connection.py
+++ b/saffronlane/platform/managed_connection.py
@@ -1,6 +1,6 @@
-"""One connection bound to its lifecycle: reads, writes and closes as `ConnectionLifecycle` says.
+"""A connection that reads, writes and closes as its `ConnectionLifecycle` decides.
 
-Both sides are made of it: `downstream` for clients, `upstream` for compute nodes.
+Both sides derive their connections from it: `downstream` those of clients, `upstream` those to compute nodes.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 from .stream import READ_CHUNK_BYTES, Stream
 
 log = structlog.get_logger()
-EXPIRY_TOLERANCE = 1e-3  # seconds that a timer may be early
+EXPIRY_TOLERANCE = 1e-3  # seconds by which a timer may fire early
 
 
 class ManagedConnection(ConnectionOutput):
-    """One connection. `start` it once its owner knows it.
+    """One connection. The owner registers the connection before it calls `start`.
 
     Args:
-        stream: of its socket.
-        lifecycle: says what is allowed; this object alone reports events to it.
+        stream: The stream of the connection's socket.
+        lifecycle: The lifecycle that decides what is allowed; only this object reports events to it.
     """
 
     def __init__(self, stream: Stream, lifecycle: ConnectionLifecycle) -> None:
@@ -35,26 +35,26 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to read."""
+        """Start the task that establishes the connection, if it is outgoing, and reads from it."""
         self._task = self.loop.create_task(self._run())
 
-    # --- what each side provides ---
+    # --- implemented by each side ---
 
     @property
     @abstractmethod
     def has_pending_work(self) -> bool:
-        """Whether something has begun here whose end is still to come."""
+        """Whether work that started on this connection has not ended."""
 
     @abstractmethod
     def receive(self, data: bytes) -> None:
-        """Act on bytes that were read."""
+        """Process received bytes."""
 
     @abstractmethod
     def on_closed(self, event: Event, why: str) -> None:
-        """End what was pending: an event has closed the connection. Called once."""
+        """End all pending work after an event has closed the connection; called once."""
 
     async def connect(self) -> None:
-        """Establish an outgoing connection; raises where that fails."""
+        """Establish an outgoing connection; raise an error if that fails."""
         raise NotImplementedError
 
     # --- reading ---
@@ -66,12 +66,12 @@
                 self.handle_event(Event.CONNECTED, "connected")
                 self.flush_and_settle()
             while not self.lifecycle.is_closed:
-                reading = self.stream.read_bytes(READ_CHUNK_BYTES, partial=True)
+                read_future = self.stream.read_bytes(READ_CHUNK_BYTES, partial=True)
                 if not self.stream.reading():
-                    # Guards against a peer that sends without a pause: what is there at once would be read
-                    # at once, again and again, and the loop would serve nobody else.
+                    # Data was available immediately. Without this pause, a peer that sends continuously would
+                    # keep this task running, and the event loop would serve no other connection.
                     await asyncio.sleep(0)
-                self._on_data(await reading)
+                self._on_data(await read_future)
         except StreamClosedError as error:
             self.handle_event(Event.EOF if error.real_error is None else Event.BROKEN, repr(error))
         except (OSError, TimeoutError) as error:
@@ -88,49 +88,50 @@
 
     @property
     def has_unprocessed_input(self) -> bool:
-        """Whether the peer's bytes, or its end, have arrived and have not been acted on."""
+        """Whether bytes of the peer, or its end of stream, have arrived and are not processed yet."""
         return self.stream.has_undelivered_data or self.stream.peek() is not None
 
     # --- ending ---
 
     def drain(self, why: str) -> None:
-        """Shut down gracefully: accept no new work, finish what is pending, and send the peer no reset."""
+        """Shut down gracefully: accept no new work, complete pending work, and close without a reset."""
         self.handle_event(Event.DRAIN, why)
         self.settle()
 
     def settle(self) -> None:
-        """Advance a graceful shutdown as far as nothing is pending any more."""
+        """Advance a graceful shutdown as far as pending work and output allow."""
         if self.lifecycle.state is State.DRAINING and not self.has_pending_work:
             self.handle_event(Event.SETTLED, "settled")
         if self.lifecycle.state is State.FLUSHING and not self.has_pending_output:
             self.handle_event(Event.FLUSHED, "flushed")
 
     def call_after_pending_input(self, callback: Callable[[], None]) -> None:
-        """Call back once all that the peer sent before now has been read, or handed over to be.
+        """Call back once all input that has arrived by now was read, or was passed on to be read.
 
-        Guards against a close over bytes that had arrived before the decision, where only the loop was late.
-        The first turn's select finds them, the second finds them handed over.
+        Without this wait, a connection could be closed although input had arrived before the decision and
+        only the event loop was late. The next iteration's `select` finds this input; in the iteration after
+        that, it has been passed on.
         """
         self.loop.call_soon(self.loop.call_soon, callback)
 
-    def run_isolated(self, work: Callable[[], None]) -> None:
-        """Do this connection's part of what is done for all: an error in it ends this connection alone.
+    def run_isolated(self, action: Callable[[], None]) -> None:
+        """Run an action on this connection; an exception in it aborts this connection only.
 
-        Guards against an error that ends the periodic checks of all connections, or their shutdown.
+        Otherwise, the exception would end the periodic checks or the shutdown of all connections.
         """
         try:
-            work()
+            action()
         except Exception:
             log.exception("connection failed")
             with contextlib.suppress(Exception):
                 self.abort("internal error")
 
     def abort(self, why: str) -> None:
-        """Close at once, whatever is pending."""
+        """Close immediately, whatever is pending."""
         self.handle_event(Event.ABORT, why)
 
     def handle_event(self, event: Event, why: str) -> None:
-        """Report an event to the lifecycle, and do what the state that it enters asks for."""
+        """Report an event to the lifecycle and perform the actions of the state that it enters."""
         before = self.lifecycle.state
         after = self.lifecycle.handle(event, self.loop.time())
         if after is before:
@@ -153,8 +154,8 @@
 
     def _on_expiry(self) -> None:
         self._expiry_timer = None
-        self.stalled_for()
-        if self.loop.time() < self.lifecycle.deadline - EXPIRY_TOLERANCE:  # there was progress meanwhile
+        self.update_stall()
+        if self.loop.time() < self.lifecycle.deadline - EXPIRY_TOLERANCE:  # output was written meanwhile
             self._schedule_expiry()
         else:
             self.handle_event(Event.EXPIRED, "closing timed out")
--- a/saffronlane/platform/reload.py
+++ b/saffronlane/platform/reload.py
@@ -1,4 +1,4 @@
-"""Reload of the configuration: which of its fields take effect, and which need a restart."""
+"""Reloads the configuration and reports changed fields that only take effect after a restart."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from .errors import ConfigError
 
 log = structlog.get_logger()
-# Fields that only a restart applies, with the names in the file.
+# Fields that only take effect after a restart, with their names in the file.
 RESTART_FIELDS = {
     "listen": "listen",
     "max_sockets": "sockets",
@@ -24,7 +24,7 @@
 
 
 def pending_restart(current: DispatcherConfig, loaded: DispatcherConfig) -> list[str]:
-    """Return the names, as in the file, of changed fields that only a restart applies."""
+    """Return the names in the file of changed fields that only take effect after a restart."""
     return [
         file_name
         for attribute, file_name in RESTART_FIELDS.items()
@@ -33,15 +33,17 @@
 
 
 def reload_config(path: Path, current: DispatcherConfig) -> DispatcherConfig | None:
-    """Load the configuration again; None, with a log event, where it is invalid or another dispatcher's."""
+    """Load the configuration again; log an error and return None if it is invalid or another dispatcher's."""
     try:
         loaded = load_config(path)
     except ConfigError as error:
         log.error("configuration reload failed", **error_fields(error))
         return None
     if loaded.name != current.name:
-        # Another dispatcher's control feed may list other engines.
-        log.error("configuration reload failed", why="name differs", name=loaded.name)
+        # The control feed of another dispatcher may list other engines.
+        log.error(
+            "configuration reload failed", why="configuration belongs to another dispatcher", name=loaded.name
+        )
         return None
     log.info("configuration reloaded", feed=loaded.feed, pending_restart=pending_restart(current, loaded))
     return loaded
--- a/saffronlane/platform/server.py
+++ b/saffronlane/platform/server.py
@@ -34,11 +34,11 @@
 
 
 class DispatcherServer:
-    """One dispatcher process. `start`, then `run` until it has ended.
+    """One dispatcher process: `start` begins to serve, and `run` returns when the shutdown is complete.
 
     Args:
-        config: its configuration.
-        path: of the configuration's file, for `reload`; None: there is none.
+        config: The configuration.
+        path: The path of the configuration file, which `reload` reads again; None if there is no file.
     """
 
     def __init__(self, config: DispatcherConfig, path: Path | None = None) -> None:
@@ -51,7 +51,7 @@
         self.endpoints = EndpointTable(settings, self._loop.time, time.time)
         self.dispatcher = dispatch.Dispatcher(settings, config.seed)
         self.links = UpstreamTransport(
-            _link_limits(config, allocation.engines), self.endpoints.address, exhaustion
+            _upstream_limits(config, allocation.engines), self.endpoints.address, exhaustion
         )
         self.peers = self._gossip_transport()
         self.executor = Executor(self.dispatcher, self.links, self.peers.send if self.peers else None)
@@ -66,7 +66,7 @@
         self.discovery = DiscoveryWatch(
             config.feed, config.last_sequence, self._on_endpoints, Random(config.seed), exhaustion
         )
-        max_deadline = max((entry.deadline for entry in settings.classes), default=0.0)
+        max_deadline = max((query_class.deadline for query_class in settings.classes), default=0.0)
         self.process = ProcessLifecycle(
             ConnectionLimits().linger_timeout, shutdown_grace_period(max_deadline)
         )
@@ -95,7 +95,10 @@
             self.links.remove_engine(engine)
         changed = []
         if not endpoints.is_complete:
-            changed = [f"{one.engine} {one.state} {one.started_at_ms:.0f}" for one in endpoints.endpoints]
+            changed = [
+                f"{endpoint.engine} {endpoint.state} {endpoint.started_at_ms:.0f}"
+                for endpoint in endpoints.endpoints
+            ]
         log.info(
             "endpoints updated",
             revision=endpoints.revision,
@@ -110,7 +113,7 @@
         """Listen and serve.
 
         Raises:
-            OSError: the address cannot be bound.
+            OSError: The address cannot be bound.
         """
         for endpoints in self.config.known_events:
             self._on_endpoints(endpoints)
@@ -130,7 +133,7 @@
         )
 
     def reload(self) -> None:
-        """Load the configuration again and watch its control feed. Invalid ones change nothing."""
+        """Load the configuration again and watch its control feed; an invalid configuration has no effect."""
         if self._path is None:
             return
         config = reload_config(self._path, self.config)
@@ -138,17 +141,17 @@
             self.discovery.change_address(config.feed)
 
     def stop(self) -> None:
-        """Shut down gracefully. A second call answers all pending requests at once."""
+        """Shut down gracefully. A second call answers all pending requests immediately."""
         self._shutdown.request()
 
     async def run(self) -> None:
         """Serve until the shutdown is complete."""
         await self._shutdown.ended.wait()
         self.close()
-        log.info("ended", requests=self.downstream.request_count)
+        log.info("shutdown complete", requests=self.downstream.request_count)
 
     def close(self) -> None:
-        """Close everything at once."""
+        """Close everything immediately."""
         self._stats.close()
         self._shutdown.close()
         self.discovery.close()
@@ -158,7 +161,7 @@
         self.executor.close()
 
 
-def _link_limits(config: DispatcherConfig, max_connections: int) -> UpstreamLimits:
+def _upstream_limits(config: DispatcherConfig, max_connections: int) -> UpstreamLimits:
     limits = config.settings.limits
     return UpstreamLimits(
         max_streams=limits.max_concurrent_streams,
@@ -173,8 +176,8 @@
     server = DispatcherServer(config, path)
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGHUP, server.reload)
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, server.stop)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, server.stop)
     server.start()
     with contextlib.suppress(asyncio.CancelledError):
         await server.run()
--- a/saffronlane/platform/shutdown.py
+++ b/saffronlane/platform/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: every request is answered, then connections are closed, then the process ends."""
+"""Graceful shutdown: all requests are answered, then connections are closed, then the process ends."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
     """Drives the process from the first signal to its end.
 
     Args:
-        process: decides the phases.
-        dispatcher: counts pending requests.
-        executor: takes the command to answer all of them.
-        downstream: is drained.
+        process: The state machine that decides the phases.
+        dispatcher: The dispatcher, which counts pending requests.
+        executor: The executor, which receives the input that answers all pending requests.
+        downstream: The server of client connections, which is drained.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         self.ended = asyncio.Event()
 
     def request(self) -> None:
-        """Begin the shutdown. A second call answers all pending requests at once."""
+        """Start the shutdown. A second call answers all pending requests immediately."""
         self._process.terminate(self._loop.time())
         log.info(
             "shutdown requested",
@@ -60,7 +60,7 @@
             self._task.cancel()
 
     def _expedite_if_due(self) -> None:
-        """Answer all pending requests, once, when there is no more time for them."""
+        """Answer all pending requests if the shutdown is expedited; later calls do nothing."""
         if self._process.is_expedited and not self._is_expediting:
             self._is_expediting = True
             log.warning("shutdown expedited", pending=self._dispatcher.pending_count)
@@ -70,17 +70,18 @@
         try:
             while self._process.phase is not Phase.ENDED:
                 await asyncio.sleep(CHECK_INTERVAL)
-                # Two more turns of the loop: what had arrived by now is read, or handed over to be.
+                # After two more iterations of the event loop, all input that has arrived by now was read, or
+                # was passed on to be read.
                 await asyncio.sleep(0)
                 await asyncio.sleep(0)
                 self._advance()
         except Exception:
             log.exception("shutdown failed")
-        finally:  # a process that was told to end must end
+        finally:  # the process must end even if its shutdown fails
             self.ended.set()
 
     def _advance(self) -> None:
-        """Go on to the next phase where it is due, without a turn of the loop between check and drain."""
+        """Enter the next phase if it is due; the event loop does not run between the check and the drain."""
         phase_before = self._process.phase
         phase = self._process.advance(self._loop.time(), self._outstanding_work())
         if phase is Phase.CLOSING and phase_before is not Phase.CLOSING:
@@ -96,7 +97,7 @@
         )
         is_drained = self._process.phase is Phase.DRAINING and not is_pending
         has_unread = is_drained and downstream.has_unread_input()
-        # Connections in the system's backlog were accepted by it, and their requests are to be answered.
+        # The kernel has accepted the connections in the listen backlog, so their requests must be answered.
         awaits_capacity = downstream.listener.is_paused and not self._process.is_expedited
         return OutstandingWork(
             downstream.last_request_at,
--- a/saffronlane/platform/sql_tables.py
+++ b/saffronlane/platform/sql_tables.py
@@ -1,4 +1,4 @@
-"""Finds the group of tables that a statement reads or writes, lexically in one pass."""
+"""Finds the table group that a statement reads or writes, in one lexical pass."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
     r"|(?P<word>\"(?:[^\"]|\"\")*+(?:\"|\Z)|[A-Za-z_][\w$]*+)"
     r"|(?P<other>[^\s])"
 )
-_PART = re.compile(_NAME)
-_TABLE_KEYWORDS = frozenset(("from", "join", "into", "update", "table", "using"))  # a table's name follows
-_MODIFIERS = frozenset(("only", "lateral", "overwrite"))  # may stand between keyword and name
+_NAME_PATTERN = re.compile(_NAME)
+_TABLE_KEYWORDS = frozenset(("from", "join", "into", "update", "table", "using"))  # followed by a table name
+_MODIFIERS = frozenset(("only", "lateral", "overwrite"))  # allowed between keyword and table name
 STAGING_SCHEMA = "staging"
 MAX_GROUP_DIGITS = 12
 
 
 def _schema_group(path: str) -> float | None:
     """Return the number after the last underscore of the schema in a dotted name, if it has one."""
-    schema = _PART.findall(path)[-2].strip('"')
+    schema = _NAME_PATTERN.findall(path)[-2].strip('"')
     name, underscore, number = schema.rpartition("_")
     if not underscore or not name or name.lower() == STAGING_SCHEMA:
         return None
@@ -30,12 +30,13 @@
 
 
 def table_group(statement: bytes) -> float:
-    """Return the number of the group of tables that a statement uses; 0 where it names none.
+    """Return the number of the table group that a statement uses; 0 if it names none.
 
-    The first numbered name at a table's place counts. Only where there is none does one elsewhere count (in a
-    list after a comma, say), so that a column written `t_9.id` does not stand for a table.
+    The first numbered schema directly after a table keyword decides. If there is none, the first numbered
+    schema elsewhere decides, for example in a list after a comma. Thus a column written as `t_9.id` does not
+    take precedence over a table.
     """
-    group_elsewhere: float | None = None
+    fallback_group: float | None = None
     expects_table = False
     for token in _TOKEN.finditer(statement.decode("latin-1")):
         kind = token.lastgroup
@@ -45,11 +46,11 @@
             group = _schema_group(token.group())
             if group is not None and expects_table:
                 return group
-            if group is not None and group_elsewhere is None:
-                group_elsewhere = group
+            if group is not None and fallback_group is None:
+                fallback_group = group
         if kind == "word":
             word = token.group().lower()
             expects_table = word in _TABLE_KEYWORDS or (expects_table and word in _MODIFIERS)
         else:
             expects_table = False
-    return group_elsewhere or 0.0
+    return fallback_group or 0.0
--- a/saffronlane/platform/statement.py
+++ b/saffronlane/platform/statement.py
@@ -10,10 +10,10 @@
     """A statement as the client sent it.
 
     Attributes:
-        request_id: the client's id for the request.
-        query_class: name of the class.
-        body: the text, UTF-8.
-        idempotency_key: empty where the class has none.
+        request_id: The client's id of the request.
+        query_class: The name of the query class.
+        body: The text of the statement, in UTF-8.
+        idempotency_key: The idempotency key; empty if the query class has none.
     """
 
     request_id: bytes
--- a/saffronlane/platform/stats.py
+++ b/saffronlane/platform/stats.py
@@ -15,7 +15,7 @@
 log = structlog.get_logger()
 REPORT_INTERVAL = 5.0  # seconds
 LAG_SAMPLE_INTERVAL = 0.25  # seconds
-MAX_REPORTED_LIMIT = 1e6  # stands for no limit
+MAX_REPORTED_LIMIT = 1e6  # reported if there is no limit
 MS_PER_SECOND = 1000.0
 BYTES_PER_MB = 1e6
 
@@ -23,11 +23,11 @@
 class StatsReporter:
     """Measures the event loop's lag and logs statistics.
 
-    The lag tells slow engines from a slow dispatcher.
+    The lag shows whether the dispatcher is slow rather than the engines.
 
     Args:
-        dispatcher: whose statistics are logged.
-        downstream: whose statistics are logged.
+        dispatcher: The dispatcher whose statistics are logged.
+        downstream: The server of client connections whose statistics are logged.
     """
 
     def __init__(self, dispatcher: Dispatcher, downstream: DownstreamServer) -> None:
@@ -60,7 +60,7 @@
 
     def _log_report(self) -> None:
         log.info(
-            "report",
+            "statistics",
             lag_ms=round(self._max_lag * MS_PER_SECOND, 1),
             cpu_s=round(time.process_time(), 2),
             memory_mb=_resident_mb(),
@@ -100,7 +100,7 @@
 
 
 def _resident_mb() -> float:
-    """Return the resident memory; 0 where the system does not tell."""
+    """Return the resident memory in MB; 0 if the system does not report it."""
     try:
         pages = int(Path("/proc/self/statm").read_text().split()[1])
     except (OSError, ValueError, IndexError):
--- a/saffronlane/platform/stream.py
+++ b/saffronlane/platform/stream.py
@@ -1,4 +1,4 @@
-"""Tornado's IOStream with an exact account of what was written and what is unread."""
+"""A Tornado IOStream that counts written bytes exactly and shows whether input is unread."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
     """A TCP connection whose bytes are counted exactly.
 
     Args:
-        connection: the socket.
-        max_unread_bytes: that may be buffered for the reader.
-        max_unwritten_bytes: that may be buffered for the socket.
+        connection: The socket of the connection.
+        max_unread_bytes: The maximum number of received bytes that are buffered for the reader.
+        max_unwritten_bytes: The maximum number of bytes that are buffered for the socket.
     """
 
     def __init__(self, connection: socket.socket, max_unread_bytes: int, max_unwritten_bytes: int) -> None:
@@ -29,16 +29,16 @@
 
     @property
     def bytes_written(self) -> int:
-        """Bytes that the system has taken. No other can have reached the peer."""
+        """The number of bytes that the kernel has accepted; no further byte can have reached the peer."""
         return self._total_write_done_index
 
     @property
     def bytes_accepted(self) -> int:
-        """Bytes that were handed to `write`."""
+        """The number of bytes that were passed to `write`."""
         return self._total_write_index
 
     def write_to_fd(self, data: memoryview) -> int:
-        """Write what the system takes; where the connection has broken, first read what it still holds."""
+        """Write as much as the kernel accepts; if the connection is broken, buffer its unread input first."""
         try:
             return super().write_to_fd(data) or 0
         except BlockingIOError:
@@ -48,9 +48,10 @@
             raise
 
     def _buffer_unread(self) -> None:
-        """Read what the system still holds, before the failed write closes the stream over it.
+        """Buffer the input that the kernel still holds, before the failed write closes the stream.
 
-        Guards against losing responses that came before a reset which a write is the first to meet.
+        Otherwise, responses that arrived before a reset would be lost if a write is the first to detect the
+        reset.
         """
         with contextlib.suppress(OSError):
             while self._read_buffer_size < (self.max_buffer_size or 0):
@@ -61,17 +62,18 @@
                 self._read_buffer_size += len(data)
 
     def shutdown_write(self) -> None:
-        """Half-close: the peer reads our end, and what it has sent is not reset."""
-        if self.closed():  # the system reported the peer's end, and the reader's turn is yet to come
+        """Half-close the connection: the peer reads an end of stream, and data that it sent is not reset."""
+        if self.closed():  # the stream noticed the peer's close, and the reader task has not run since
             return
-        with contextlib.suppress(OSError):  # it has broken meanwhile, which the reader reports
+        with contextlib.suppress(OSError):  # the connection is broken, which the reader reports
             self.socket.shutdown(socket.SHUT_WR)
 
     def peek(self) -> bytes | None:
-        """The first byte that the system holds unread.
+        """Return the first byte of unread input without consuming it.
 
         Returns:
-            No bytes where the peer has ended or broken the connection; None where nothing has arrived.
+            The byte; empty if the peer has closed the connection or it is broken; None if nothing has
+            arrived.
         """
         if self.closed():
             return b""
@@ -84,5 +86,5 @@
 
     @property
     def has_undelivered_data(self) -> bool:
-        """Whether bytes that were read wait for the reader's turn of the loop."""
+        """Whether bytes were read that the reader task has not received yet."""
         return not self.closed() and not self.reading()
--- a/saffronlane/platform/upstream/__init__.py
+++ b/saffronlane/platform/upstream/__init__.py
@@ -1,7 +1,8 @@
-"""Connections to compute nodes: many attempts on each, and how exactly each attempt ended.
+"""The upstream side: sends attempts over shared connections to compute nodes and reports how each one ended.
 
-The platform's transport of `engines.Executor`. Results are small: their pages are joined and checked before a
-byte goes to the client, so that an invalid page ends an attempt and never the client's request.
+It implements the transport that `engines.Executor` uses. Results are small, so all pages of a result are
+checked and joined before the first byte is sent to the client. An invalid page therefore ends only the
+attempt, not the client's request.
 """
 
 from .limits import UpstreamLimits
--- a/saffronlane/platform/upstream/attempt.py
+++ b/saffronlane/platform/upstream/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt under way at a compute node."""
+"""One attempt at a compute node."""
 
 from __future__ import annotations
 
@@ -16,20 +16,22 @@
 
 @dataclass(slots=True, eq=False)
 class UpstreamAttempt(Attempt):
-    """One attempt under way.
+    """One attempt, queued or in flight.
 
     Attributes:
-        connection: that carries it; None until one was selected.
-        sent_at: when it was handed to its connection's stream, in seconds; 0 while it is queued.
-        end_offset: bytes of its connection up to and including its last one.
-        is_ended: its outcome has been reported.
-        deferral_count: times that it waited for its client's input to be processed.
-        was_reassigned: its first connection closed before it was sent.
-        timeout_timer: ends it.
-        result: the pages received so far.
-        page_timer: requests missing pages again.
-        work_s: measured by the compute node, in seconds of one core.
-        memory_mb: measured by the compute node.
+        connection: The connection that carries the attempt; None until one is selected.
+        sent_at: The event loop's time, in seconds, at which the command was handed to the stream; 0 while
+            it is queued.
+        end_offset: The number of bytes written to the connection up to the end of this attempt's command.
+        is_ended: Whether the outcome has been reported.
+        deferral_count: How often sending was deferred until the client's input was processed.
+        was_reassigned: Whether the attempt moved to a second connection because the first closed before
+            sending.
+        timeout_timer: The timer that ends the attempt.
+        result: The pages received so far.
+        page_timer: The timer that requests missing pages again.
+        work_s: The work that the compute node measured, in core-seconds.
+        memory_mb: The memory that the compute node measured, in MB.
     """
 
     connection: UpstreamConnection | None = None
@@ -46,19 +48,19 @@
 
     @property
     def statement(self) -> Statement:
-        """What is sent."""
+        """The statement that the compute node executes."""
         statement: Statement = self.request.work
         return statement
 
     @property
     def may_have_run(self) -> bool:
-        """Whether its compute node may have received all of it: only then can it have run there."""
+        """Whether the compute node may have received the whole command and thus may have executed it."""
         if not self.sent_at or self.connection is None:
             return False
         return self.connection.stream.bytes_written >= self.end_offset
 
     def cancel_timers(self) -> None:
-        """Stop what is still scheduled for it."""
+        """Cancel the timers of this attempt."""
         for timer in (self.timeout_timer, self.page_timer):
             if timer is not None:
                 timer.cancel()
--- a/saffronlane/platform/upstream/client.py
+++ b/saffronlane/platform/upstream/client.py
@@ -1,4 +1,4 @@
-"""What attempts at compute nodes need of the client's side."""
+"""The interface through which the upstream side answers clients."""
 
 from __future__ import annotations
 
@@ -8,23 +8,27 @@
 
 
 class ResponseSink(Protocol):
-    """Where the answer to a request goes."""
+    """Receives the answer to one request."""
 
     @property
     def has_unprocessed_input(self) -> bool:
-        """Whether its client has sent something, or gone, and that has not been processed yet."""
+        """Whether the client has sent data or disconnected, and this has not been processed yet."""
 
     def send_result(self, body: bytes) -> None:
-        """Answer with a whole result."""
+        """Answer with a complete result."""
 
     def send_rejection(self, retry_after: float) -> None:
-        """Reject; the client should stay away for some seconds, or 0."""
+        """Reject the request.
+
+        Args:
+            retry_after: The seconds after which the client should retry; 0 for no advice.
+        """
 
     def send_failure(self, why: str) -> None:
         """Answer with an error."""
 
 
 def response_sink(request: Request) -> ResponseSink:
-    """Where the answer to a request goes, by its type."""
+    """Return the sink of a request with its type, which the executor does not know."""
     sink: ResponseSink = request.sink
     return sink
--- a/saffronlane/platform/upstream/command_queue.py
+++ b/saffronlane/platform/upstream/command_queue.py
@@ -1,4 +1,4 @@
-"""Commands that wait to be handed to a connection's stream, and can be withdrawn until then."""
+"""A queue of commands that can be withdrawn until they are handed to the connection's stream."""
 
 from __future__ import annotations
 
@@ -9,39 +9,42 @@
 
 
 class QueuedCommand(NamedTuple):
-    """Bytes to send, and the attempt that they begin; None for any other command."""
+    """The bytes of a command and the attempt that it starts; the attempt is None for any other command."""
 
     data: bytes
     attempt: UpstreamAttempt | None
 
 
 class CommandQueue:
-    """Commands in order; those of some attempts may be deferred until their clients' input is processed."""
+    """Commands in sending order.
+
+    The command of an attempt can be deferred until the input of the attempt's client has been processed.
+    """
 
     def __init__(self) -> None:
         self._ready: list[QueuedCommand] = []
         self._deferred: list[QueuedCommand] = []
 
     def __bool__(self) -> bool:
-        """Whether any command waits, deferred ones among them."""
+        """Whether any command is queued, including deferred ones."""
         return bool(self._ready or self._deferred)
 
     @property
     def has_ready(self) -> bool:
-        """Whether a command may be sent now."""
+        """Whether a command can be sent now."""
         return bool(self._ready)
 
     def append(self, command: QueuedCommand) -> None:
-        """Add a command at the end."""
+        """Append a command."""
         self._ready.append(command)
 
     def withdraw(self, attempt: UpstreamAttempt) -> None:
-        """Drop the command of an attempt."""
+        """Remove the command of an attempt."""
         self._ready = [command for command in self._ready if command.attempt is not attempt]
         self._deferred = [command for command in self._deferred if command.attempt is not attempt]
 
     def defer(self, must_wait: Callable[[UpstreamAttempt], bool]) -> list[UpstreamAttempt]:
-        """Set aside the commands of attempts that must wait; returns these attempts."""
+        """Defer the commands of attempts that must wait, and return these attempts."""
         waiting = [
             command.attempt
             for command in self._ready
@@ -53,12 +56,12 @@
         return waiting
 
     def requeue_deferred(self) -> None:
-        """Add the deferred commands at the end again."""
+        """Move the deferred commands to the end of the queue."""
         self._ready += self._deferred
         self._deferred = []
 
     def take_batch(self, min_bytes: int) -> list[QueuedCommand]:
-        """Remove the first commands, as many as reach a number of bytes."""
+        """Remove and return the first commands with at least `min_bytes` bytes in total, or all commands."""
         size = 0
         count = 0
         while count < len(self._ready) and (not count or size < min_bytes):
@@ -69,6 +72,6 @@
         return batch
 
     def clear(self) -> None:
-        """Drop all commands."""
+        """Remove all commands."""
         self._ready.clear()
         self._deferred.clear()
--- a/saffronlane/platform/upstream/command_sender.py
+++ b/saffronlane/platform/upstream/command_sender.py
@@ -1,4 +1,4 @@
-"""Sends a connection's commands, and keeps them withdrawable for as long as possible."""
+"""Sends the commands of a connection, and keeps them withdrawable for as long as possible."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from .command_queue import CommandQueue, QueuedCommand
 from .listener import ConnectionListener
 
-MAX_DEFERRALS = 3  # times that an attempt waits for its client's input
+MAX_DEFERRALS = 3  # per attempt
 
 
 class CommandSender:
-    """Sends a connection's commands. What the stream does not have yet can still be withdrawn.
+    """Queues the commands of a connection. A command can be withdrawn until it is handed to the stream.
 
     Args:
-        connection: that they are sent on.
-        listener: notified of attempts that cannot be sent.
+        connection: The connection on which the commands are sent.
+        listener: The listener that is notified of attempts that cannot be sent.
     """
 
     def __init__(self, connection: ManagedConnection, listener: ConnectionListener) -> None:
@@ -31,7 +31,7 @@
 
     @property
     def has_queued(self) -> bool:
-        """Whether commands wait to be handed to the stream."""
+        """Whether commands are queued and not handed to the stream yet."""
         return bool(self._queue)
 
     def enqueue(self, data: bytes, attempt: UpstreamAttempt | None) -> None:
@@ -39,50 +39,54 @@
         self._queue.append(QueuedCommand(data, attempt))
 
     def withdraw(self, attempt: UpstreamAttempt) -> None:
-        """Drop the queued command of an attempt."""
+        """Remove the queued command of an attempt."""
         self._queue.withdraw(attempt)
 
     def clear(self) -> None:
-        """Drop all queued commands."""
+        """Remove all queued commands."""
         self._queue.clear()
 
     def flush(self) -> None:
-        """Hand over what is queued, unless the compute node leaves unread what went before.
+        """Hand queued commands to the stream for as long as it has no unwritten bytes.
 
-        Guards against attempts that a client cancels while the compute node does not read: what is queued
-        here can be withdrawn, what the stream has cannot; and against more at once than the stream may hold.
+        While the compute node does not read, commands stay in this queue. An attempt that its client cancels
+        meanwhile can be withdrawn from here, but not from the stream. This also keeps the stream's write
+        buffer within its limit.
         """
         stream = self._connection.stream
         if not stream.writing():
             self._defer_withdrawable()
         while self._queue.has_ready and not stream.writing():
             if stream.peek() == b"":
-                # Its compute node has closed it and only the loop does not know yet: an attempt sent now
-                # would count as one that may have run.
+                # The compute node has closed the connection, and the event loop has not reported it yet.
+                # An attempt sent now would count as one that may have run.
                 self._connection.handle_event(Event.EOF, "closed by the compute node")
                 return
             if not self._send_batch(self._queue.take_batch(READ_CHUNK_BYTES)):
                 return
 
     def _defer_withdrawable(self) -> None:
-        """Defer attempts whose client may have cancelled them, until its input has been processed.
+        """Defer attempts that the client may have cancelled, until the client's input has been processed.
 
-        Guards against an attempt that begins after its client has gone because the loop was late to read it.
-        A client that never pauses defers its own attempts by a few turns of the loop, no longer.
+        Otherwise, an attempt could start after its client has disconnected, because the event loop was late
+        to read the client's input. A client that sends without a pause delays its own attempts by a few
+        iterations of the event loop at most.
         """
         deferred = self._queue.defer(self._may_be_withdrawn)
         for attempt in deferred:
             attempt.deferral_count += 1
         if deferred:
-            # The input is read in the second turn, reported to the dispatcher and acted on by the fourth.
-            wait = self._connection.call_after_pending_input
-            wait(functools.partial(wait, self._requeue_deferred))
+            # The input is read in the second iteration of the event loop. It is reported to the dispatcher,
+            # whose decisions are carried out by the fourth iteration.
+            call_after_input = self._connection.call_after_pending_input
+            call_after_input(functools.partial(call_after_input, self._requeue_deferred))
 
     @staticmethod
     def _may_be_withdrawn(attempt: UpstreamAttempt) -> bool:
         if attempt.deferral_count >= MAX_DEFERRALS:
             return False
-        # Answered: its client has gone, and the dispatcher is stepped later in this turn.
+        # A request with a queued attempt that counts as answered has lost its client. The dispatcher is
+        # stepped later in this iteration of the event loop and withdraws the attempt.
         return attempt.request.is_answered or response_sink(attempt.request).has_unprocessed_input
 
     def _requeue_deferred(self) -> None:
@@ -90,13 +94,13 @@
         self._connection.flush_and_settle()
 
     def _send_batch(self, batch: list[QueuedCommand]) -> bool:
-        """Send commands in one write; false where the connection has broken."""
+        """Send commands in one write; return whether the connection is still usable."""
         self._mark_sent(batch)
         is_written = self._connection.write_to_stream(b"".join(command.data for command in batch))
         if is_written and not self._connection.stream.closed():
             return True
-        # It broke at this write, or unseen before it. What was not sent whole ends at once; responses that
-        # arrived before the break are still the reader's.
+        # The connection broke during this write, or earlier without being noticed. Attempts whose command was
+        # not written completely end now. The reader still processes responses that arrived before the break.
         for command in batch:
             if command.attempt is not None and not command.attempt.may_have_run:
                 self._listener.on_attempt_ended(command.attempt, Outcome.CONNECT_FAILED)
--- a/saffronlane/platform/upstream/limits.py
+++ b/saffronlane/platform/upstream/limits.py
@@ -10,10 +10,10 @@
     """Limits of the connections to compute nodes.
 
     Attributes:
-        max_streams: attempts under way on one connection; 0: the default of the pool.
-        connect_timeout: seconds.
-        idle_timeout: seconds after which compute nodes close idle connections.
-        max_connections: to all compute nodes together.
+        max_streams: The maximum number of attempts in flight on one connection; 0 selects the pool's default.
+        connect_timeout: The seconds within which a connection must be established.
+        idle_timeout: The seconds after which compute nodes close idle connections.
+        max_connections: The maximum number of connections to all compute nodes together.
     """
 
     max_streams: int = 32
--- a/saffronlane/platform/upstream/listener.py
+++ b/saffronlane/platform/upstream/listener.py
@@ -1,4 +1,4 @@
-"""What a connection to a compute node reports to its owner."""
+"""The interface through which a connection to a compute node notifies its owner."""
 
 from __future__ import annotations
 
@@ -12,19 +12,22 @@
 
 
 class ConnectionListener(Protocol):
-    """What a connection reports to its owner."""
+    """Receives the notifications of a connection to a compute node."""
 
-    def on_response(self, connection: UpstreamConnection, words: list[bytes]) -> None:
-        """A whole response has arrived."""
+    def on_response(self, connection: UpstreamConnection, elements: list[bytes]) -> None:
+        """Handle a complete response."""
 
     def on_attempt_ended(self, attempt: UpstreamAttempt, outcome: Outcome) -> None:
-        """The end of the connection has ended an attempt."""
+        """Handle an attempt that ended because the connection closed or broke."""
 
     def on_attempt_unsent(self, attempt: UpstreamAttempt) -> None:
-        """The connection closed before the attempt was sent, which proves nothing about its compute node."""
+        """Handle an attempt whose connection closed before the attempt was sent.
+
+        This alone does not show that the compute node has failed.
+        """
 
     def on_probe_ended(self, engine: bytes, outcome: Outcome, started_at: float) -> None:
-        """The end of the connection has ended a probe."""
+        """Handle a probe that ended because the connection closed or broke."""
 
     def on_connection_closed(self, connection: UpstreamConnection) -> None:
-        """The connection is closed."""
+        """Handle the close of the connection."""
--- a/saffronlane/platform/upstream/pool.py
+++ b/saffronlane/platform/upstream/pool.py
@@ -15,21 +15,21 @@
 from .listener import ConnectionListener
 
 log = structlog.get_logger()
-IDLE_TIMEOUT_RATIO = 0.7  # of the time after which compute nodes close idle connections
-MAX_LINGERING = 8  # connections not counted while they close: the descriptor reserve covers them
+IDLE_TIMEOUT_RATIO = 0.7  # of the time after which compute nodes close idle connections themselves
+MAX_LINGERING = 8  # closing connections that do not count: the descriptor reserve covers them
 CHECK_INTERVAL = 0.25  # seconds
 DEFAULT_MAX_STREAMS = 32
-MAX_OPEN_TRIES = 2  # the second after a descriptor was released
+MAX_OPEN_TRIES = 2  # the second try follows the eviction of an idle connection
 
 
 class UpstreamPool:
     """The connections to all compute nodes.
 
     Args:
-        limits: of connections.
-        address_of: the address of a compute node by its id; None where it is not listed (any more).
-        descriptor_exhaustion: notified where the system gives no descriptor.
-        listener: notified by the connections.
+        limits: The limits of the connections.
+        address_of: Returns the address of a compute node by its id; None if the compute node is not listed.
+        descriptor_exhaustion: Reports errors that are due to a lack of descriptors.
+        listener: The listener that all connections notify.
     """
 
     def __init__(
@@ -48,31 +48,31 @@
         self._check_timer = self._loop.call_later(CHECK_INTERVAL, self._check_timeouts)
 
     def connections(self) -> list[UpstreamConnection]:
-        """All connections, those that are closing among them."""
+        """Return all connections, including those that are closing."""
         return [
             connection for connections in self.connections_by_engine.values() for connection in connections
         ]
 
     def connections_of(self, engine: bytes) -> list[UpstreamConnection]:
-        """The connections to one compute node."""
+        """Return the connections to one compute node."""
         return list(self.connections_by_engine.get(engine, ()))
 
     @property
     def connections_in_use(self) -> int:
-        """The number of connections, but for the few that only wait for their compute node to close."""
+        """The number of connections, excluding up to `MAX_LINGERING` that are closing."""
         connections = self.connections()
         lingering = sum(connection.lifecycle.is_closing for connection in connections)
         return len(connections) - min(lingering, MAX_LINGERING)
 
     def is_listed(self, engine: bytes) -> bool:
-        """Whether a compute node has an address."""
+        """Return whether a compute node is listed, and thus has an address."""
         return self._address_of(engine) is not None
 
     def select(self, engine: bytes, request_id: bytes) -> UpstreamConnection | None:
-        """The least busy connection that may carry a request, or a new one.
+        """Select the least busy connection that can carry a request, or open a new one.
 
         Returns:
-            None where the compute node has no address, or no connection is left.
+            The connection; None if the compute node has no address, or no further connection can be opened.
         """
         address = self._address_of(engine)
         if address is None:
@@ -87,7 +87,9 @@
             if connection.has_capacity(request_id, max_streams)
         ]
         if candidates:
-            return min(candidates, key=lambda one: (not one.is_established, len(one.attempts)))
+            return min(
+                candidates, key=lambda candidate: (not candidate.is_established, len(candidate.attempts))
+            )
         if self.connections_in_use >= self.limits.max_connections and not self._evict_idle():
             return None
         return self._open(engine, address)
@@ -108,10 +110,11 @@
         return None
 
     def _evict_idle(self) -> bool:
-        """Close the connection that has been idle longest; whether there was one.
+        """Drain the connection that has been idle longest; return whether there was one.
 
-        Guards against more compute nodes than connections: each once used would keep its own until it has
-        been idle for long, and an attempt at one more would find no connection.
+        There may be more compute nodes than connections. Without eviction, each compute node that was used
+        once would keep a connection until the idle timeout, and none would be available for an attempt at
+        another compute node.
         """
         connections = self.connections()
         lingering = [connection for connection in connections if connection.lifecycle.is_closing]
@@ -126,7 +129,7 @@
         return True
 
     def remove(self, connection: UpstreamConnection) -> None:
-        """Forget a connection that is closed."""
+        """Remove a connection that is closed."""
         connections = self.connections_by_engine.get(connection.engine)
         if connections is not None and connection in connections:
             connections.remove(connection)
@@ -145,13 +148,13 @@
             connection.run_isolated(functools.partial(connection.drain, "engine removed"))
 
     def close(self) -> None:
-        """Close all connections at once."""
+        """Close all connections immediately."""
         self._check_timer.cancel()
         for connection in self.connections():
             connection.abort("pool closed")
 
     def _check_timeouts(self) -> None:
-        # Scheduled first, so that an error does not end the checks.
+        # Scheduled first, so that an exception below does not end the periodic checks.
         self._check_timer = self._loop.call_later(CHECK_INTERVAL, self._check_timeouts)
         now = self._loop.time()
         idle_timeout = IDLE_TIMEOUT_RATIO * self.limits.idle_timeout
--- a/saffronlane/platform/upstream/probes.py
+++ b/saffronlane/platform/upstream/probes.py
@@ -14,37 +14,37 @@
 
 
 class EngineProber:
-    """Sends probes over the pool's connections, and reports how each ended.
+    """Sends probes over the pool's connections and reports the result of each.
 
     Args:
-        pool: gives the connections.
-        report: called with each result.
+        pool: The pool that provides the connections.
+        on_result: Called with each result.
     """
 
-    def __init__(self, pool: UpstreamPool, report: Callable[[ProbeResult], None]) -> None:
+    def __init__(self, pool: UpstreamPool, on_result: Callable[[ProbeResult], None]) -> None:
         self._pool = pool
-        self._report = report
+        self._on_result = on_result
         self._loop = asyncio.get_running_loop()
         self._probe_count = 0
 
     def probe(self, engine: bytes, with_load_report: bool) -> None:
-        """Probe a compute node, once."""
+        """Send one probe to a compute node."""
         self._probe_count += 1
         tag = b"p%d" % self._probe_count
         connection = self._pool.select(engine, tag)
         if connection is None:
-            self._report(ProbeResult(engine, Outcome.NOT_SENT, 0.0))
+            self._on_result(ProbeResult(engine, Outcome.NOT_SENT, 0.0))
             return
         connection.probe(tag, protocol.probe_command(tag, with_load_report))
         self._loop.call_later(self._pool.limits.connect_timeout, self._on_timeout, connection, tag)
 
-    def on_response(self, connection: UpstreamConnection, words: list[bytes]) -> None:
-        """Handle a response under no attempt's id; what belongs to no probe either is dropped."""
-        if words[0] not in connection.probes or len(words) < 2:
+    def on_response(self, connection: UpstreamConnection, elements: list[bytes]) -> None:
+        """Handle a response that belongs to no attempt; it is dropped if it belongs to no probe either."""
+        if elements[0] not in connection.probes or len(elements) < 2:
             return
-        outcome = _OUTCOME_BY_STATUS.get(words[1])
+        outcome = _OUTCOME_BY_STATUS.get(elements[1])
         if outcome is not None:
-            self._end(connection, words[0], outcome)
+            self._end(connection, elements[0], outcome)
 
     def _on_timeout(self, connection: UpstreamConnection, tag: bytes) -> None:
         if tag in connection.probes:
@@ -55,5 +55,5 @@
         connection.settle_if_idle()
 
     def report_end(self, engine: bytes, outcome: Outcome, started_at: float) -> None:
-        """Report a probe that has ended."""
-        self._report(ProbeResult(engine, outcome, self._loop.time() - started_at))
+        """Report the result of a probe that has ended."""
+        self._on_result(ProbeResult(engine, outcome, self._loop.time() - started_at))
--- a/saffronlane/platform/upstream/protocol.py
+++ b/saffronlane/platform/upstream/protocol.py
@@ -1,4 +1,8 @@
-"""The wire protocol of compute nodes: its words, under the names that the rest of the package uses."""
+"""The wire protocol of compute nodes.
+
+The names of commands, fields and statuses on the wire are written here only; the rest of the package uses the
+constants.
+"""
 
 from __future__ import annotations
 
@@ -39,7 +43,7 @@
 MEMORY_MB = b"room"
 
 NO_FIELDS = b"-"
-WORDS_PER_RESPONSE = 4
+ELEMENTS_PER_RESPONSE = 4
 MAX_COUNT_DIGITS = 9
 
 
@@ -51,25 +55,28 @@
     body: bytes
 
     @classmethod
-    def parse(cls, words: list[bytes]) -> Response:
-        """Read a response.
+    def parse(cls, elements: list[bytes]) -> Response:
+        """Parse the elements of a response.
 
         Raises:
-            InvalidResponse: where it has not four words.
+            InvalidResponse: The number of elements is wrong.
         """
-        if len(words) != WORDS_PER_RESPONSE:
-            raise InvalidResponse(f"expected {WORDS_PER_RESPONSE} words, found {len(words)}")
-        _, status, fields, body = words
+        if len(elements) != ELEMENTS_PER_RESPONSE:
+            raise InvalidResponse(
+                f"response: expected {ELEMENTS_PER_RESPONSE} elements, found {len(elements)}"
+            )
+        _, status, fields, body = elements
         return cls(status, parse_fields(fields), body)
 
 
 def execute_command(statement: Statement, timeout: float, memory_grant_mb: float) -> bytes:
-    """The command that begins an attempt.
+    """Encode the command that starts an attempt.
 
     Args:
-        statement: passed on unchanged.
-        timeout: seconds that the attempt may take.
-        memory_grant_mb: below one, the compute node chooses by itself.
+        statement: The statement, which is passed on unchanged.
+        timeout: The timeout of the attempt, in seconds.
+        memory_grant_mb: The memory granted to the attempt, in MB; below 1, the compute node chooses the
+            amount.
     """
     fields = [
         QUERY_CLASS + b"=" + statement.query_class,
@@ -83,37 +90,37 @@
 
 
 def cancel_command(request_id: bytes) -> bytes:
-    """The command that gives an attempt up; it has no response."""
+    """Encode the command that cancels an attempt; it has no response."""
     return encode_command(CANCEL, request_id)
 
 
 def fetch_page_command(request_id: bytes, page_number: int) -> bytes:
-    """The command that asks for a further page of a result, counted from 1."""
+    """Encode the command that requests a page of a result other than the first, which has number 0."""
     return encode_command(FETCH_PAGE, request_id, b"%d" % page_number)
 
 
 def release_pages_command(request_id: bytes) -> bytes:
-    """The command that lets a compute node drop the pages of a result; it has no response."""
+    """Encode the command after which a compute node may drop the pages of a result; it has no response."""
     return encode_command(RELEASE_PAGES, request_id)
 
 
 def probe_command(tag: bytes, with_load_report: bool) -> bytes:
-    """The command of a health check or, with a load report in its response, of a load probe."""
+    """Encode a load probe, whose response has a load report, or else a health check."""
     return encode_command(LOAD_PROBE if with_load_report else HEALTH_CHECK, tag)
 
 
-def parse_fields(word: bytes) -> dict[bytes, bytes]:
-    """The fields `name=value,name=value`."""
-    if word in (NO_FIELDS, b""):
+def parse_fields(encoded: bytes) -> dict[bytes, bytes]:
+    """Parse fields of the form `name=value,name=value`."""
+    if encoded in (NO_FIELDS, b""):
         return {}
-    return dict(part.partition(b"=")[::2] for part in word.split(b","))
+    return dict(part.partition(b"=")[::2] for part in encoded.split(b","))
 
 
 def parse_count(value: bytes | None, maximum: int) -> int:
-    """A count in decimal digits.
+    """Parse a count in decimal digits.
 
     Raises:
-        InvalidResponse: where it is missing, not a number or above the maximum.
+        InvalidResponse: The value is missing, not a number or above the maximum.
     """
     if value is None or not value.isdigit() or len(value) > MAX_COUNT_DIGITS or int(value) > maximum:
         raise InvalidResponse(f"expected a count of at most {maximum}, found {value!r}")
@@ -121,7 +128,7 @@
 
 
 def parse_measurement(value: bytes | None) -> float:
-    """A measured figure; 0 where it is missing or makes no sense, since estimates ignore 0."""
+    """Parse a measured value; return 0, which estimates ignore, if it is missing or invalid."""
     try:
         number = float(value or b"0")
     except ValueError:
--- a/saffronlane/platform/upstream/transport.py
+++ b/saffronlane/platform/upstream/transport.py
@@ -1,4 +1,4 @@
-"""Runs attempts at compute nodes: which connection carries one, and how it ended."""
+"""Runs attempts at compute nodes: selects a connection for each attempt and reports its outcome."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 class UpstreamTransport:
-    """Runs attempts at compute nodes: the executor's transport, and the listener of all connections.
+    """The executor's transport, which runs attempts at compute nodes, and the listener of all connections.
 
     Args:
-        limits: of connections.
-        address_of: the address of a compute node by its id; None where it is not listed (any more).
-        descriptor_exhaustion: notified where the system gives no descriptor.
+        limits: The limits of the connections.
+        address_of: Returns the address of a compute node by its id; None if the compute node is not listed.
+        descriptor_exhaustion: Reports errors that are due to a lack of descriptors.
     """
 
     def __init__(
@@ -43,13 +43,13 @@
         self._assembler = ResponseAssembler(self.on_attempt_ended)
 
     def bind(self, executor: Executor) -> None:
-        """Set the executor that ends are reported to."""
+        """Set the executor that attempts and probes are reported to."""
         self._executor = executor
 
     # --- attempts, for the executor ---
 
     def create_attempt(self, request: Request, effect: dispatch.StartAttempt, started_at: float) -> Attempt:
-        """Create an attempt."""
+        """Create an attempt that is not queued yet."""
         return UpstreamAttempt(request, effect.attempt, effect.engine, effect, started_at)
 
     def begin(self, attempt: Attempt) -> None:
@@ -68,15 +68,15 @@
         connection.execute(attempt, command)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Stop an attempt at its compute node."""
+        """Cancel an attempt at its compute node."""
         assert isinstance(attempt, UpstreamAttempt)
-        self._give_up(attempt, Outcome.CANCELLED)
+        self._cancel_or_withdraw(attempt, Outcome.CANCELLED)
 
     def discard(self, attempt: Attempt) -> None:
-        """Drop an attempt that may not be stopped where it runs; one that is queued is never sent.
+        """Withdraw an attempt that must not be cancelled at its compute node, unless it was sent.
 
-        Guards against an attempt that waits for its connection and is sent after its client has gone, where
-        the settings forbid cancelling.
+        Without this, where the settings forbid cancelling, an attempt that waits for its connection would
+        still be sent after its client has disconnected.
         """
         self.withdraw(attempt)
 
@@ -84,10 +84,10 @@
         """Withdraw an attempt unless it was sent."""
         assert isinstance(attempt, UpstreamAttempt)
         if not attempt.sent_at:
-            self._give_up(attempt, Outcome.NOT_SENT)
+            self._cancel_or_withdraw(attempt, Outcome.NOT_SENT)
 
     def commit(self, attempt: Attempt) -> None:
-        """Do nothing: results are complete before they are reported."""
+        """Do nothing, since results are complete before they are reported."""
 
     def on_attempt_released(self, attempt: Attempt) -> None:
         """Drain the connections to a compute node that is no longer listed."""
@@ -121,40 +121,40 @@
         self.pool.close_idle(engine)
 
     def remove_engine(self, engine: bytes) -> None:
-        """Drain the connections to a compute node: nothing of it stays once its last attempt has ended."""
+        """Drain the connections to a compute node; they close once its last attempt has ended."""
         self.pool.drain_engine(engine)
 
     def close(self) -> None:
-        """Close all connections at once."""
+        """Close all connections immediately."""
         self.pool.close()
 
-    # --- what connections report ---
+    # --- notifications from connections ---
 
-    def on_response(self, connection: UpstreamConnection, words: list[bytes]) -> None:
-        """Handle one whole response; one to nothing that is under way here is dropped."""
-        attempt = connection.attempts.get(words[0])
+    def on_response(self, connection: UpstreamConnection, elements: list[bytes]) -> None:
+        """Handle a complete response; it is dropped if it belongs to no attempt and no probe."""
+        attempt = connection.attempts.get(elements[0])
         if attempt is None or not attempt.sent_at:
-            self._prober.on_response(connection, words)
+            self._prober.on_response(connection, elements)
         else:
-            self._assembler.receive(connection, attempt, words)
+            self._assembler.receive(connection, attempt, elements)
 
     def on_attempt_unsent(self, attempt: UpstreamAttempt) -> None:
-        """Queue an attempt again, once, on another connection to its compute node."""
+        """Queue an attempt on another connection to its compute node; each attempt is moved at most once."""
         attempt.was_reassigned = True
         if attempt.timeout_timer is not None:
             attempt.timeout_timer.cancel()
         self.begin(attempt)
 
     def on_probe_ended(self, engine: bytes, outcome: Outcome, started_at: float) -> None:
-        """Report a probe that ended with its connection."""
+        """Report a probe that ended because its connection closed or broke."""
         self._prober.report_end(engine, outcome, started_at)
 
     def on_connection_closed(self, connection: UpstreamConnection) -> None:
-        """Forget a connection."""
+        """Remove a closed connection from the pool."""
         self.pool.remove(connection)
 
     def on_attempt_ended(self, attempt: UpstreamAttempt, outcome: Outcome) -> None:
-        """End an attempt, whoever finds out first; a second end changes nothing."""
+        """End an attempt; only the first call for it has an effect."""
         if attempt.is_ended:
             return
         attempt.is_ended = True
@@ -167,16 +167,20 @@
         if connection is not None:
             connection.release(attempt)
 
-    # --- ends from this side ---
+    # --- timeouts and cancellation ---
 
     def _on_probe_result(self, result: ProbeResult) -> None:
         self._executor.feed(result)
 
     def _on_timeout(self, attempt: UpstreamAttempt) -> None:
-        self._give_up(attempt, Outcome.TIMEOUT if attempt.sent_at else Outcome.CONNECT_FAILED)
+        self._cancel_or_withdraw(attempt, Outcome.TIMEOUT if attempt.sent_at else Outcome.CONNECT_FAILED)
 
-    def _give_up(self, attempt: UpstreamAttempt, outcome: Outcome) -> None:
-        """End an attempt from this side; one that was never sent ends as that."""
+    def _cancel_or_withdraw(self, attempt: UpstreamAttempt, outcome: Outcome) -> None:
+        """Cancel an attempt at its compute node if it was sent; otherwise withdraw it from its queue.
+
+        A withdrawn attempt ends as NOT_SENT, or as CONNECT_FAILED if its connection could not be established
+        in time.
+        """
         connection = attempt.connection
         if attempt.is_ended or connection is None:
             return
@@ -191,12 +195,13 @@
         self, attempt: UpstreamAttempt, connection: UpstreamConnection, outcome: Outcome
     ) -> None:
         connection.enqueue(protocol.cancel_command(attempt.statement.request_id))
-        waited = self._loop.time() - attempt.sent_at
+        elapsed = self._loop.time() - attempt.sent_at
         self.on_attempt_ended(attempt, outcome)
-        # Guards against a machine that has vanished or a broken network path: open connections stay open and
-        # silent. A new connection finds out, and a response in between proves the old one healthy.
+        # After the failure of a machine or a network path, open connections stay open and silent. A new
+        # connection shows whether the compute node is reachable. A response since the attempt was sent proves
+        # that this connection works.
         has_response = connection.last_response_at > attempt.sent_at
-        if not has_response and waited > self.pool.limits.connect_timeout:
+        if not has_response and elapsed > self.pool.limits.connect_timeout:
             connection.drain("unresponsive")
         elif connection.needs_replacement:
             connection.drain("too many retired ids")
--- a/saffronlane/platform/write_progress.py
+++ b/saffronlane/platform/write_progress.py
@@ -1,4 +1,4 @@
-"""For how long a stream has written nothing of what it holds."""
+"""Measures for how long a stream has written none of its pending bytes."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class WriteProgress:
-    """Tells a stalled peer from a slow one.
+    """Distinguishes a stalled peer from a slow one.
 
     Args:
-        stream: whose written bytes are watched.
-        now: seconds on the caller's clock.
+        stream: The stream whose written bytes are observed.
+        now: The current time on the caller's clock, in seconds.
     """
 
     def __init__(self, stream: Stream, now: float) -> None:
@@ -19,14 +19,14 @@
         self._changed_at = now
 
     def has_progressed(self) -> bool:
-        """Whether bytes were written since the last record."""
+        """Return whether bytes were written since the last call of `record`."""
         return self._stream.bytes_written != self._bytes_written
 
     def record(self, now: float) -> None:
-        """Count the time without progress from now on."""
+        """Restart the measurement from the bytes written so far."""
         self._bytes_written = self._stream.bytes_written
         self._changed_at = now
 
-    def stalled_for(self, now: float) -> float:
-        """Seconds since the last record."""
+    def stall_duration(self, now: float) -> float:
+        """Return the seconds since the last call of `record`."""
         return now - self._changed_at
--- a/saffronlane/resp/__init__.py
+++ b/saffronlane/resp/__init__.py
@@ -1,4 +1,4 @@
-"""RESP without I/O: arrays of bulk strings, parsed from a stream within limits, and encoded."""
+"""RESP without I/O: encodes commands, and parses arrays of bulk strings from a stream within size limits."""
 
 from .arrays import ParsedArrays, RespParser, encode_command
 from .errors import RespError
--- a/saffronlane/resp/errors.py
+++ b/saffronlane/resp/errors.py
@@ -6,6 +6,8 @@
 
 
 class RespError(SaffronlaneError):
-    """Bytes that are no array of bulk strings, or one past the limits. What follows cannot be read."""
+    """The input is not an array of bulk strings or exceeds a limit; what follows it cannot be parsed."""
 
-    remedy = "Look at the compute node that sent it; its connection was closed and attempts go elsewhere."
+    remedy = (
+        "Check the compute node that sent it; its connection was closed, and requests are retried elsewhere."
+    )
