--- a/saffronlane/gossip_messages.py
+++ b/saffronlane/gossip_messages.py
@@ -1,6 +1,7 @@
-"""The format of gossip messages: 9 bytes for a start or a full engine, 2 bytes for an end.
+"""The wire format of gossip messages between gateways.
 
-What is sent, when, and what follows from it is decided in `policy/`.
+A message that reports a started query or a full engine has 9 bytes; one that reports an ended query has 2.
+`policy/` decides when a message is sent and how a received message is used.
 """
 
 from __future__ import annotations
@@ -16,21 +17,25 @@
 MAX_THREADS = 15
 VERSION_SHIFT = 5
 BULK_LOAD_SHIFT = 4
-_START = struct.Struct(">BBHBB3s")  # head, number, table digest, duration, memory ratio, engine digest
-_END = struct.Struct(">BB")
+_START = struct.Struct(">BBHBB3s")  # header, number, table digest, duration, memory ratio, engine digest
+_END = struct.Struct(">BB")  # header, number
 
 
 class GossipMessage(NamedTuple):
-    """A query that its sender has started, one that has ended (no duration), or a full engine (no threads).
+    """Reports that the sender started a query, that one of its queries ended, or that an engine is full.
+
+    A message without a duration reports an ended query. A message with a duration but without threads
+    reports a full engine.
 
     Attributes:
-        number: of the query, modulo `NUMBER_MODULUS`.
-        threads: that it uses.
-        is_bulk_load: whether it is a bulk load.
-        table_digest: of its table group.
-        duration: seconds for which it counts unless its end is reported.
-        memory_ratio: of the engine's memory.
-        engine_digest: of the engine's id.
+        number: The sender's number for the query, modulo `NUMBER_MODULUS`.
+        threads: Number of threads that the query uses.
+        is_bulk_load: Whether the query is a bulk load.
+        table_digest: Digest of the query's table group.
+        duration: Seconds for which receivers count the query, unless its end is reported earlier, or seconds
+            for which they treat the engine as full.
+        memory_ratio: Fraction of the engine's memory that the query uses.
+        engine_digest: Digest of the engine's id.
     """
 
     number: int
@@ -66,7 +71,7 @@
     memory_ratio: float,
     engine: bytes,
 ) -> GossipMessage:
-    """Return the message about a query that was started at an engine."""
+    """Return the message that reports a query started on an engine."""
     return GossipMessage(
         number=number,
         threads=max(1, round(threads)),
@@ -79,32 +84,32 @@
 
 
 def encode(message: GossipMessage) -> bytes:
-    """Encode a message; numbers wrap, other values saturate."""
+    """Encode a message. Query numbers wrap around; other values saturate at the maximum of their field."""
     threads = min(MAX_THREADS, message.threads)
-    head = VERSION << VERSION_SHIFT | message.is_bulk_load << BULK_LOAD_SHIFT | threads
+    header = VERSION << VERSION_SHIFT | message.is_bulk_load << BULK_LOAD_SHIFT | threads
     number = message.number % NUMBER_MODULUS
     if not message.duration:
-        return _END.pack(head, number)
+        return _END.pack(header, number)
     duration_units = min(MAX_BYTE, int(message.duration / DURATION_UNIT) + 1)
     memory_ratio = min(MAX_BYTE, round(float(MAX_BYTE) * message.memory_ratio))
     return _START.pack(
-        head, number, message.table_digest, duration_units, memory_ratio, message.engine_digest
+        header, number, message.table_digest, duration_units, memory_ratio, message.engine_digest
     )
 
 
 def decode(data: bytes) -> GossipMessage | None:
-    """Decode a message; None where it is truncated, oversized or of another version."""
+    """Decode a message. Return None if its length or its version is invalid."""
     if len(data) not in (_START.size, _END.size) or data[0] >> VERSION_SHIFT != VERSION:
         return None
     if len(data) == _END.size:
         return GossipMessage(number=data[1])
-    head, number, table_digest, duration_units, memory_ratio, engine = _START.unpack(data)
+    header, number, table_digest, duration_units, memory_ratio, digest = _START.unpack(data)
     return GossipMessage(
         number=number,
-        threads=head & MAX_THREADS,
-        is_bulk_load=bool(head >> BULK_LOAD_SHIFT & 1),
+        threads=header & MAX_THREADS,
+        is_bulk_load=bool(header >> BULK_LOAD_SHIFT & 1),
         table_digest=table_digest,
         duration=duration_units * DURATION_UNIT,
         memory_ratio=memory_ratio / float(MAX_BYTE),
-        engine_digest=engine,
+        engine_digest=digest,
     )
--- a/saffronlane/msgpackrpc/__init__.py
+++ b/saffronlane/msgpackrpc/__init__.py
@@ -1,4 +1,7 @@
-"""MessagePack-RPC as bytes: messages are delimited within limits, decoded strictly, encoded. No I/O."""
+"""MessagePack-RPC without I/O: splits a byte stream into messages, decodes calls and encodes replies.
+
+The scanner limits the size and the number of items of a message. Decoding does not convert between types.
+"""
 
 from .errors import InvalidMessageError, ScanError
 from .messages import Call, Notification, Reply, decode_message, encode_reply
--- a/saffronlane/msgpackrpc/errors.py
+++ b/saffronlane/msgpackrpc/errors.py
@@ -9,10 +9,10 @@
     """A complete message is not a valid call or notification.
 
     Attributes:
-        id: of the call, where an error can be sent in reply; None: unknown.
+        id: The id of the call, which an error reply needs. None if the message has no readable id.
     """
 
-    remedy = "Have the client correct the call; the connection goes on."
+    remedy = "Correct the call that the client sends; its other open requests are not affected."
 
     def __init__(self, text: str, message_id: int | None = None) -> None:
         super().__init__(text)
@@ -20,6 +20,6 @@
 
 
 class ScanError(SaffronlaneError):
-    """The input is no message, or one over the limits. The bytes after it cannot be parsed."""
+    """The input is not a message or exceeds a limit. The bytes that follow cannot be parsed."""
 
-    remedy = "Have the client send MessagePack within the bounds; its connection was closed."
+    remedy = "Correct the client so that it sends MessagePack within the limits; its connection was closed."
--- a/saffronlane/msgpackrpc/messages.py
+++ b/saffronlane/msgpackrpc/messages.py
@@ -1,4 +1,4 @@
-"""Calls and notifications, decoded from whole messages with strict types, and replies, encoded."""
+"""Decodes complete messages into calls and notifications with strict types, and encodes replies."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 FIXMAP_COUNT_MASK = 0x0F
 MAP_COUNT_BYTES_BY_TAG = {0xDE: 2, 0xDF: 4}
 
-MAX_PARAMETERS = 2  # fields and body
+MAX_PARAMETERS = 2  # the map of fields and the optional body
 
 _MessageId = Annotated[int, msgspec.Meta(ge=0, lt=2**32)]
 _CALL_DECODER = msgspec.msgpack.Decoder(tuple[int, _MessageId, msgspec.Raw, msgspec.Raw])
@@ -36,7 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A request that expects a reply; `body` is None where there is none."""
+    """A request that expects a reply.
+
+    Attributes:
+        id: The client's id for the call, which the reply repeats.
+        method: Name of the method.
+        fields: Text values by name.
+        body: The second parameter, or None if the call has only fields.
+    """
 
     id: int
     method: str
@@ -46,7 +53,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Notification:
-    """A message about earlier calls that expects no reply."""
+    """A message that concerns earlier calls and expects no reply.
+
+    Attributes:
+        method: Name of the method.
+        ids: The ids of the calls.
+    """
 
     method: str
     ids: tuple[int, ...]
@@ -54,7 +66,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A reply to a call; `error` is its name, None where there is none."""
+    """A reply to a call.
+
+    Attributes:
+        id: The id of the call.
+        error: Name of the error, or None if the call succeeded.
+        fields: Text values by name.
+        result: The result of a call that succeeded.
+    """
 
     id: int
     error: str | None
@@ -63,10 +82,10 @@
 
 
 def decode_message(message: bytes) -> Call | Notification:
-    """Decode one whole message.
+    """Decode one complete message.
 
     Raises:
-        InvalidMessageError: says what is invalid.
+        InvalidMessageError: The message is not a valid call or notification.
     """
     if message[0] == ARRAY_OF_THREE:
         return _decode_notification(message)
@@ -75,44 +94,44 @@
 
 def _decode_notification(message: bytes) -> Notification:
     try:
-        kind, method, raw_ids = _NOTIFICATION_DECODER.decode(message)
+        message_type, method, raw_ids = _NOTIFICATION_DECODER.decode(message)
         message_ids = tuple(_MESSAGE_IDS_DECODER.decode(raw_ids))
     except _DECODE_ERRORS as error:
         raise InvalidMessageError(f"invalid notification: {error}") from error
-    if kind != NOTIFY:
-        raise InvalidMessageError(f"a message of three items has type {kind}, expected {NOTIFY}")
+    if message_type != NOTIFY:
+        raise InvalidMessageError(f"message of three items: expected type {NOTIFY}, got {message_type}")
     return Notification(method, message_ids)
 
 
 def _decode_call(message: bytes) -> Call:
     try:
-        kind, message_id, raw_method, raw_parameters = _CALL_DECODER.decode(message)
+        message_type, message_id, raw_method, raw_parameters = _CALL_DECODER.decode(message)
     except _DECODE_ERRORS as error:
-        raise InvalidMessageError(f"invalid request: {error}") from error
-    if kind != REQUEST:
-        raise InvalidMessageError(f"a message of four items has type {kind}, expected {REQUEST}")
+        raise InvalidMessageError(f"invalid call: {error}") from error
+    if message_type != REQUEST:
+        raise InvalidMessageError(f"message of four items: expected type {REQUEST}, got {message_type}")
     try:
         method = _METHOD_DECODER.decode(raw_method)
         parameters = _PARAMETERS_DECODER.decode(raw_parameters)
         if not 1 <= len(parameters) <= MAX_PARAMETERS:
-            raise InvalidMessageError(f"{len(parameters)} parameters, expected 1 or 2", message_id)
+            raise InvalidMessageError(f"expected 1 or 2 parameters, got {len(parameters)}", message_id)
         fields = _FIELDS_DECODER.decode(parameters[0])
         body = _BODY_DECODER.decode(parameters[1]) if len(parameters) == MAX_PARAMETERS else None
     except _DECODE_ERRORS as error:
         raise InvalidMessageError(f"invalid parameters: {error}", message_id) from error
     if len(fields) != _map_entry_count(parameters[0]):
-        raise InvalidMessageError("a field appears twice", message_id)
+        raise InvalidMessageError("invalid parameters: a field name appears twice", message_id)
     return Call(message_id, method, fields, body)
 
 
 def _map_entry_count(raw: msgspec.Raw) -> int:
-    """Return the number of entries that a map declares."""
-    head = memoryview(raw)
-    tag = head[0]
+    """Return the number of entries that the header of a map declares."""
+    data = memoryview(raw)
+    tag = data[0]
     if tag in FIXMAP_TAGS:
         return tag & FIXMAP_COUNT_MASK
     width = MAP_COUNT_BYTES_BY_TAG.get(tag, 0)
-    return int.from_bytes(head[1 : 1 + width], "big")
+    return int.from_bytes(data[1 : 1 + width], "big")
 
 
 def encode_reply(reply: Reply) -> bytes:
--- a/saffronlane/msgpackrpc/scanner.py
+++ b/saffronlane/msgpackrpc/scanner.py
@@ -1,28 +1,30 @@
-"""Finds the end of a MessagePack message before any of it is decoded.
+"""Finds the end of a MessagePack message before any part of the message is decoded.
 
-The scanner is iterative and incremental: bytes may come in any pieces, and nothing is allocated by a length
-that a peer only declares. A message that is too long, has too many items or is no call is an error at the
-first byte that shows it.
+The scanner is iterative and incremental. Bytes may arrive in pieces of any size, and a length that a peer
+declares allocates no memory until the bytes arrive. A message that is too long, has too many items or is not
+a MessagePack-RPC message is rejected at the first byte that shows it.
 """
 
 from __future__ import annotations
 
 from .errors import ScanError
 
-_FIXED = {0xC0: 0, 0xC2: 0, 0xC3: 0, 0xCA: 4, 0xCB: 8}
-_FIXED |= {0xCC: 1, 0xCD: 2, 0xCE: 4, 0xCF: 8, 0xD0: 1, 0xD1: 2, 0xD2: 4, 0xD3: 8}
-_FIXED |= {0xD4: 2, 0xD5: 3, 0xD6: 5, 0xD7: 9, 0xD8: 17}  # ext with a fixed length
-_SIZED = {0xC4: 1, 0xC5: 2, 0xC6: 4, 0xD9: 1, 0xDA: 2, 0xDB: 4}  # bin and str: bytes of their length
-_EXT = {0xC7: 1, 0xC8: 2, 0xC9: 4}  # and one byte more, the type
-_COUNTED = {0xDC: (2, 1), 0xDD: (4, 1), 0xDE: (2, 2), 0xDF: (4, 2)}  # arrays and maps: items an entry
+# Tables by the first byte of an item, its tag.
+_FIXED_PAYLOAD_BYTES = {0xC0: 0, 0xC2: 0, 0xC3: 0, 0xCA: 4, 0xCB: 8}  # nil, booleans, floats
+_FIXED_PAYLOAD_BYTES |= {0xCC: 1, 0xCD: 2, 0xCE: 4, 0xCF: 8, 0xD0: 1, 0xD1: 2, 0xD2: 4, 0xD3: 8}  # integers
+_FIXED_PAYLOAD_BYTES |= {0xD4: 2, 0xD5: 3, 0xD6: 5, 0xD7: 9, 0xD8: 17}  # ext of a fixed length, with its type
+_LENGTH_FIELD_BYTES = {0xC4: 1, 0xC5: 2, 0xC6: 4, 0xD9: 1, 0xDA: 2, 0xDB: 4}  # bin and str
+_EXT_LENGTH_FIELD_BYTES = {0xC7: 1, 0xC8: 2, 0xC9: 4}  # a type byte follows the length field
+# Arrays and maps: the bytes of the count field, and the number of items in each counted entry.
+_CONTAINER_HEADERS = {0xDC: (2, 1), 0xDD: (4, 1), 0xDE: (2, 2), 0xDF: (4, 2)}
 
 
 class Scanner:
-    """Splits a stream of bytes into whole messages.
+    """Splits a stream of bytes into complete messages.
 
     Args:
-        max_bytes: of a message.
-        max_items: of a message, nested ones included, which also limits the depth.
+        max_bytes: Maximum size of a message.
+        max_items: Maximum number of items in a message, including nested items. It also limits the depth.
     """
 
     def __init__(self, max_bytes: int, max_items: int) -> None:
@@ -32,17 +34,21 @@
         self._begin_message()
 
     def _begin_message(self) -> None:
-        self._position = 0  # of the next item, in the buffer
-        self._remaining_items = 1  # of the message, as far as declared
+        self._position = 0  # offset of the next item in the buffer
+        self._remaining_items = 1  # items declared so far that are not scanned yet
         self._item_count = 0
 
     @property
-    def pending(self) -> int:
-        """Number of bytes of an incomplete message."""
+    def pending_bytes(self) -> int:
+        """Number of bytes received of a message that is not complete yet."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> tuple[list[bytes], ScanError | None]:
-        """Return the messages that are complete now, and the error in the bytes after them, if any."""
+        """Add received bytes.
+
+        Returns:
+            The messages that these bytes complete, and the error in the bytes after them or None.
+        """
         self._buffer += data
         messages: list[bytes] = []
         try:
@@ -56,38 +62,40 @@
         return messages, None
 
     def _scan(self) -> bool:
-        """Advance towards the end of the message; return whether it is reached."""
+        """Scan up to the end of the message or the buffer; return whether the message is complete."""
         position = self._position
         size = len(self._buffer)
         while self._remaining_items:
             if position >= size:
                 self._position = position
                 return False
-            end, nested = self._item(position)
-            if end < 0:  # its head is incomplete
+            end, nested_items = self._scan_item(position)
+            if end < 0:  # the item's header is incomplete
                 self._position = position
                 return False
             if end > self._max_bytes:
-                raise ScanError(f"a message of more than {self._max_bytes} bytes")
-            if end > size and not nested:  # an incomplete string, skipped once it is complete
+                raise ScanError(f"message exceeds the limit of {self._max_bytes} bytes")
+            if end > size and not nested_items:  # an incomplete value, scanned again when more bytes arrive
                 self._position = position
                 return False
             self._item_count += 1
-            self._remaining_items += nested - 1
+            self._remaining_items += nested_items - 1
             if self._item_count + self._remaining_items > self._max_items:
-                raise ScanError(f"a message of more than {self._max_items} items")
+                raise ScanError(f"message exceeds the limit of {self._max_items} items")
             position = end
         self._position = position
         return True
 
-    def _item(self, position: int) -> tuple[int, int]:
-        """Return where an item ends, a container after its head, and the number of items in it.
+    def _scan_item(self, position: int) -> tuple[int, int]:
+        """Read the header of the item at an offset.
 
-        The end is -1 where the item's head is incomplete.
+        Returns:
+            The offset at which the item ends, and the number of items nested in it. For a container, the
+            offset is the end of its header. The offset is -1 if the header is incomplete.
         """
         tag = self._buffer[position]
         if not position and not 0x93 <= tag <= 0x94:
-            raise ScanError(f"a message begins with byte {tag:#04x}, expected 0x93 or 0x94")
+            raise ScanError(f"expected 0x93 or 0x94 as the first byte of a message, got {tag:#04x}")
         if tag <= 0x7F or tag >= 0xE0:
             return position + 1, 0
         if tag <= 0x8F:
@@ -96,18 +104,23 @@
             return position + 1, tag & 0x0F
         if tag <= 0xBF:
             return position + 1 + (tag & 0x1F), 0
-        if tag in _FIXED:
-            return position + 1 + _FIXED[tag], 0
-        width, extra = (_SIZED[tag], 0) if tag in _SIZED else (_EXT.get(tag, 0), 1)
-        if tag in _COUNTED:
-            width, times = _COUNTED[tag]
-            count = self._number(position + 1, width)
-            return (-1, 0) if count is None else (position + 1 + width, count * times)
+        if tag in _FIXED_PAYLOAD_BYTES:
+            return position + 1 + _FIXED_PAYLOAD_BYTES[tag], 0
+        width, type_bytes = (
+            (_LENGTH_FIELD_BYTES[tag], 0)
+            if tag in _LENGTH_FIELD_BYTES
+            else (_EXT_LENGTH_FIELD_BYTES.get(tag, 0), 1)
+        )
+        if tag in _CONTAINER_HEADERS:
+            width, items_per_entry = _CONTAINER_HEADERS[tag]
+            count = self._read_integer(position + 1, width)
+            return (-1, 0) if count is None else (position + 1 + width, count * items_per_entry)
         if not width:
             raise ScanError(f"byte {tag:#04x} is reserved in MessagePack")
-        length = self._number(position + 1, width)
-        return (-1, 0) if length is None else (position + 1 + width + extra + length, 0)
+        length = self._read_integer(position + 1, width)
+        return (-1, 0) if length is None else (position + 1 + width + type_bytes + length, 0)
 
-    def _number(self, position: int, width: int) -> int | None:
+    def _read_integer(self, position: int, width: int) -> int | None:
+        """Return the integer of `width` bytes at an offset; None if it is not complete yet."""
         data = self._buffer[position : position + width]
         return int.from_bytes(data, "big") if len(data) == width else None
--- a/saffronlane/platform/discovery/__init__.py
+++ b/saffronlane/platform/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Discovery: follows the control feed and keeps the table of engine endpoints."""
+"""Discovery: watches the control feed and maintains the table of engine endpoints."""
--- a/saffronlane/platform/discovery/watch.py
+++ b/saffronlane/platform/discovery/watch.py
@@ -1,4 +1,7 @@
-"""Watches the control feed: numbered events over TCP, resumed from the last one after any failure."""
+"""Watches the control feed, a stream of numbered events over TCP.
+
+After any failure, the watch reconnects and resumes after the last event that it received.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +23,7 @@
 
 log = structlog.get_logger()
 
-# The protocol's words.
+# Names in the feed's protocol.
 SUBSCRIBE_COMMAND = b"SUB %d\n"
 SEQUENCE_FIELD = "n"
 
@@ -28,20 +31,21 @@
 MAX_HEARTBEAT_BYTES = 40
 MAX_SEQUENCE_DIGITS = 15
 READ_CHUNK_BYTES = 65_536
-READ_TIMEOUT = 1.8  # seconds; the feed writes a line each second
+READ_TIMEOUT = 1.8  # seconds; the feed writes at least one line per second
 CONNECT_TIMEOUT = 0.7  # seconds
-MIN_BACKOFF = 0.05  # seconds between attempts, doubled with each failure and jittered
+MIN_BACKOFF = 0.05  # seconds between connection attempts, doubled with each failure and jittered
 MAX_BACKOFF = 0.8  # seconds
-MIN_JITTER = 0.5  # of the backoff
+MIN_JITTER = 0.5  # lower bound of the random factor of the backoff; the upper bound is 1
 EXPECTED_ERRORS = (OSError, TimeoutError, StreamClosedError, UnsatisfiableReadError, DiscoveryError)
 _DECODE_ERRORS = (msgspec.DecodeError, UnicodeDecodeError)
 _EVENT_DECODER = msgspec.json.Decoder(WatchEvent)
 
 
 def _heartbeat_sequence(line: bytes) -> int | None:
-    """Return the sequence number of a heartbeat, a bare number or an object with nothing else.
+    """Return the sequence number of a heartbeat, or None if the line is not a heartbeat.
 
-    Taking a heartbeat for an event without endpoints would skip the event of that number.
+    A heartbeat is a bare number or an object that contains only the number. It must not be mistaken for an
+    event without endpoints, because the real event with that number would then be skipped.
     """
     if line.isdigit() and len(line) <= MAX_SEQUENCE_DIGITS:
         return int(line)
@@ -56,14 +60,14 @@
 
 
 class DiscoveryWatch:
-    """Watches the feed until it is closed.
+    """Watches the feed until `close` is called.
 
     Args:
-        address: of the feed.
-        last_sequence: number of the last event that is known.
-        on_endpoints: called with each later event's list, once and in order.
-        random: of the jitter between attempts.
-        exhaustion: reports errors for lack of descriptors.
+        address: The address of the feed.
+        last_sequence: The number of the last event that is already known.
+        on_endpoints: Called with the endpoint list of each later event, once per event and in order.
+        random: The random number generator for the jitter between connection attempts.
+        exhaustion: Reports errors that are caused by a lack of descriptors.
     """
 
     def __init__(
@@ -84,11 +88,11 @@
         self._address_changed = asyncio.Event()
 
     def start(self) -> None:
-        """Start watching."""
+        """Start to watch the feed."""
         self._task = asyncio.get_running_loop().create_task(self._follow())
 
     def change_address(self, address: Address) -> None:
-        """Resume at another address from the last event."""
+        """Reconnect to another address and resume after the last event."""
         if address != self.address:
             self.address = address
             self._address_changed.set()
@@ -96,7 +100,7 @@
                 self._stream.close()
 
     def close(self) -> None:
-        """Stop watching."""
+        """Stop watching and close the connection."""
         if self._task is not None:
             self._task.cancel()
         self._close_stream()
@@ -106,7 +110,7 @@
             self._stream.close()
 
     async def _follow(self) -> None:
-        """Connect again after any failure, with exponential backoff, until `close`."""
+        """Watch the feed until `close`, and reconnect after any failure with exponential backoff."""
         backoff = MIN_BACKOFF
         while True:
             self._address_changed.clear()
@@ -145,7 +149,7 @@
             )
 
     async def _watch_once(self) -> None:
-        """Watch over one connection until it fails, which raises."""
+        """Watch the feed on one connection until the connection fails, which raises an exception."""
         stream = IOStream(
             socket.socket(), max_buffer_size=2 * MAX_LINE_BYTES, read_chunk_size=READ_CHUNK_BYTES
         )
@@ -155,17 +159,17 @@
         stream.write(SUBSCRIBE_COMMAND % self.last_sequence)
         while True:
             async with asyncio.timeout(READ_TIMEOUT):
-                # Only lines that show the feed to be up to date reset the timeout.
+                # Only lines that show that the feed is up to date reset the timeout.
                 is_current = False
                 while not is_current:
                     line = await stream.read_until(b"\n", max_bytes=MAX_LINE_BYTES)
                     is_current = self._on_line(line.strip())
 
     def _on_line(self, line: bytes) -> bool:
-        """Handle one line; return whether it shows that the feed is up to date.
+        """Handle one line and return whether it shows that the feed is up to date.
 
         Raises:
-            DiscoveryError: events are missing or the line is invalid.
+            DiscoveryError: Events are missing or the line is invalid.
         """
         sequence = _heartbeat_sequence(line)
         if sequence is not None:
@@ -179,7 +183,9 @@
 
     def _on_heartbeat(self, sequence: int) -> bool:
         if sequence > self.last_sequence:
-            raise DiscoveryError(f"heartbeat at {sequence}, last event {self.last_sequence}")
+            raise DiscoveryError(
+                f"events missing: heartbeat reports event {sequence}, last received is {self.last_sequence}"
+            )
         return sequence == self.last_sequence
 
     def _on_event(self, event: WatchEvent) -> bool:
@@ -187,29 +193,33 @@
             return False  # a duplicate
         endpoints = event.endpoint_list
         is_complete = endpoints is not None and endpoints.is_complete
-        # A complete list stands for all events before it, which the feed may no longer have.
+        # A complete list replaces all earlier events, which the feed may no longer have.
         if event.sequence != self.last_sequence + 1 and not is_complete:
-            raise DiscoveryError(f"event {event.sequence} after {self.last_sequence}")
+            raise DiscoveryError(
+                f"events missing: received event {event.sequence} after event {self.last_sequence}"
+            )
         self.last_sequence = event.sequence
         if endpoints is not None:
             try:
                 self._on_endpoints(endpoints)
             except Exception:
-                # It would fail again if it were requested again, and hold up later events.
-                log.exception("event skipped", sequence=event.sequence)
+                # The event is not requested again: it would fail again and block later events.
+                log.exception("discovery event skipped: handler failed", sequence=event.sequence)
         return True
 
     def _skip_invalid(self, line: bytes, decode_error: Exception) -> None:
-        """Skip an event that is invalid at its source, where its number is legible and the next one.
+        """Skip an event that the feed sent in an invalid form, if its number is readable and is the next one.
 
         Raises:
-            DiscoveryError: the line has no such number.
+            DiscoveryError: The line has no number, or its number is not the next one.
         """
         with contextlib.suppress(*_DECODE_ERRORS):
             event = msgspec.json.decode(line)
             sequence = event.get(SEQUENCE_FIELD) if isinstance(event, dict) else None
             if sequence == self.last_sequence + 1:
-                log.error("event skipped", sequence=sequence, error=str(decode_error))
+                log.error(
+                    "discovery event skipped: invalid format", sequence=sequence, error=str(decode_error)
+                )
                 self.last_sequence = int(sequence)
                 return
         raise DiscoveryError(f"invalid event: {decode_error}") from decode_error
--- a/saffronlane/platform/downstream/__init__.py
+++ b/saffronlane/platform/downstream/__init__.py
@@ -1,8 +1,9 @@
-"""The downstream side: MessagePack-RPC clients, bounded in bytes, requests and descriptors.
+"""The downstream side: serves MessagePack-RPC clients within limits on bytes, requests and descriptors.
 
-It makes no scheduling decisions. An invalid message is answered with an error to its sender; its connection
-is closed only where the bytes after the message cannot be parsed. Replies to invalid messages are delayed so
-that their senders do not hold up other clients.
+This package makes no scheduling decisions. An invalid message gets an error reply. Its connection is closed
+only after too many invalid messages, after one without a readable id, or when the bytes after the message
+cannot be parsed. Error replies to invalid messages are delayed so that their senders do not delay other
+clients.
 """
 
 from .request_decoder import DecodedRequest, RequestDecoder
--- a/saffronlane/platform/downstream/client_connection.py
+++ b/saffronlane/platform/downstream/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client: parses its messages, writes replies and applies its timeouts."""
+"""A connection of a client: parses its messages, writes replies and enforces timeouts."""
 
 from __future__ import annotations
 
@@ -21,24 +21,29 @@
 
 log = structlog.get_logger()
 
-# Methods on the wire that are no query class.
+# Methods that are not names of query classes.
 CANCEL_METHOD = "forget"
 HEALTH_CHECK_METHOD = "isWell"
 
 MAX_MESSAGE_BYTES = 262_144
 MAX_MESSAGE_ITEMS = 256
-MAX_OPEN_REQUESTS = 32  # on one connection, by the protocol
+MAX_OPEN_REQUESTS = 32  # limit of the protocol for one connection
 MAX_REPLY_BYTES = 49_152
-MAX_UNREAD_BYTES = MAX_OPEN_REQUESTS * MAX_REPLY_BYTES  # that a client may leave unread
-RECEIVE_TIMEOUT = 2.0  # seconds without a byte, for the first message and for the rest of one that has begun
-MESSAGE_TIMEOUT = 10.0  # seconds for the whole of a message
-IDLE_TIMEOUT = 5.0  # seconds without an open request; clients close theirs after 4
-MAX_FAULTS = 8  # invalid messages until the connection is closed
-BOUNDS = ConnectionLimits(stall_timeout=IDLE_TIMEOUT)
+MAX_UNREAD_BYTES = MAX_OPEN_REQUESTS * MAX_REPLY_BYTES  # reply bytes that a client may leave unread
+RECEIVE_TIMEOUT = 2.0  # seconds without a byte while the first message or the rest of a message is awaited
+MESSAGE_TIMEOUT = 10.0  # seconds from the first to the last byte of a message
+IDLE_TIMEOUT = 5.0  # seconds without an open request; clients close idle connections after 4 s
+MAX_INVALID_MESSAGES = 8  # number of invalid messages after which a connection is closed
+CONNECTION_LIMITS = ConnectionLimits(stall_timeout=IDLE_TIMEOUT)
 
 
 class OpenRequest(NamedTuple):
-    """A request without a reply: its number in the dispatcher and the client's id for it."""
+    """A request that has no reply yet.
+
+    Attributes:
+        number: The dispatcher's number for the request.
+        request_id: The client's id for the request.
+    """
 
     number: int
     request_id: bytes
@@ -47,19 +52,19 @@
 class ClientConnection(ManagedConnection):
     """Reads a client's requests and writes its replies.
 
-    It reads at all times, so that the client's disconnection and its cancellations are known at once and
-    nothing is forwarded for a client that has gone.
+    The connection is read at all times. Disconnections and cancellations are therefore detected at once, and
+    no request is forwarded for a client that has disconnected.
 
     Args:
-        server: the owner.
-        connection: the accepted socket.
+        server: The server that owns the connection.
+        connection: The accepted socket.
     """
 
     def __init__(self, server: DownstreamServer, connection: socket.socket) -> None:
         now = asyncio.get_running_loop().time()
         stream = Stream(connection, 2 * MAX_MESSAGE_BYTES, MAX_UNREAD_BYTES)
         stream.set_nodelay(True)
-        super().__init__(stream, ConnectionLifecycle(BOUNDS, now))
+        super().__init__(stream, ConnectionLifecycle(CONNECTION_LIMITS, now))
         self.server = server
         self.open_requests: dict[int, OpenRequest] = {}  # by message id
         self.opened_at = now
@@ -68,7 +73,7 @@
         self.last_received_at = now
         self.has_sent_message = False
         self.request_count = 0
-        self.fault_count = 0
+        self.invalid_message_count = 0
         self.scanner = rpc.Scanner(MAX_MESSAGE_BYTES, MAX_MESSAGE_ITEMS)
         self._is_readable = True  # whether the input can still be parsed
         self._output: list[bytes] = []
@@ -77,11 +82,11 @@
     # --- reading ---
 
     def receive(self, data: bytes) -> None:
-        """Parse received bytes and act on the messages that are complete."""
+        """Parse received bytes and process the messages that they complete."""
         if not self._is_readable:
             return
         self.last_received_at = self.loop.time()
-        was_between_messages = not self.scanner.pending
+        was_between_messages = not self.scanner.pending_bytes
         messages, error = self.scanner.feed(data)
         if was_between_messages or messages:
             self.message_started_at = self.last_received_at
@@ -91,7 +96,7 @@
             try:
                 self._on_message(message)
             except Exception:
-                # Keeps the other requests of the connection.
+                # The other open requests of the connection are still answered.
                 log.exception("message handling failed")
                 self.drain("message handling failed")
         if error is not None:
@@ -103,38 +108,38 @@
         try:
             message = rpc.decode_message(data)
         except rpc.InvalidMessageError as error:
-            self._on_fault(error.id, str(error))
+            self._on_invalid_message(error.id, str(error))
             return
         if not self.has_sent_message:
             self.has_sent_message = True
             self._update_idle()
         if isinstance(message, rpc.Notification):
-            self._on_notice(message)
+            self._on_notification(message)
         elif not self.lifecycle.accepts_work:
-            return  # the connection closes: only open requests are answered
+            return  # while the connection closes, only requests that are already open are answered
         elif message.method == HEALTH_CHECK_METHOD:
             self.write(rpc.encode_reply(rpc.Reply(message.id, None, {}, self.server.is_healthy())))
             self._update_idle()
         else:
             self._on_call(message)
 
-    def _on_notice(self, notice: rpc.Notification) -> None:
-        if notice.method == CANCEL_METHOD:
-            for message_id in notice.ids:
+    def _on_notification(self, notification: rpc.Notification) -> None:
+        if notification.method == CANCEL_METHOD:
+            for message_id in notification.ids:
                 self._on_cancel(message_id)
 
     def _on_call(self, call: rpc.Call) -> None:
         if call.id in self.open_requests:
-            # A reply could not be attributed to one of the two: neither gets one.
+            # The client could not attribute a reply to one of the two calls, so neither is answered.
             self.abort("duplicate message id")
             return
         if len(self.open_requests) >= MAX_OPEN_REQUESTS:
-            self._on_fault(call.id, f"more than {MAX_OPEN_REQUESTS} requests open")
+            self._on_invalid_message(call.id, f"more than {MAX_OPEN_REQUESTS} requests open")
             return
         try:
             request = self.server.decode(call)
         except BadRequestError as error:
-            self._on_fault(call.id, str(error))
+            self._on_invalid_message(call.id, str(error))
             return
         request_id = request.statement.request_id
         number = self.server.submit(request, ReplyChannel(self, call.id, request_id))
@@ -148,15 +153,18 @@
             self.server.cancel(request.number, request.request_id)
             self._update_idle()
 
-    def _on_fault(self, message_id: int | None, reason: str) -> None:
-        """Reply to an invalid message after a delay; past `MAX_FAULTS`, accept no more requests."""
-        self.fault_count += 1
-        self.server.fault_count += 1
+    def _on_invalid_message(self, message_id: int | None, reason: str) -> None:
+        """Reply to an invalid message after a delay.
+
+        The connection is drained when it has sent `MAX_INVALID_MESSAGES` or the message has no readable id.
+        """
+        self.invalid_message_count += 1
+        self.server.invalid_message_count += 1
         log.debug("invalid message received", reason=reason)
         if message_id is not None:
             self._fault_replies.add(rpc.encode_reply(rpc.Reply(message_id, FAULT_ERROR, {})))
             self.server.eviction.mark_busy(self)
-        if self.fault_count >= MAX_FAULTS or message_id is None:
+        if self.invalid_message_count >= MAX_INVALID_MESSAGES or message_id is None:
             self.drain("too many invalid messages")
 
     # --- writing ---
@@ -166,8 +174,8 @@
         """Whether a request or a delayed reply is pending."""
         return bool(self.open_requests or self._fault_replies)
 
-    def answer(self, channel: ReplyChannel, reply: rpc.Reply) -> None:
-        """Write the reply to a request, unless it was cancelled."""
+    def send_reply(self, channel: ReplyChannel, reply: rpc.Reply) -> None:
+        """Write the reply to a request unless the request was cancelled."""
         if self.open_requests.pop(channel.message_id, None) is not None:
             self.server.open_request_ids.discard(channel.request_id)
             self.write(rpc.encode_reply(reply))
@@ -180,12 +188,12 @@
         self.settle()
 
     def write(self, data: bytes) -> None:
-        """Queue bytes, which are sent together at the end of this turn of the event loop."""
+        """Queue bytes. All bytes queued in one turn of the event loop are sent together at its end."""
         self._output.append(data)
         self.schedule_flush()
 
     def flush(self) -> None:
-        """Hand the queued bytes to the stream."""
+        """Write the queued bytes to the stream."""
         if self._output and not self.stream.closed():
             data = b"".join(self._output)
             self._output = []
@@ -193,13 +201,13 @@
 
     @property
     def has_queued_output(self) -> bool:
-        """Whether bytes wait to be handed to the stream."""
+        """Whether queued bytes have not been written to the stream yet."""
         return bool(self._output) and not self.stream.closed()
 
     # --- timeouts and closing ---
 
     def drain(self, why: str) -> None:
-        """Accept no more requests, answer those that are open, and close."""
+        """Accept no more requests, answer the open ones, and close the connection."""
         self._fault_replies.flush()
         super().drain(why)
 
@@ -211,23 +219,23 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing is open, partially received, unsent or unprocessed."""
+        """Whether the connection has no open request, partial message, unsent reply or unprocessed input."""
         is_busy = (
             self.has_pending_work
-            or self.scanner.pending
+            or self.scanner.pending_bytes
             or self.has_pending_output
             or self.has_unprocessed_input
         )
         return self.lifecycle.accepts_work and not is_busy
 
     def check_timeouts(self, now: float) -> None:
-        """Close the connection where the client is slow to read or to send, or idle."""
+        """Close the connection if the client is idle, or too slow to read replies or to send a message."""
         if self.has_pending_output:
-            if self.stalled_for() > BOUNDS.stall_timeout:
+            if self.stalled_for() > CONNECTION_LIMITS.stall_timeout:
                 self.abort("replies not read")
         elif not self.lifecycle.accepts_work:
-            return  # closing has timeouts of its own
-        elif self.scanner.pending:
+            return  # the lifecycle enforces the timeouts of a closing connection
+        elif self.scanner.pending_bytes:
             if self._message_timed_out(now):
                 self.call_after_pending_input(self._drain_unfinished)
         elif not self.has_sent_message and not self.has_pending_work:
@@ -237,10 +245,10 @@
             self.call_after_pending_input(self._drain_idle)
 
     def _message_timed_out(self, now: float) -> bool:
-        """Return whether the rest of a message is overdue."""
+        """Return whether a message has started and its rest is overdue."""
         has_stalled = now > self.last_received_at + RECEIVE_TIMEOUT
         is_overdue = now > self.message_started_at + MESSAGE_TIMEOUT
-        return bool(self.scanner.pending) and (has_stalled or is_overdue)
+        return bool(self.scanner.pending_bytes) and (has_stalled or is_overdue)
 
     def _drain_unfinished(self) -> None:
         if self._message_timed_out(self.loop.time()) and not self.has_unprocessed_input:
@@ -252,7 +260,7 @@
             self.drain("idle")
 
     def on_closed(self, event: Event, why: str) -> None:
-        """Cancel what is open: the client has gone."""
+        """Cancel the open requests of a client whose connection has closed."""
         self._fault_replies.discard()
         for request in self.open_requests.values():
             self.server.cancel(request.number, request.request_id)
--- a/saffronlane/platform/downstream/connection_eviction.py
+++ b/saffronlane/platform/downstream/connection_eviction.py
@@ -1,4 +1,7 @@
-"""The order in which idle client connections are evicted, maintained so that no eviction needs a search."""
+"""The order in which idle client connections are evicted.
+
+The order is updated whenever a connection changes, so that an eviction does not search all connections.
+"""
 
 from __future__ import annotations
 
@@ -11,18 +14,20 @@
 
 NEW_CONNECTION_PROTECTION = 0.05  # seconds for which a new connection is not evicted
 IDLE_CONNECTION_PROTECTION = 0.1  # seconds for which a connection that became idle is not evicted
-MAX_PROTECTED_RATIO = 0.5  # of all connections: reused ones that are preferred over others
+# Reused connections are evicted last while they are at most this fraction of the connection limit.
+MAX_PROTECTED_RATIO = 0.5
 
 
 class EvictionOrder:
-    """The connections without open requests, by kind, each kind in eviction order.
+    """The connections without open requests, grouped by kind, each group in eviction order.
 
-    A connection is in at most one kind. Idle connections form a segmented LRU list: reused ones are kept
-    while there are others and they are not the majority. Otherwise a flood of clients that send one request
-    each and stay connected would evict the regular clients.
+    A connection is in at most one group. Idle connections form a segmented LRU list. Connections that were
+    reused are evicted after connections that were used once, as long as the reused ones are at most
+    `MAX_PROTECTED_RATIO` of the connection limit. Otherwise a flood of clients that send one request each and
+    stay connected would evict the regular clients.
 
     Args:
-        max_connections: limit on connections open at once.
+        max_connections: Limit on the number of open connections.
     """
 
     def __init__(self, max_connections: int) -> None:
@@ -30,31 +35,31 @@
         self._without_message: dict[ClientConnection, None] = {}  # oldest first
         self._used_once: dict[ClientConnection, None] = {}  # longest idle first
         self._reused: dict[ClientConnection, None] = {}  # longest idle first
-        self._closing: dict[ClientConnection, None] = {}  # waiting for the peer to close
+        self._closing: dict[ClientConnection, None] = {}  # waiting for the client to close
 
     @property
     def closing_count(self) -> int:
-        """Number of connections that wait for their peer to close."""
+        """Number of connections that wait for the client to close."""
         return len(self._closing)
 
     def add(self, client: ClientConnection) -> None:
-        """Add a new connection, which has not sent a message."""
+        """Add a new connection that has not sent a message yet."""
         self._without_message[client] = None
 
     def mark_busy(self, client: ClientConnection) -> None:
-        """Exempt a connection from eviction: it has sent a message and has something open."""
+        """Exempt a connection from eviction because it has an open request or a pending reply."""
         for clients in (self._without_message, self._used_once, self._reused):
             clients.pop(client, None)
 
     def mark_idle(self, client: ClientConnection) -> None:
-        """Add a connection that has sent a message and has had nothing open since now."""
+        """Add a connection that has sent a message and has just become idle."""
         self.mark_busy(client)
         if client.lifecycle.accepts_work:
             clients = self._reused if client.request_count > 1 else self._used_once
             clients[client] = None
 
     def mark_closing(self, client: ClientConnection) -> None:
-        """Note that a connection accepts no more requests."""
+        """Record that a connection accepts no more requests."""
         self.mark_busy(client)
         if client.lifecycle.is_closing:
             self._closing[client] = None
@@ -65,15 +70,15 @@
         self._closing.pop(client, None)
 
     def graceful_candidate(self, now: float) -> ClientConnection | None:
-        """Return the connection to close gracefully next; None where all may be in use."""
+        """Return the connection to close gracefully next, or None if all may be in use."""
         return self._oldest_without_message(now) or self._longest_idle(now)
 
     def abort_candidate(self, now: float) -> ClientConnection | None:
-        """Return the connection to close at once; None where none may be.
+        """Return the connection to close at once, or None if none may be closed.
 
-        In order of preference: a connection without a message, to which nothing was written; one that is half
-        closed, since its peer may never close; the longest idle. Where no connection is idle at all, one with
-        an unfinished first message.
+        The order of preference is: a connection that has sent nothing, to which nothing was written either; a
+        half-closed connection, since its client may never close; the connection that has been idle longest.
+        If no connection is idle, a connection with an incomplete first message is returned.
         """
         half_closed = (client for client in self._closing if client.lifecycle.state is State.HALF_CLOSED)
         client = self._oldest_without_message(now) or next(half_closed, None) or self._longest_idle(now)
@@ -83,14 +88,18 @@
         return client
 
     def _oldest_without_message(self, now: float, is_partial: bool = False) -> ClientConnection | None:
-        """Return the oldest connection without a whole message; `is_partial`: with a part of one.
+        """Return the oldest connection that has not sent a complete message.
+
+        New connections are excluded because their first request may be in flight.
 
-        New connections are passed over, since their first request may be on its way.
+        Args:
+            now: The current time of the event loop in seconds.
+            is_partial: Whether to look for a connection with part of a message instead of one without any.
         """
         for client in self._without_message:
             if client.opened_at >= now - NEW_CONNECTION_PROTECTION:
                 return None
-            has_partial = bool(client.scanner.pending)
+            has_partial = bool(client.scanner.pending_bytes)
             if (
                 client.lifecycle.accepts_work
                 and has_partial is is_partial
@@ -100,7 +109,10 @@
         return None
 
     def _longest_idle(self, now: float) -> ClientConnection | None:
-        """Return the connection that has been idle longest, unless that is only for a moment."""
+        """Return the connection that has been idle longest.
+
+        Connections that became idle less than `IDLE_CONNECTION_PROTECTION` ago are excluded.
+        """
         protects_reused = self._used_once and len(self._reused) <= self._max_protected
         for client in self._used_once if protects_reused else self._reused:
             if client.idle_since > now - IDLE_CONNECTION_PROTECTION:
--- a/saffronlane/platform/downstream/fault_replies.py
+++ b/saffronlane/platform/downstream/fault_replies.py
@@ -1,4 +1,4 @@
-"""Delayed replies to invalid messages, so that a faulty client does not send the next one at once."""
+"""Delays replies to invalid messages, so that a faulty client does not send the next one at once."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 
 
 class DelayedFaultReplies:
-    """Encoded replies that are written after `FAULT_REPLY_DELAY`.
+    """Encoded error replies to invalid messages that are written after `FAULT_REPLY_DELAY`.
 
     Args:
-        write: takes a reply's bytes.
-        on_written: called after a delayed reply was written.
+        write: Writes the bytes of a reply to the client.
+        on_written: Called after a delayed reply was written.
     """
 
     def __init__(self, write: Callable[[bytes], None], on_written: Callable[[], None]) -> None:
         self._write = write
         self._on_written = on_written
         self._loop = asyncio.get_running_loop()
-        self._replies: dict[asyncio.TimerHandle, bytes] = {}  # in the order in which they are due
+        self._replies: dict[asyncio.TimerHandle, bytes] = {}  # by timer, the earliest first
 
     def __bool__(self) -> bool:
         """Whether replies are pending."""
         return bool(self._replies)
 
     def add(self, data: bytes) -> None:
-        """Write a reply after the delay."""
+        """Schedule a reply to be written after the delay."""
         timer = self._loop.call_later(FAULT_REPLY_DELAY, self._on_due)
         self._replies[timer] = data
 
     def _on_due(self) -> None:
-        timer = next(iter(self._replies))  # all delays are equal: the first is the one that is due
+        timer = next(iter(self._replies))  # all delays are equal, so the oldest timer has fired
         self._write(self._replies.pop(timer))
         self._on_written()
 
--- a/saffronlane/platform/downstream/listener.py
+++ b/saffronlane/platform/downstream/listener.py
@@ -19,11 +19,12 @@
 
 
 class Listener:
-    """A listening socket that can pause.
+    """Listens on an address and can pause accepting connections.
 
     Args:
-        on_connection: called with each accepted connection; returns whether there is capacity for another.
-        exhaustion: reports errors for lack of descriptors.
+        on_connection: Called with each accepted socket. Returns whether there is capacity for another
+            connection.
+        exhaustion: Reports errors that are caused by a lack of descriptors.
     """
 
     def __init__(
@@ -33,15 +34,15 @@
         self._exhaustion = exhaustion
         self._loop = asyncio.get_running_loop()
         self._sockets: list[socket.socket] = []
-        self._accepting = False
-        self._retry: asyncio.TimerHandle | None = None
+        self._is_accepting = False
+        self._retry_timer: asyncio.TimerHandle | None = None
         self.pause_count = 0
 
     def listen(self, address: Address) -> None:
-        """Bind and accept connections.
+        """Bind the address and accept connections.
 
         Raises:
-            OSError: the address cannot be bound.
+            OSError: The address cannot be bound.
         """
         host, port = address
         self._sockets = bind_sockets(port, host, backlog=ACCEPT_BACKLOG)
@@ -55,36 +56,36 @@
 
     def resume(self) -> None:
         """Accept pending and new connections."""
-        if self._accepting:
+        if self._is_accepting:
             return
-        self._accepting = True
-        for listening in self._sockets:
-            # The descriptor, not the socket: asyncio would format a socket, at the cost of two system calls.
-            self._loop.add_reader(listening.fileno(), self._accept, listening)
+        self._is_accepting = True
+        for listening_socket in self._sockets:
+            # A descriptor is passed because asyncio formats a socket object, which costs two system calls.
+            self._loop.add_reader(listening_socket.fileno(), self._accept, listening_socket)
 
     @property
     def is_paused(self) -> bool:
-        """Whether new connections wait in the system's backlog, the length of which is unknown."""
-        return bool(self._sockets) and not self._accepting
+        """Whether new connections are left in the system's backlog, whose length is unknown."""
+        return bool(self._sockets) and not self._is_accepting
 
     def pause(self) -> None:
         """Leave new connections in the system's backlog until `resume`."""
-        if self._accepting:
-            self._accepting = False
+        if self._is_accepting:
+            self._is_accepting = False
             self.pause_count += 1
-            for listening in self._sockets:
-                self._loop.remove_reader(listening.fileno())
+            for listening_socket in self._sockets:
+                self._loop.remove_reader(listening_socket.fileno())
 
-    def _accept(self, listening: socket.socket) -> int:
-        """Accept pending connections while there is capacity; return how many were tried."""
+    def _accept(self, listening_socket: socket.socket) -> int:
+        """Accept pending connections while there is capacity; return the number of attempts."""
         for count in range(MAX_ACCEPTS_PER_TURN):
-            if not self._accepting:
+            if not self._is_accepting:
                 return count
             try:
-                connection, _ = listening.accept()
+                connection, _ = listening_socket.accept()
             except BlockingIOError:
                 return count
-            except ConnectionAbortedError:  # closed by the peer while it was in the backlog
+            except ConnectionAbortedError:  # the client closed the connection while it was in the backlog
                 continue
             except OSError as error:
                 self._on_accept_error(error)
@@ -94,21 +95,24 @@
         return MAX_ACCEPTS_PER_TURN
 
     def _on_accept_error(self, error: OSError) -> None:
-        """Pause for a while: the socket stays readable, and the loop would be busy with failing accepts."""
+        """Pause for `ACCEPT_RETRY_INTERVAL`.
+
+        The socket stays readable, so without a pause the event loop would be busy with failing accepts.
+        """
         if not self._exhaustion.report_if_exhausted(error, "accept"):
             log.error("accept failed", error=str(error))
         self.pause()
-        self._retry = self._loop.call_later(ACCEPT_RETRY_INTERVAL, self.resume)
+        self._retry_timer = self._loop.call_later(ACCEPT_RETRY_INTERVAL, self.resume)
 
     def accept_pending(self) -> bool:
         """Accept connections from the system's backlog; return whether there were any."""
-        return any([self._accept(listening) > 0 for listening in self._sockets])
+        return any([self._accept(listening_socket) > 0 for listening_socket in self._sockets])
 
     def close(self) -> None:
         """Close the listening sockets."""
         self.pause()
-        if self._retry is not None:
-            self._retry.cancel()
-        for listening in self._sockets:
-            listening.close()
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
+        for listening_socket in self._sockets:
+            listening_socket.close()
         self._sockets = []
--- a/saffronlane/platform/downstream/reply_channel.py
+++ b/saffronlane/platform/downstream/reply_channel.py
@@ -1,4 +1,4 @@
-"""Where the outcome of one request is sent."""
+"""Sends the outcome of a request to the client that submitted it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from .client_connection import ClientConnection
 
-# Words on the wire.
+# Names in the client protocol.
 REJECTED_ERROR = "Shed"
 FAULT_ERROR = "Fault"
 RETRY_AFTER_MS_FIELD = "backoff"
@@ -21,9 +21,9 @@
     """Writes the reply to one request on its client's connection.
 
     Args:
-        client: the connection.
-        message_id: of the call.
-        request_id: of the request.
+        client: The connection on which the request was received.
+        message_id: The id of the call, which the reply repeats.
+        request_id: The client's id for the request.
     """
 
     __slots__ = ("client", "message_id", "request_id")
@@ -35,21 +35,25 @@
 
     @property
     def has_unprocessed_input(self) -> bool:
-        """Whether the client has sent something that was not acted on."""
+        """Whether the client has sent bytes that have not been processed yet."""
         return self.client.has_unprocessed_input
 
     def send_result(self, body: bytes) -> None:
         """Reply with a result."""
-        self.client.answer(self, rpc.Reply(self.message_id, None, {}, body))
+        self.client.send_reply(self, rpc.Reply(self.message_id, None, {}, body))
 
     def send_rejection(self, retry_after: float) -> None:
-        """Reply that the request was rejected; `retry_after`: seconds, 0 where there is no advice."""
+        """Reply that the request was rejected.
+
+        Args:
+            retry_after: Seconds after which the client may retry, or 0 to send no delay.
+        """
         fields = {}
         if retry_after > 0.0:
             retry_after_ms = max(1, round(retry_after * MS_PER_SECOND))
             fields[RETRY_AFTER_MS_FIELD] = str(retry_after_ms)
-        self.client.answer(self, rpc.Reply(self.message_id, REJECTED_ERROR, fields))
+        self.client.send_reply(self, rpc.Reply(self.message_id, REJECTED_ERROR, fields))
 
     def send_failure(self, why: str) -> None:
         """Reply that the request failed."""
-        self.client.answer(self, rpc.Reply(self.message_id, FAULT_ERROR, {}))
+        self.client.send_reply(self, rpc.Reply(self.message_id, FAULT_ERROR, {}))
--- a/saffronlane/platform/downstream/request_decoder.py
+++ b/saffronlane/platform/downstream/request_decoder.py
@@ -1,4 +1,4 @@
-"""Decodes clients' calls into typed requests."""
+"""Decodes the calls of clients into typed requests."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ..sql_tables import table_group
 from ..statement import Statement
 
-# Field names on the wire.
+# Names of the fields in the client protocol.
 REQUEST_ID_FIELD = "rid"
 TIMEOUT_MS_FIELD = "budget"
 TENANT_FIELD = "acct"
@@ -22,9 +22,9 @@
 
 MAX_WORK_MS = 1e9
 MAX_MEMORY_MB = 1e8
-MAX_TIMEOUT_RATIO = 10.0  # of the class's deadline
+MAX_TIMEOUT_RATIO = 10.0  # maximum timeout as a multiple of the class's deadline
 MS_PER_SECOND = 1000.0
-MAX_QUOTED_CHARACTERS = 40  # of an invalid value, in an error's text
+MAX_QUOTED_CHARACTERS = 40  # characters of an invalid value that an error message quotes
 
 _IDENTIFIER = re.compile(r"[0-9a-f]{16}")
 _IDEMPOTENCY_KEY = re.compile(r"[\w.:-]{1,64}", re.ASCII)
@@ -36,14 +36,14 @@
     """A client's request.
 
     Attributes:
-        statement: what is sent to the engine.
-        class_index: position of the query class in the settings.
-        tenant_index: position of the tenant in the settings.
-        timeout: seconds.
-        ordering_key: 0 where the request is not ordered.
-        estimated_work: seconds; 0 where unknown.
-        estimated_memory_mb: 0 where unknown.
-        table_group: number of the group of tables that the statement uses; 0 where none.
+        statement: The statement to send to the engine.
+        class_index: Position of the query class in the settings.
+        tenant_index: Position of the tenant in the settings.
+        timeout: Timeout in seconds.
+        ordering_key: The ordering key, or 0 if the request is not ordered.
+        estimated_work: The client's estimate of the work in seconds, or 0 if it gave none.
+        estimated_memory_mb: The client's estimate of the memory in MB, or 0 if it gave none.
+        table_group: Number of the table group that the statement uses, or 0 if it uses none.
     """
 
     statement: Statement
@@ -57,10 +57,10 @@
 
 
 class RequestDecoder:
-    """Decodes calls, with the names of classes and tenants from the settings.
+    """Decodes calls. The names of query classes and tenants are those of the settings.
 
     Args:
-        settings: the classes and tenants.
+        settings: The settings with the query classes and tenants.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -72,16 +72,18 @@
         """Decode a call.
 
         Raises:
-            BadRequestError: names the field that is invalid.
+            BadRequestError: A field is invalid; the text names it.
         """
         class_index = self._class_index_by_name.get(call.method)
         if class_index is None:
-            raise BadRequestError(f"no such class: {_quoted(call.method)}")
+            raise BadRequestError(f"unknown query class {_quoted(call.method)}")
         class_settings = self._settings.classes[class_index]
         fields = call.fields
         request_id = fields.get(REQUEST_ID_FIELD, "")
         if not _IDENTIFIER.fullmatch(request_id):
-            raise BadRequestError(f"{REQUEST_ID_FIELD}: {_quoted(request_id)}")
+            raise BadRequestError(
+                f"field '{REQUEST_ID_FIELD}': expected 16 hexadecimal digits, got {_quoted(request_id)}"
+            )
         body = _statement_text(call)
         timeout = _timeout(class_settings, fields)
         key = _idempotency_key(class_settings, fields)
@@ -102,7 +104,7 @@
         tenant = fields.get(TENANT_FIELD, "")
         index = self._tenant_index_by_name.get(tenant)
         if index is None:
-            raise BadRequestError(f"{TENANT_FIELD}: {_quoted(tenant)}")
+            raise BadRequestError(f"field '{TENANT_FIELD}': unknown tenant {_quoted(tenant)}")
         return index
 
 
@@ -112,7 +114,7 @@
 
 def _statement_text(call: rpc.Call) -> bytes:
     if not call.body:
-        raise BadRequestError("no statement")
+        raise BadRequestError("the call has no statement")
     try:
         call.body.decode()
     except UnicodeDecodeError as error:
@@ -125,35 +127,39 @@
     max_timeout_ms = MAX_TIMEOUT_RATIO * class_settings.deadline * MS_PER_SECOND
     timeout_ms = _number(fields, TIMEOUT_MS_FIELD, max_timeout_ms)
     if not timeout_ms:
-        raise BadRequestError(f"{TIMEOUT_MS_FIELD}: none")
+        raise BadRequestError(f"field '{TIMEOUT_MS_FIELD}': the timeout is missing or zero")
     return timeout_ms / MS_PER_SECOND
 
 
 def _idempotency_key(class_settings: ClassSettings, fields: dict[str, str]) -> bytes:
-    """Return the idempotency key; empty where the class has none."""
+    """Return the idempotency key, or no bytes if the class does not use one."""
     if class_settings.idempotency is not Idempotency.KEYED:
         return b""
     key = fields.get(IDEMPOTENCY_KEY_FIELD, "")
     if not _IDEMPOTENCY_KEY.fullmatch(key):
-        raise BadRequestError(f"{IDEMPOTENCY_KEY_FIELD}: {_quoted(key)}")
+        raise BadRequestError(f"field '{IDEMPOTENCY_KEY_FIELD}': invalid idempotency key {_quoted(key)}")
     return key.encode()
 
 
 def _ordering_key(class_settings: ClassSettings, fields: dict[str, str]) -> int:
-    """Return the ordering key; 0 where the request is not ordered."""
+    """Return the ordering key, or 0 if the request is not ordered."""
     key = fields.get(ORDERING_KEY_FIELD, "")
     if not class_settings.is_ordered or not key:
         return 0
     if not _IDENTIFIER.fullmatch(key):
-        raise BadRequestError(f"{ORDERING_KEY_FIELD}: {_quoted(key)}")
+        raise BadRequestError(
+            f"field '{ORDERING_KEY_FIELD}': expected 16 hexadecimal digits, got {_quoted(key)}"
+        )
     return int(key, 16)
 
 
 def _number(fields: dict[str, str], name: str, maximum: float) -> float:
-    """Return a field's number; 0 where it is absent."""
+    """Return the number in a field, or 0 if the field is missing."""
     text = fields.get(name)
     if text is None:
         return 0.0
     if not _NUMBER.fullmatch(text) or float(text) > maximum:
-        raise BadRequestError(f"{name}: {_quoted(text)}")
+        raise BadRequestError(
+            f"field '{name}': expected a decimal number of at most {maximum:g}, got {_quoted(text)}"
+        )
     return float(text)
--- a/saffronlane/platform/downstream/server.py
+++ b/saffronlane/platform/downstream/server.py
@@ -20,23 +20,23 @@
 from .reply_channel import ReplyChannel
 from .request_decoder import REQUEST_ID_FIELD, DecodedRequest, RequestDecoder
 
-MAX_PARTIAL_BYTES = 8_388_608  # of incomplete messages, over all connections
-MAX_UNREAD_RATIO = 0.25  # of the memory: replies that clients leave unread, over all connections
-EARLY_EVICTION_RATIO = 0.9  # of the connections, above which idle ones are closed gracefully
+MAX_PARTIAL_BYTES = 8_388_608  # total size of incomplete messages of all connections
+MAX_UNREAD_RATIO = 0.25  # fraction of the memory that the unread replies of all connections may use
+EARLY_EVICTION_RATIO = 0.9  # fraction of the connection limit above which idle connections are evicted early
 SWEEP_INTERVAL = 0.25  # seconds
 EVICTION_RETRY_INTERVAL = 0.02  # seconds
 
 
 class DownstreamServer:
-    """Listens, and keeps the clients' connections within limits.
+    """Listens for clients and enforces the limits on their connections.
 
     Args:
-        executor: takes the requests.
-        settings: the names of classes and tenants.
-        max_clients: limit on connections, those that close included.
-        is_healthy: returns the reply to a health check.
-        exhaustion: reports errors for lack of descriptors.
-        memory_bytes: that the process may use.
+        executor: The executor to which requests are submitted.
+        settings: The settings with the names of query classes and tenants.
+        max_clients: Limit on the number of connections, including those that are closing.
+        is_healthy: Returns the reply to a health check.
+        exhaustion: Reports errors that are caused by a lack of descriptors.
+        memory_bytes: Memory in bytes that the process may use.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         self.clients: dict[ClientConnection, None] = {}  # oldest first
         self.eviction = EvictionOrder(max_clients)
         self.open_request_ids: set[bytes] = set()
-        self.fault_count = 0
+        self.invalid_message_count = 0
         self.request_count = 0
         self.last_request_at = 0.0
         self.accepted_count = 0
@@ -67,10 +67,10 @@
         self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL, self._on_sweep_due)
 
     def listen(self, address: Address) -> None:
-        """Bind and accept connections.
+        """Bind the address and accept connections.
 
         Raises:
-            OSError: the address cannot be bound.
+            OSError: The address cannot be bound.
         """
         self.listener.listen(address)
 
@@ -90,19 +90,19 @@
         return self._has_capacity()
 
     def _has_capacity(self) -> bool:
-        """Return whether another connection may be accepted; where not, start evicting."""
+        """Return whether another connection may be accepted; start to evict connections if not."""
         count = len(self.clients)
         if count < self.max_clients:
             if count > EARLY_EVICTION_RATIO * self.max_clients:
                 self._evict_early()
             return True
         if self._eviction_timer is None:
-            # What the candidates have sent by now is read first.
+            # Input that the candidates have already sent is read before one of them is evicted.
             self._eviction_timer = self._loop.call_later(0.0, self._loop.call_soon, self._on_eviction_due)
         return False
 
     def _on_eviction_due(self) -> None:
-        # Scheduled first and cancelled on success: an exception below must not leave the listener paused.
+        # The retry is scheduled first, so that an exception below does not leave the listener paused.
         self._eviction_timer = self._loop.call_later(EVICTION_RETRY_INTERVAL, self._on_eviction_due)
         if len(self.clients) < self.max_clients or self.evict_now():
             self._eviction_timer.cancel()
@@ -110,7 +110,7 @@
             self.listener.resume()
 
     def _evict_early(self) -> None:
-        """Close one idle connection gracefully while a few descriptors are left."""
+        """Close one idle connection gracefully before the connection limit is reached."""
         if self.eviction.closing_count >= (1.0 - EARLY_EVICTION_RATIO) * self.max_clients:
             return
         client = self.eviction.graceful_candidate(self._loop.time())
@@ -123,7 +123,7 @@
             self.evicted_count += 1
 
     def evict_now(self) -> bool:
-        """Close the first connection in eviction order at once; return whether there was one."""
+        """Close the first connection in eviction order at once; return whether one was closed."""
         client = self.eviction.abort_candidate(self._loop.time())
         if client is None:
             return False
@@ -137,15 +137,15 @@
         """Decode a call.
 
         Raises:
-            BadRequestError: a field is invalid, or a request with this id is open.
+            BadRequestError: A field is invalid, or a request with the same id is open.
         """
         request = self.decoder.decode(call)
         if request.statement.request_id in self.open_request_ids:
-            raise BadRequestError(f"{REQUEST_ID_FIELD}: already open")
+            raise BadRequestError(f"field '{REQUEST_ID_FIELD}': a request with this id is already open")
         return request
 
     def submit(self, request: DecodedRequest, channel: ReplyChannel) -> int:
-        """Submit a request to the dispatcher and return its number there."""
+        """Submit a request to the dispatcher and return the dispatcher's number for it."""
         self.request_count += 1
         self.last_request_at = self._loop.time()
         self.open_request_ids.add(request.statement.request_id)
@@ -165,7 +165,7 @@
         )
 
     def cancel(self, number: int, request_id: bytes) -> None:
-        """Cancel a request for which no client waits any more."""
+        """Cancel a request whose client no longer waits for the reply."""
         self.open_request_ids.discard(request_id)
         self._executor.disconnect_client(number)
 
@@ -179,7 +179,7 @@
     # --- periodic sweep ---
 
     def _on_sweep_due(self) -> None:
-        # Scheduled first: an exception below must not end the sweeps.
+        # The next sweep is scheduled first, so that an exception below does not end the sweeps.
         self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL, self._on_sweep_due)
         unread_bytes = self._check_connections()
         while unread_bytes > self._max_unread_bytes:
@@ -188,7 +188,11 @@
             slowest.abort("unread replies exceed the limit over all connections")
 
     def _check_connections(self) -> float:
-        """Check all connections' timeouts and partial messages; return the bytes that clients left unread."""
+        """Check the timeouts and partial messages of all connections.
+
+        Returns:
+            The number of reply bytes that the clients have not read.
+        """
         now = self._loop.time()
         partial_bytes = 0
         unread_bytes = 0.0
@@ -196,10 +200,10 @@
             client.run_isolated(functools.partial(client.check_timeouts, now))
             if client.lifecycle.is_closed:
                 continue
-            partial_bytes += client.scanner.pending
+            partial_bytes += client.scanner.pending_bytes
             unread_bytes += client.backlog
             if partial_bytes > MAX_PARTIAL_BYTES:
-                partial_bytes -= client.scanner.pending
+                partial_bytes -= client.scanner.pending_bytes
                 client.abort("partial messages exceed the limit over all connections")
         return unread_bytes
 
@@ -207,11 +211,11 @@
 
     @property
     def has_unsent_replies(self) -> bool:
-        """Whether a request is open or a reply is not fully sent."""
+        """Whether a request is open or a reply has not been sent completely."""
         return any(client.has_pending_work or client.has_pending_output for client in self.clients)
 
     def has_unread_input(self) -> bool:
-        """Accept pending connections; return whether there were any, or input that was not acted on."""
+        """Accept pending connections; return whether there were any or any input is still unprocessed."""
         has_accepted = self.listener.accept_pending()
         return has_accepted or any(client.stream.has_undelivered_data for client in self.clients)
 
@@ -222,7 +226,7 @@
             client.run_isolated(functools.partial(client.drain, "process ends"))
 
     def close(self) -> None:
-        """Close everything at once."""
+        """Stop listening and close all connections at once."""
         self._sweep_timer.cancel()
         if self._eviction_timer is not None:
             self._eviction_timer.cancel()
--- a/saffronlane/platform/stats.py
+++ b/saffronlane/platform/stats.py
@@ -73,7 +73,7 @@
     return {
         "clients": len(downstream.clients),
         "requests": downstream.request_count,
-        "faults": downstream.fault_count,
+        "faults": downstream.invalid_message_count,
         "accepted": downstream.accepted_count,
         "evicted": downstream.evicted_count,
         "pauses": downstream.listener.pause_count,
--- a/saffronlane/simulator/__init__.py
+++ b/saffronlane/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's settings, which the platform node shares, and the adapter to its wire."""
+"""The adapter to the simulator's wire protocol, and the simulator's settings, also used by the platform."""
--- a/saffronlane/simulator/action_codec.py
+++ b/saffronlane/simulator/action_codec.py
@@ -1,4 +1,4 @@
-"""Actions of `interface` as action records of the simulator's wire."""
+"""Encodes the actions of `interface` as action records of the simulator's wire protocol."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 from .. import interface as api
 
-ACTION_SIZE = 32  # bytes of a record
+ACTION_SIZE = 32  # bytes of an action record
 ALL_PEERS = 0xFFFFFFFF
-_REPLY_HEADER = struct.Struct(">II")  # number of records; bytes of records and tail
+_REPLY_HEADER = struct.Struct(">II")  # number of records, total bytes of the records and the tail
 
 
 class ActionCode(IntEnum):
-    """Codes of action records."""
+    """The code at the start of an action record."""
 
     SEND_GOSSIP = 1000
     REJECT = 1010
@@ -31,18 +31,22 @@
 
 
 class ReplyWriter:
-    """Collects the action records of one reply and the tail that they point into."""
+    """Collects the action records of one reply and the tail.
+
+    Records have a fixed size. Data of variable size is in the tail, to which a record refers by offset and
+    length.
+    """
 
     def __init__(self) -> None:
         self._records: list[bytes] = []
         self._tail = bytearray()
 
     def panic(self, instance: int, text: str) -> None:
-        """Add a fault of an instance's decisions."""
+        """Add the report of an exception that an instance's gateway raised."""
         self._add(">HIII", ActionCode.PANIC, instance, *self._append_to_tail(text.encode()))
 
     def add(self, instance: int, action: api.Action) -> None:
-        """Add an action of an instance."""
+        """Add an action that an instance's gateway returned."""
         match action:
             case api.Dispatch(request, engine, timeout):
                 self._add(">HIQd6s", ActionCode.DISPATCH, instance, request, timeout, engine)
@@ -62,8 +66,8 @@
                 self._add(">HI6s", ActionCode.CLOSE_IDLE_CONNECTIONS, instance, engine)
             case api.SendGossip(peer, data):
                 receiver = ALL_PEERS if peer is None else peer
-                place = self._append_to_tail(data)
-                self._add(">HIIII", ActionCode.SEND_GOSSIP, instance, receiver, *place)
+                location = self._append_to_tail(data)
+                self._add(">HIIII", ActionCode.SEND_GOSSIP, instance, receiver, *location)
             case api.Subscribe(is_enabled):
                 self._add(">HIB", ActionCode.SUBSCRIBE, instance, is_enabled)
             case api.PollEndpoints():
@@ -72,7 +76,7 @@
                 self._add(">HIII", ActionCode.LOG, instance, *self._append_to_tail(text.encode()))
 
     def frame(self) -> bytes:
-        """Return the whole reply."""
+        """Return the encoded reply: header, records and tail."""
         records = b"".join(self._records)
         header = _REPLY_HEADER.pack(len(self._records), len(records) + len(self._tail))
         return header + records + self._tail
--- a/saffronlane/simulator/adapter.py
+++ b/saffronlane/simulator/adapter.py
@@ -1,7 +1,7 @@
-"""Adapter between the simulator's wire and `policy.Gateway`: it translates and decides nothing.
+"""Adapter between the simulator's wire protocol and `policy.Gateway`. It makes no decisions.
 
-Batches of events come on standard input; one reply for each leaves on standard output. Each instance has a
-Gateway of its own; they share no state.
+The adapter reads batches of events from standard input and writes one reply per batch to standard output. The
+simulator runs several gateway instances. Each instance has its own Gateway, and they share no state.
 """
 
 from __future__ import annotations
@@ -20,30 +20,37 @@
 from .errors import WireError
 from .event_codec import EVENT_READERS, EVENT_SIZE, EventCode
 
-_BATCH_HEADER = struct.Struct(">IId")  # bytes after the first field; number of records; time
+_BATCH_HEADER = struct.Struct(">IId")  # number of bytes after this field, number of records, time in seconds
 _LENGTH_FIELD_BYTES = 4
 _MIN_LENGTH = _BATCH_HEADER.size - _LENGTH_FIELD_BYTES
-# Many long-lived gateways in one process: the default thresholds scan them all too often.
+# With the default thresholds, the collector scans the many long-lived gateways of the process too often.
 _GC_THRESHOLDS = (200_000, 20, 20)
 
 
 def read_settings(text: str) -> api.Settings:
-    """Turn the lines of settings into `Settings`. WireError names what is missing or wrong."""
+    """Convert `path=value` lines into settings.
+
+    Raises:
+        WireError: A setting is missing or invalid; the text names it.
+    """
     try:
         return settings.read_settings(params.Params.of_lines(text))
     except params.SettingsError as error:
         raise WireError(str(error)) from error
 
 
-class Host:
-    """The instances of this process, each with its own Gateway."""
+class InstanceHost:
+    """The gateway instances of this process, each with its own Gateway."""
 
     def __init__(self) -> None:
         self._gateways: dict[int, Gateway] = {}
         self._endpoint_tables: dict[int, tuple[api.EngineEntry, ...]] = {}
 
-    def reply(self, now: float, records: bytes, tail: bytes) -> bytes:
-        """Answer one batch: sort its events by instance, step each Gateway once."""
+    def process_batch(self, now: float, records: bytes, tail: bytes) -> bytes:
+        """Process one batch and return the encoded reply.
+
+        The events are grouped by instance, and each instance's Gateway is stepped once.
+        """
         events_by_instance: dict[int, list[api.Event]] = {}
         for start in range(0, len(records), EVENT_SIZE):
             self._read_record(records[start : start + EVENT_SIZE], tail, events_by_instance)
@@ -81,7 +88,7 @@
         try:
             self._gateways[instance] = Gateway(read_settings(text), seed)
         except ValueError as error:
-            raise WireError(f"settings make no sense: {error}") from error
+            raise WireError(f"invalid settings: {error}") from error
         return int(instance)
 
     def _read_endpoints(self, record: bytes) -> tuple[int, api.EndpointListUpdate]:
@@ -90,23 +97,27 @@
         if list_mode is api.EndpointListMode.FAILED:
             return instance, api.EndpointListUpdate(list_mode, version)
         if table not in self._endpoint_tables:
-            raise WireError(f"members names list {table}, which no table gave")
+            raise WireError(f"endpoints record refers to endpoint table {table}, which was not sent")
         return instance, api.EndpointListUpdate(list_mode, version, self._endpoint_tables[table])
 
     def _step(self, instance: int, now: float, events: list[api.Event], writer: ReplyWriter) -> None:
         gateway = self._gateways.get(instance)
         if gateway is None:
-            raise WireError(f"event for instance {instance}, which was not born")
+            raise WireError(f"event for instance {instance}, which is not running")
         try:
             for action in gateway.step(now, events):
                 writer.add(instance, action)
-        except Exception:  # the wire wants any fault of the decisions reported as a panic
+        except Exception:  # the protocol requires that any exception of a gateway is reported as a panic
             writer.panic(instance, traceback.format_exc())
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends. WireError where a batch breaks off or is inconsistent."""
-    host = Host()
+    """Reply to batches until the input ends.
+
+    Raises:
+        WireError: A batch is truncated or inconsistent.
+    """
+    host = InstanceHost()
     while first := source.read(1):
         header = first + _read_exactly(source, _BATCH_HEADER.size - 1, "a batch header")
         length, count, now = _BATCH_HEADER.unpack(header)
@@ -114,12 +125,12 @@
         records_size = count * EVENT_SIZE
         if length < _MIN_LENGTH or len(body) < records_size:
             raise WireError(f"batch of {length} bytes is too short for {count} records")
-        sink.write(host.reply(now, body[:records_size], body[records_size:]))
+        sink.write(host.process_batch(now, body[:records_size], body[records_size:]))
         sink.flush()
 
 
 def main() -> int:
-    """Serve standard input and output; return the exit code."""
+    """Serve batches on standard input and output, and return the exit code."""
     gc.set_threshold(*_GC_THRESHOLDS)
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
@@ -132,7 +143,7 @@
 def _read_exactly(stream: BinaryIO, size: int, name: str) -> bytes:
     data = stream.read(size)
     if len(data) < size:
-        raise WireError(f"input ends inside {name}")
+        raise WireError(f"input ended inside {name}")
     return data
 
 
--- a/saffronlane/simulator/errors.py
+++ b/saffronlane/simulator/errors.py
@@ -6,6 +6,6 @@
 
 
 class WireError(SaffronlaneError):
-    """The input is not what the wire allows; the text names what is wrong."""
+    """The input violates the simulator's wire protocol; the text names the violation."""
 
-    remedy = "Run it under the simulator that it was made for; the text names what came instead."
+    remedy = "Run the adapter under a simulator with the same wire protocol; the text names the violation."
--- a/saffronlane/simulator/event_codec.py
+++ b/saffronlane/simulator/event_codec.py
@@ -1,7 +1,7 @@
-"""Event records of the simulator's wire as events of `interface`.
+"""Decodes event records of the simulator's wire protocol into events of `interface`.
 
-Records have a fixed size and begin with a code; what has no fixed size lies in the batch's tail, to which a
-record points by offset and length. All numbers are big-endian.
+Records have a fixed size and begin with a code. Data of variable size is in the tail of the batch, to which a
+record refers by offset and length. All numbers are big-endian.
 """
 
 from __future__ import annotations
@@ -14,23 +14,23 @@
 from .. import interface as api
 from .errors import WireError
 
-EVENT_SIZE = 56  # bytes of a record
+EVENT_SIZE = 56  # bytes of an event record
 ENTRY_SIZE = 24  # bytes of an endpoint list entry
-WORK_UNIT = 4096  # a cost is work in ms x this + memory
+WORK_UNIT = 4096  # a cost is encoded as work in ms x WORK_UNIT + memory in units of MEMORY_UNIT_MB
 MEMORY_UNIT_MB = 4.0
 MS_PER_SECOND = 1000.0
 
-# Flags of an arrival.
+# Flags of an arrival record.
 HAS_ESTIMATE = 1
 IS_RETRY = 2
 IS_WRITE = 4
 
-E = TypeVar("E", bound=IntEnum)
+EnumType = TypeVar("EnumType", bound=IntEnum)
 EventReader = Callable[[bytes, bytes], tuple[int, api.Event]]
 
 
 class EventCode(IntEnum):
-    """Codes of event records."""
+    """The code at the start of an event record."""
 
     PROBE_RESULT = 1000
     INSTANCE_STOPPED = 1010
@@ -63,16 +63,35 @@
 
 
 def slice_tail(tail: bytes, offset: int, length: int, name: str) -> bytes:
-    """Return a part of a batch's tail. WireError where it reaches past the end."""
+    """Return a part of a batch's tail.
+
+    Args:
+        tail: The tail of the batch.
+        offset: Offset of the part in the tail.
+        length: Length of the part.
+        name: What the part contains, for the error message.
+
+    Raises:
+        WireError: The part reaches past the end of the tail.
+    """
     if offset + length > len(tail):
         raise WireError(f"{name} reaches past the end of the tail")
     return tail[offset : offset + length]
 
 
-def decode_enum(kind: type[E], value: int, name: str) -> E:
-    """Return the member with a value. WireError where there is none."""
+def decode_enum(enum_type: type[EnumType], value: int, name: str) -> EnumType:
+    """Return the member of an enumeration that has a value.
+
+    Args:
+        enum_type: The enumeration.
+        value: The value of the member.
+        name: What the value stands for, for the error message.
+
+    Raises:
+        WireError: No member has this value.
+    """
     try:
-        return kind(value)
+        return enum_type(value)
     except ValueError as error:
         raise WireError(f"unknown {name} {value}") from error
 
@@ -161,8 +180,8 @@
 
 def _read_probe_result(record: bytes, tail: bytes) -> tuple[int, api.Event]:
     instance, engine, outcome, elapsed, columns, *report = _PROBE_RESULT.unpack_from(record)
-    decoded = decode_enum(api.Outcome, outcome, "outcome")
-    return instance, api.ProbeResult(engine, decoded, elapsed, tuple(report[:columns]))
+    decoded_outcome = decode_enum(api.Outcome, outcome, "outcome")
+    return instance, api.ProbeResult(engine, decoded_outcome, elapsed, tuple(report[:columns]))
 
 
 def _read_gossip(record: bytes, tail: bytes) -> tuple[int, api.Event]:
@@ -170,7 +189,7 @@
     return instance, api.PeerMessage(sender, slice_tail(tail, offset, length, "a peer message"))
 
 
-# Readers of the events of one instance; each returns the instance and the event.
+# Readers by event code. Each returns the instance for which the event is and the event.
 EVENT_READERS: dict[int, EventReader] = {
     EventCode.ARRIVAL: _read_arrival,
     EventCode.STREAM_STARTED: _read_stream_started,
--- a/saffronlane/simulator/params.py
+++ b/saffronlane/simulator/params.py
@@ -1,4 +1,4 @@
-"""Setting values by dotted path, from `path=value` lines or from nested JSON."""
+"""Values of settings by dotted path, read from `path=value` lines or from nested JSON."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     """A setting is missing or invalid.
 
     Attributes:
-        path: dotted name of the setting.
+        path: The dotted path of the setting.
     """
 
     remedy = "Correct the setting that the text names."
@@ -22,7 +22,11 @@
 
 
 class Params:
-    """Values as text by their dotted paths."""
+    """Values of settings as text, by dotted path.
+
+    Args:
+        values: The values by dotted path.
+    """
 
     def __init__(self, values: Mapping[str, str]) -> None:
         self._values = values
@@ -34,7 +38,7 @@
 
     @classmethod
     def of_object(cls, settings: Mapping[str, object]) -> Params:
-        """Flatten nested JSON."""
+        """Flatten nested JSON into dotted paths."""
         return cls(dict(_flatten("", settings)))
 
     def __contains__(self, path: str) -> bool:
@@ -44,18 +48,18 @@
         """Return a value as text.
 
         Raises:
-            SettingsError: the setting is missing and has no default.
+            SettingsError: The setting is missing and has no default.
         """
         value = self._values.get(path, default)
         if value is None:
-            raise SettingsError(path, f"missing setting {path}")
+            raise SettingsError(path, f"setting {path} is missing")
         return value
 
     def number(self, path: str, default: float | None = None) -> float:
         """Return a value as a number.
 
         Raises:
-            SettingsError: the setting is missing and has no default, or is no number.
+            SettingsError: The setting is missing and has no default, or is not a number.
         """
         value = self.text(path, None if default is None else repr(default))
         try:
@@ -64,11 +68,11 @@
             raise SettingsError(path, f"setting {path} is not a number: {value!r}") from error
 
     def flag(self, path: str) -> bool:
-        """Return whether a setting is true; false where it is missing."""
+        """Return whether a setting is true; a missing setting is false."""
         return self.text(path, "false") == "true"
 
     def items(self, path: str, default: str | None = None) -> list[str]:
-        """Return the items of a list."""
+        """Return the items of a comma-separated list."""
         value = self.text(path, default)
         return value.split(",") if value else []
 
@@ -82,14 +86,14 @@
 
 
 def _flatten(path: str, value: object) -> Iterator[tuple[str, str]]:
-    """Yield paths and values; a list of objects also yields its length as `count`."""
+    """Yield the path and the text of each value; a list of objects also yields its length as `count`."""
     if isinstance(value, Mapping):
         for name, item in value.items():
             yield from _flatten(f"{path}.{name}" if path else str(name), item)
     elif isinstance(value, list) and (not value or isinstance(value[0], Mapping)):
         yield f"{path}.count", str(len(value))
-        for number, item in enumerate(value):
-            yield from _flatten(f"{path}.{number}", item)
+        for index, item in enumerate(value):
+            yield from _flatten(f"{path}.{index}", item)
         if not value:
             yield path, ""
     elif isinstance(value, list):
--- a/saffronlane/simulator/settings.py
+++ b/saffronlane/simulator/settings.py
@@ -1,7 +1,7 @@
-"""The simulator's settings, turned into `interface.Settings`.
+"""Converts the simulator's settings into `interface.Settings`.
 
-This module maps the settings' names and units, for the simulator's adapter and the platform alike. Unknown
-settings are ignored.
+This module maps the names and units of the settings, for both the simulator's adapter and the platform.
+Unknown settings are ignored.
 """
 
 from __future__ import annotations
@@ -24,13 +24,16 @@
 
 
 def _names_to_indices(params: Params, path: str, names: list[str]) -> tuple[int, ...] | None:
-    """Return the positions of a list's names; None where the list is missing. Unknown names are ignored."""
+    """Return the positions in `names` of the items of a list setting; None if the setting is missing.
+
+    An item is a name or a position. Unknown names are ignored.
+    """
     if path not in params:
         return None
-    chosen = params.items(path)
+    items = params.items(path)
     return tuple(
         int(item) if item.isdigit() and item not in names else names.index(item)
-        for item in chosen
+        for item in items
         if item in names or item.isdigit()
     )
 
@@ -45,14 +48,14 @@
     prefix = f"services.{index}."
     effect = params.text(prefix + "effect", "retryable")
     if effect not in IDEMPOTENCY_BY_EFFECT:
-        raise SettingsError(prefix + "effect", f"setting {prefix}effect is unknown: {effect!r}")
+        raise SettingsError(prefix + "effect", f"setting {prefix}effect has the unknown value {effect!r}")
     scope = params.text(prefix + "group", "all")
     if scope not in {member.value for member in api.DeduplicationScope}:
-        raise SettingsError(prefix + "group", f"setting {prefix}group is unknown: {scope!r}")
+        raise SettingsError(prefix + "group", f"setting {prefix}group has the unknown value {scope!r}")
     threads = value_of_class("extra.parallelism", "1")
     if not threads.isdigit():
         raise SettingsError(
-            "extra.parallelism", f"setting extra.parallelism is not a list of numbers: {threads!r}"
+            "extra.parallelism", f"setting extra.parallelism: expected whole numbers, got {threads!r}"
         )
     return api.ClassSettings(
         name=params.text(prefix + "name"),
@@ -78,22 +81,24 @@
     cores = params.items("extra.kindCores")
     memory = params.items("extra.sizeMb", "")
     if len(cores) < len(machine_types):
-        raise SettingsError("extra.kindCores", "setting extra.kindCores has fewer values than kinds")
+        raise SettingsError("extra.kindCores", "setting extra.kindCores has fewer values than setting kinds")
     try:
         return tuple(
             api.MachineType(name, float(cores[i]), float(memory[i]) if i < len(memory) else 0.0)
             for i, name in enumerate(machine_types)
         )
     except ValueError as error:
-        raise SettingsError("extra.kindCores", f"setting extra.kindCores or extra.sizeMb: {error}") from error
+        raise SettingsError(
+            "extra.kindCores", f"setting extra.kindCores or extra.sizeMb is invalid: {error}"
+        ) from error
 
 
-def _choice(params: Params, path: str, choices: type[EnumType], default: EnumType) -> EnumType:
+def _enum_member(params: Params, path: str, enum_type: type[EnumType], default: EnumType) -> EnumType:
     value = params.text(path, default.value)
     try:
-        return choices(value)
+        return enum_type(value)
     except ValueError as error:
-        raise SettingsError(path, f"setting {path} is unknown: {value!r}") from error
+        raise SettingsError(path, f"setting {path} has the unknown value {value!r}") from error
 
 
 def _report_columns(params: Params) -> tuple[str, ...]:
@@ -146,10 +151,10 @@
 
 
 def read_settings(params: Params) -> api.Settings:
-    """Convert values to settings.
+    """Convert the values into settings.
 
     Raises:
-        SettingsError: names the setting that is missing or invalid.
+        SettingsError: A setting is missing or invalid; the text names it.
     """
     zones = params.items("zones", "")
     machine_types = params.items("kinds")
@@ -167,7 +172,7 @@
         memory_grants_enabled=params.flag("extra.grantsCount"),
         priorities_enabled=params.flag("extra.ranksHeeded"),
         max_memory_grant_ratio=params.number("extra.largestShare", 1.0),
-        memory_overcommit=_choice(
+        memory_overcommit=_enum_member(
             params, "extra.memoryShort", api.MemoryOvercommit, api.MemoryOvercommit.WAIT
         ),
         progress_interval=params.number("extra.notePeriod", 0.0),
--- a/tests/node/test_bad_clients.py
+++ b/tests/node/test_bad_clients.py
@@ -9,7 +9,7 @@
 import pytest
 from platform_world import ROWS, Peer, World
 
-from saffronlane.platform.downstream.client_connection import MAX_FAULTS, ClientConnection
+from saffronlane.platform.downstream.client_connection import MAX_INVALID_MESSAGES, ClientConnection
 from saffronlane.platform.downstream.connection_eviction import EvictionOrder
 
 from .support import RID, SyncClient, call, own_descriptors, play, rid, silent
@@ -121,10 +121,10 @@
 
     async def work(built: World) -> None:
         bad = await built.client()
-        for _ in range(MAX_FAULTS):
+        for _ in range(MAX_INVALID_MESSAGES):
             bad.raw(call(1, "nothing"))
         assert await bad.closed(3.0)
-        assert built.node.downstream.fault_count <= MAX_FAULTS
+        assert built.node.downstream.invalid_message_count <= MAX_INVALID_MESSAGES
 
     play(work)
 
@@ -296,7 +296,9 @@
         slow, silent_one = await built.client(), await built.client()
         message = call(1, rid=rid(1))
         slow.raw(message[:40])
-        await built.until(lambda: len(front.clients) == 2 and any(c.scanner.pending for c in front.clients))
+        await built.until(
+            lambda: len(front.clients) == 2 and any(c.scanner.pending_bytes for c in front.clients)
+        )
         await built.until(lambda: all(now() > c.opened_at + 0.1 for c in front.clients))
         assert front.evict_now() and await silent_one.closed()
         assert front.eviction.graceful_candidate(now()) is None  # it may yet end what it has begun
@@ -304,7 +306,9 @@
         assert await slow.answer(1) == (None, [ROWS, {}])
         half = await built.client()
         half.raw(message[:40])
-        await built.until(lambda: any(c.scanner.pending and now() > c.opened_at + 0.1 for c in front.clients))
+        await built.until(
+            lambda: any(c.scanner.pending_bytes and now() > c.opened_at + 0.1 for c in front.clients)
+        )
         (rests,) = (c for c in front.clients if c.has_sent_message)
         rests.idle_since = now()
         assert not front.evict_now()  # one was in use a moment ago, and makes way in another
--- a/tests/node/test_closing.py
+++ b/tests/node/test_closing.py
@@ -64,7 +64,7 @@
         data, reset = await client.rest()
         answers = {told[1]: told[2] for told in messages(data)}
         assert not reset and answers[1] is None
-        assert len(answers) == 1 + connection.MAX_FAULTS
+        assert len(answers) == 1 + connection.MAX_INVALID_MESSAGES
 
     play(work)
 
@@ -205,7 +205,7 @@
 
 def test_one_that_reads_nothing_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
     """Bounded: answers that nobody reads do not keep the connection, nor the process at its end."""
-    monkeypatch.setattr(connection, "BOUNDS", connection.ConnectionLimits(stall_timeout=0.4))
+    monkeypatch.setattr(connection, "CONNECTION_LIMITS", connection.ConnectionLimits(stall_timeout=0.4))
     page = (b"x" * 2990 + b"\ty\tz\n") * 2
 
     async def work(built: World) -> None:
@@ -284,7 +284,7 @@
         free = hold_connections(monkeypatch)
         client = SyncClient(built.node.downstream.port)
         client.send(call(1) + call(2, "nothing", rid=rid(2)))
-        await built.until(lambda: built.node.downstream.fault_count == 1 and built.tables()["open"])
+        await built.until(lambda: built.node.downstream.invalid_message_count == 1 and built.tables()["open"])
         client.send(msgspec.msgpack.encode([2, "forget", [1]])) if how == "forget" else client.close()
         await gone(built, free)
 
@@ -401,7 +401,7 @@
     so long, and the connection was closed over it and all that was open there."""
 
     async def work(built: World) -> None:
-        monkeypatch.setattr(connection, "BOUNDS", ConnectionLimits(stall_timeout=0.2))
+        monkeypatch.setattr(connection, "CONNECTION_LIMITS", ConnectionLimits(stall_timeout=0.2))
         looked, client = [], await built.client()
         waiting = client.call("ask", rid(2))
         await built.until(lambda: held)
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -243,7 +243,7 @@
         (missing("services.0.aim"), "services.0.aim"),
         (missing("extra.kindCores"), "extra.kindCores"),
         (missing("fleetSize"), "fleetSize"),
-        (batch(1.0, *birth(params=PARAMS.replace("fleetSize=2", "fleetSize=0"))), "settings make no sense"),
+        (batch(1.0, *birth(params=PARAMS.replace("fleetSize=2", "fleetSize=0"))), "invalid settings"),
         (batch(1.0, *birth(params=PARAMS.replace("aim=1.0", "aim=soon"))), "services.0.aim"),
         (batch(1.0, *birth(params=PARAMS + "extra.memoryShort=melt\n")), "extra.memoryShort"),
     ],
--- a/tests/test_msgpackrpc.py
+++ b/tests/test_msgpackrpc.py
@@ -31,7 +31,7 @@
         before, error = one.feed(whole[:at])
         after, later = one.feed(whole[at:])
         assert before + after == [first, second] and error is None and later is None
-        assert one.pending == 0
+        assert one.pending_bytes == 0
 
 
 def test_every_kind_of_value_is_passed_over() -> None:
@@ -85,8 +85,8 @@
     """Guards against quadratic time: each piece would scan all that came before it again."""
     one = rpc.Scanner(1_000_000, 64)
     looked: list[int] = []
-    item = one._item
-    one._item = lambda at: looked.append(at) or item(at)  # type: ignore[func-returns-value,method-assign]
+    item = one._scan_item
+    one._scan_item = lambda at: looked.append(at) or item(at)  # type: ignore[func-returns-value,method-assign]
     message = call(body=b"x" * 100_000)
     for at in range(0, len(message), 100):
         found, _ = one.feed(message[at : at + 100])
@@ -154,7 +154,7 @@
     one = scanner()
     for part in parts:
         found, error = one.feed(part)
-        assert one.pending <= MOST_BYTES
+        assert one.pending_bytes <= MOST_BYTES
         for message in found:
             with contextlib.suppress(rpc.InvalidMessageError):
                 rpc.decode_message(message)
