--- a/saffronlane/platform/discovery/endpoints.py
+++ b/saffronlane/platform/discovery/endpoints.py
@@ -1,4 +1,4 @@
-"""The table of engine endpoints, and the updates of it for the dispatcher."""
+"""The table of listed engine endpoints, and the updates of the table for the dispatcher."""
 
 from __future__ import annotations
 
--- a/saffronlane/platform/downstream/request_decoder.py
+++ b/saffronlane/platform/downstream/request_decoder.py
@@ -82,7 +82,7 @@
         request_id = fields.get(REQUEST_ID_FIELD, "")
         if not _IDENTIFIER.fullmatch(request_id):
             raise BadRequestError(
-                f"field '{REQUEST_ID_FIELD}': expected 16 hexadecimal digits, got {_quoted(request_id)}"
+                f"field '{REQUEST_ID_FIELD}': expected 16 lowercase hex digits, got {_quoted(request_id)}"
             )
         body = _statement_text(call)
         timeout = _timeout(class_settings, fields)
@@ -148,7 +148,7 @@
         return 0
     if not _IDENTIFIER.fullmatch(key):
         raise BadRequestError(
-            f"field '{ORDERING_KEY_FIELD}': expected 16 hexadecimal digits, got {_quoted(key)}"
+            f"field '{ORDERING_KEY_FIELD}': expected 16 lowercase hex digits, got {_quoted(key)}"
         )
     return int(key, 16)
 
--- a/saffronlane/platform/downstream/server.py
+++ b/saffronlane/platform/downstream/server.py
@@ -102,7 +102,8 @@
         return False
 
     def _on_eviction_due(self) -> None:
-        # The retry is scheduled first, so that an exception below does not leave the listener paused.
+        # The retry is scheduled first and cancelled on success, so that an exception below does not leave the
+        # listener paused.
         self._eviction_timer = self._loop.call_later(EVICTION_RETRY_INTERVAL, self._on_eviction_due)
         if len(self.clients) < self.max_clients or self.evict_now():
             self._eviction_timer.cancel()
