--- a/saffronlane/cli/program.py
+++ b/saffronlane/cli/program.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command line `saffronlane`."""
 
 from __future__ import annotations
 
@@ -18,20 +18,23 @@
 FILE = click.Path(dir_okay=False, path_type=Path)
 
 
-class Program(click.Group):
-    """Says what is missing where the laboratory's extra is not installed."""
+class CommandGroup(click.Group):
+    """A command group that reports a missing optional dependency without a traceback."""
 
     def invoke(self, ctx: click.Context) -> Any:
+        """Run the command. Exits with status 2 if a module that it needs is not installed."""
         try:
             return super().invoke(ctx)
         except ModuleNotFoundError as error:
             click.echo(
-                f"{error.name} is missing; the laboratory needs: pip install 'saffronlane[lab]'", err=True
+                f"module {error.name} is not installed; install the lab commands with: "
+                "pip install 'saffronlane[lab]'",
+                err=True,
             )
             sys.exit(2)
 
 
-@click.group(cls=Program)
+@click.group(cls=CommandGroup)
 @click.version_option(__version__)
 @click.option("--log-level", type=click.Choice(["debug", "info", "warning", "error"]), default="info")
 def main(log_level: str) -> None:
@@ -40,6 +43,7 @@
 
 
 def _load(path: Path) -> Config:
+    """Return the loaded settings file. Exits with status 2 if it is invalid."""
     try:
         return load_config(path)
     except ConfigError as error:
@@ -53,21 +57,23 @@
 @click.option("--port", type=int, hidden=True)
 @click.pass_context
 def serve(context: click.Context, config: Path, worker: int | None, port: int | None) -> None:
-    """Run the gateway until SIGTERM, which drains it; a second one ends it at once."""
+    """Run the gateway. SIGTERM drains it, and a second SIGTERM stops it at once."""
     from ..daemon import serve as run
     from ..supervisor import as_worker, supervise
 
-    loaded = _load(config)
-    level = context.find_root().params["log_level"]
-    if loaded.workers > 1 and worker is None:
-        work = supervise(config, level)
+    loaded_config = _load(config)
+    log_level = context.find_root().params["log_level"]
+    if loaded_config.workers > 1 and worker is None:
+        main_coroutine = supervise(config, log_level)
     else:
-        loaded = loaded if worker is None else as_worker(loaded, worker, port or loaded.port)
-        work = run(loaded, share_port=worker is not None)
+        loaded_config = (
+            loaded_config if worker is None else as_worker(loaded_config, worker, port or loaded_config.port)
+        )
+        main_coroutine = run(loaded_config, share_port=worker is not None)
     gc.freeze()
-    gc.set_threshold(50_000, 20, 20)  # many long-lived objects: the default looks at them all too often
+    gc.set_threshold(50_000, 20, 20)  # The defaults scan the many long-lived objects too often.
     try:
-        asyncio.run(work)
+        asyncio.run(main_coroutine)
     except OSError as error:
         click.echo(f"{config}: /listen: {error}", err=True)
         sys.exit(2)
@@ -75,24 +81,24 @@
 
 @main.group("config")
 def config_group() -> None:
-    """Look at settings."""
+    """Check settings files and print their JSON Schema."""
 
 
 @config_group.command()
 @click.argument("config", type=FILE)
 def check(config: Path) -> None:
-    """Check a settings file, and the engine list that it names if that is there."""
+    """Check a settings file, and its engine list if that file exists."""
     from ..config import parse_engines
     from ..config.check import load_json
 
-    loaded = _load(config)
+    loaded_config = _load(config)
     try:
-        if loaded.engine_file.exists():
-            parse_engines(load_json(loaded.engine_file), loaded, str(loaded.engine_file))
+        if loaded_config.engine_file.exists():
+            parse_engines(load_json(loaded_config.engine_file), loaded_config, str(loaded_config.engine_file))
     except ConfigError as error:
         click.echo(str(error), err=True)
         sys.exit(2)
-    click.echo(f"{config}: good")
+    click.echo(f"{config}: valid")
 
 
 @config_group.command()
@@ -104,7 +110,10 @@
 @main.command()
 @click.argument("record", type=FILE)
 def replay(record: Path) -> None:
-    """Play a record of a gateway's core through the library, and compare what it does."""
+    """Replay a recording of a gateway's dispatcher, and compare its effects with the recorded ones.
+
+    Exits with status 1 at the first difference.
+    """
     from ..dispatch.errors import RecordingError
     from ..dispatch.recording import replay as play
 
@@ -124,7 +133,7 @@
 
 @main.group()
 def lab() -> None:
-    """Stand-in engines and scripted days."""
+    """Run stand-in engines and scripted days of load and faults."""
 
 
 @lab.command()
@@ -136,18 +145,18 @@
     from ..lab.up import run_engine
 
     try:
-        shape = read_engine_config(load_json(config), config.stem)
+        engine_config = read_engine_config(load_json(config), config.stem)
     except (ConfigError, ValueError, TypeError) as error:
         click.echo(f"{config}: {error}", err=True)
         sys.exit(2)
-    asyncio.run(run_engine(shape))
+    asyncio.run(run_engine(engine_config))
 
 
 @lab.command()
 @click.option("--engines", default=3, show_default=True, type=click.IntRange(1, 100))
 @click.option("--gateways", default=1, show_default=True, type=click.IntRange(1, 16))
 def up(engines: int, gateways: int) -> None:
-    """Engines and a gateway on loopback until SIGINT or SIGTERM."""
+    """Run stand-in engines and gateways on loopback until SIGINT or SIGTERM."""
     from ..lab.up import run_up
 
     asyncio.run(run_up(engines, gateways))
@@ -156,37 +165,42 @@
 @lab.command()
 @click.argument("day", type=FILE)
 @click.option(
-    "--report", type=click.Path(file_okay=False, path_type=Path), help="Leave record and result here."
+    "--report",
+    type=click.Path(file_okay=False, path_type=Path),
+    help="Write the record and the report to this directory.",
 )
-@click.option("--seed", type=int, help="In place of the day's own.")
+@click.option("--seed", type=int, help="Random seed, in place of the day's own.")
 def day(day: Path, report: Path | None, seed: int | None) -> None:
-    """Play a scripted bad day (a file or a shipped name) on real sockets; exit 1 if a rule broke."""
+    """Play a scripted day of load and faults on real sockets. Exits with status 1 if a rule is breached.
+
+    DAY is a file or the name of a day that ships with the program.
+    """
     from ..lab.day import load_day, run_day, summary, table
     from ..lab.days import shipped
 
     path = day if day.exists() or day.suffix else shipped(day.name)
     try:
-        loaded = load_day(path)
+        loaded_day = load_day(path)
     except ConfigError as error:
         click.echo(str(error), err=True)
         sys.exit(2)
     if seed is not None:
-        loaded.raw["seed"] = seed
-    outcome = run_day(loaded, report)
+        loaded_day.raw["seed"] = seed
+    outcome = run_day(loaded_day, report)
     click.echo(table(outcome))
     breaches = summary(outcome)["breaches"]
     for breach in breaches:
         click.echo(breach)
-    bad = [code for code in outcome.exit_codes if code]
-    if bad:
-        click.echo(f"gateways ended with exit codes {bad}")
-    click.echo("no rule broke" if not breaches else f"{len(breaches)} breaches")
-    sys.exit(1 if breaches or bad else 0)
+    failed_exit_codes = [code for code in outcome.exit_codes if code]
+    if failed_exit_codes:
+        click.echo(f"gateways ended with exit codes {failed_exit_codes}")
+    click.echo("no rule was breached" if not breaches else f"{len(breaches)} breaches")
+    sys.exit(1 if breaches or failed_exit_codes else 0)
 
 
 @lab.command()
 def days() -> None:
-    """Name the days that ship with the program."""
+    """List the days that ship with the program."""
     from ..lab.days import names
 
     for name in names():
@@ -196,17 +210,20 @@
 @main.command()
 @click.option("--seed", type=int, default=1)
 def demo(seed: int) -> None:
-    """A short day with faults, asked by the ADBC driver and by ours, and what came of each class."""
+    """Play a short day with faults, and print the results of each query class.
+
+    Queries are sent by the ADBC driver and by our own client.
+    """
     from ..lab.day import load_day, run_day, summary, table
     from ..lab.days import shipped
 
-    loaded = load_day(shipped("demo"))
-    loaded.raw["seed"] = seed
-    click.echo(loaded.raw["about"])
-    outcome = run_day(loaded)
+    loaded_day = load_day(shipped("demo"))
+    loaded_day.raw["seed"] = seed
+    click.echo(loaded_day.raw["about"])
+    outcome = run_day(loaded_day)
     click.echo(table(outcome))
     breaches = summary(outcome)["breaches"]
-    click.echo("\n".join(breaches) if breaches else "no rule broke")
+    click.echo("\n".join(breaches) if breaches else "no rule was breached")
     sys.exit(1 if breaches else 0)
 
 
--- a/saffronlane/state_directory.py
+++ b/saffronlane/state_directory.py
@@ -1,4 +1,4 @@
-"""The state directory of a running gateway: lock, writer thread and clocks around its store."""
+"""The state directory of a running gateway, with its lock, store, writer thread and heartbeats."""
 
 from __future__ import annotations
 
@@ -32,15 +32,15 @@
 
 log = structlog.get_logger()
 
-RETRY_INTERVAL = 1.0  # seconds between attempts to open a directory that is in use or cannot be read
+RETRY_INTERVAL = 1.0  # seconds between attempts to open a directory that is in use or unreadable
 HEARTBEAT_INTERVAL = 1.0  # seconds
-REPORT_INTERVAL = 60.0  # seconds between two reports in the log
-STOP_TIMEOUT = 2.0  # seconds that shutdown waits for the last commit
+REPORT_INTERVAL = 60.0  # seconds between two status reports in the log
+STOP_TIMEOUT = 2.0  # seconds that shutdown waits for the final commit and snapshot
 BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")  # random(4)
 
 
 def boot_id() -> str:
-    """Return the name of this boot of the machine, or an empty string if the system has none."""
+    """Return the id of this boot of the machine, or an empty string if the system provides none."""
     try:
         return BOOT_ID_PATH.read_text().strip()
     except OSError:
@@ -48,18 +48,19 @@
 
 
 class StateDirectory:
-    """The state directory of one gateway. Where it fails, the gateway runs on without and logs it.
+    """The state directory of one gateway. If it fails, the gateway logs the error and runs without it.
 
     Args:
-        config: of the gateway; it names the directory.
-        loop: on which all methods are called.
+        config: The configuration of the gateway, which has the path of the directory.
+        loop: The event loop on which all methods are called.
 
     Attributes:
-        restored_state: what was read, for the dispatcher; None while the directory is not open.
-        last_error: why the directory could not be opened; empty if it could.
-        on_attach: called once the directory is open, if it was not at the start.
-        unsaved_count: returns how many attempts left before their write-ahead records were durable.
-        on_purge: called with what an operator wants purged.
+        path: The path of the directory.
+        restored_state: The persisted state read when the directory was opened. None until then.
+        last_error: Why the last failed attempt to open the directory failed. Empty if no attempt failed.
+        on_attach: Called with the restored state when the directory is opened after the gateway has started.
+        unsaved_count: Returns the number of attempts sent before their write-ahead records were durable.
+        on_purge: Called with the categories of learned state that an operator has requested to purge.
     """
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
@@ -77,23 +78,27 @@
         self.on_attach: Callable[[PersistedState], None] | None = None
         self.unsaved_count: Callable[[], int] = lambda: 0
         self.restored_state: PersistedState | None = None
-        self._durability = DurabilityFutures(loop)
+        self._durability_futures = DurabilityFutures(loop)
         self._has_started_writer = False
-        self._report_at = loop.time() + REPORT_INTERVAL
+        self._next_report_at = loop.time() + REPORT_INTERVAL
         self._try_open()
 
     def _try_open(self) -> None:
-        """Open the directory if no other process has it."""
+        """Open the directory unless another process uses it."""
         try:
             self.restored_state = PersistedState(self._open(), self._timestamp())
         except (OSError, DirectoryBusyError) as error:
             if str(error) != self.last_error:
-                log.error("knowledge is not kept", folder=str(self.path), **error_fields(error))
+                log.error(
+                    "state directory unavailable: learned state is not persisted",
+                    folder=str(self.path),
+                    **error_fields(error),
+                )
             self.last_error = str(error)
             self._release()
 
     def _retry_open(self) -> None:
-        """Open a directory that was in use, as in an overlapping restart, or unreadable."""
+        """Try again to open a directory that was unreadable, or in use during an overlapping restart."""
         self._try_open()
         if self.restored_state is None:
             self._timer = self._loop.call_later(RETRY_INTERVAL, self._retry_open)
@@ -101,29 +106,29 @@
             self.on_attach(self.restored_state)
 
     def _open(self) -> tuple[tuple[bytes, Entry], ...]:
-        began = time.monotonic()
+        started_at = time.monotonic()
         self._lock = DirectoryLock(self.path)
         self._files = RealFiles(self.path)
         store = Store(self._files, StoreLimits(max_total_bytes=self._config.knowledge_most))
-        found = store.load()
-        for text in found.dropped:
-            log.warning("knowledge left out", folder=str(self.path), what=text)
-        if found.newer_files:
-            log.warning("files of a newer version left alone", files=found.newer_files)
+        recovery = store.load()
+        for problem in recovery.problems:
+            log.warning("persisted data skipped", folder=str(self.path), what=problem)
+        if recovery.newer_files:
+            log.warning("files of a newer format version ignored", files=recovery.newer_files)
         self._writer = Writer(
-            store, self._on_writer_message, before_repair=self._reopen, after_turn=self._check_directory
+            store, self._on_writer_message, before_repair=self._reopen, after_iteration=self._check_directory
         )
         log.info(
-            "knowledge read",
+            "state directory read",
             folder=str(self.path),
-            entries=len(found.state),
-            bytes=sum(found.sizes.values()),
-            took_s=round(time.monotonic() - began, 4),
+            entries=len(recovery.state),
+            bytes=sum(recovery.file_sizes.values()),
+            took_s=round(time.monotonic() - started_at, 4),
         )
-        return tuple(found.state.items())
+        return tuple(recovery.state.items())
 
     def _reopen(self) -> None:
-        """Lock the directory anew if it was replaced, before a repair. On the writer's thread."""
+        """Reopen and lock the directory before a repair if it was replaced. Runs on the writer's thread."""
         assert self._files is not None
         if self._files.reopen():
             lock, self._lock = self._lock, None
@@ -135,24 +140,27 @@
                 raise OSError(str(error)) from error
 
     def _check_directory(self) -> None:
-        """Check that the directory is still there, and for a purge request. On the writer's thread."""
+        """Check that the path still refers to the directory, and process a purge request.
+
+        Runs on the writer's thread.
+        """
         if self._files is not None and self._files.has_moved():
-            raise FileNotFoundError(errno.ENOENT, "the folder has vanished")
+            raise FileNotFoundError(errno.ENOENT, "the state directory was removed or replaced")
         with contextlib.suppress(OSError):
             categories = take_purge_request(self.path)
             if categories and self.on_purge is not None:
-                log.warning("learned state purged", what=[category.value for category in categories])
-                with contextlib.suppress(RuntimeError):  # the loop has been closed meanwhile
+                log.warning("learned state purge requested", what=[category.value for category in categories])
+                with contextlib.suppress(RuntimeError):  # the loop is closed
                     self._loop.call_soon_threadsafe(self.on_purge, categories)
 
-    def _on_writer_message(self, text: str) -> None:
-        log.error(text, folder=str(self.path))
+    def _on_writer_message(self, message: str) -> None:
+        log.error(message, folder=str(self.path))
 
     def _timestamp(self) -> Timestamp:
         directory_id = self._lock.directory_id if self._lock is not None else ""
         return Timestamp(self._loop.time(), time.time(), self._boot_id, directory_id)
 
-    def _heartbeat_change(self, clean: bool = False) -> Change:
+    def _heartbeat_change(self, ended_cleanly: bool = False) -> Change:
         now, settings = self._timestamp(), self._config.settings
         run = records.RunRecord(
             now.monotonic_s,
@@ -162,49 +170,54 @@
             __version__,
             settings.gateway_index,
             settings.gateway_count,
-            clean,
+            ended_cleanly,
         )
         return records.make_change(records.RUN, run)
 
     @property
     def status(self) -> WriterStatus:
+        """The status of the writer, or a failed status while the directory is not open."""
         return (
             self._writer.status
             if self._writer is not None
-            else WriterStatus(failure_reason="the folder is not in use")
+            else WriterStatus(failure_reason="the state directory is not open")
         )
 
     def start(self, dispatcher: Dispatcher) -> None:
-        """Begin to write: what was restored, on this run's clock, in one commit with the first heartbeat."""
+        """Start the writer with one commit of the restored records and the first heartbeat.
+
+        The restored records have times of this run's clock. If the directory is not open, another attempt to
+        open it is scheduled instead.
+        """
         summary = dispatcher.checkpointer.summary
         if self.restored_state is None:
             self._timer = self._loop.call_later(RETRY_INTERVAL, self._retry_open)
             return
         if self.restored_state.entries:
             log.info(
-                "knowledge recalled",
+                "learned state restored",
                 age_s=round(summary.age, 3),
                 exact=summary.has_complete_ledgers,
                 requests=summary.requests,
                 orders=summary.orders,
             )
         for note in summary.notes:
-            log.warning("knowledge", note=note)
-        self.persist(tuple(dispatcher.first_changes), ahead=False)
+            log.warning("restored state incomplete or discounted", note=note)
+        self.persist(tuple(dispatcher.first_changes), is_write_ahead=False)
 
     def _on_heartbeat(self) -> None:
         assert self._writer is not None
         self._writer.put([self._heartbeat_change()])
         self._timer = self._loop.call_later(HEARTBEAT_INTERVAL, self._on_heartbeat)
-        if self._loop.time() >= self._report_at:
-            self._report_at = self._loop.time() + REPORT_INTERVAL
+        if self._loop.time() >= self._next_report_at:
+            self._next_report_at = self._loop.time() + REPORT_INTERVAL
             self.report()
 
     def report(self) -> None:
         """Log the status of the store."""
         status = self.status
         log.info(
-            "knowledge kept",
+            "state directory status",
             working=status.is_working,
             why=status.failure_reason,
             since_sync_s=round(self._loop.time() - status.last_sync_at, 3),
@@ -217,12 +230,16 @@
             entries=status.entries,
         )
 
-    def persist(self, changes: tuple[Change, ...], ahead: bool) -> asyncio.Future[bool] | None:
-        """Write changes.
+    def persist(self, changes: tuple[Change, ...], is_write_ahead: bool) -> asyncio.Future[bool] | None:
+        """Queue changes for the writer, which this call starts if necessary.
 
         Args:
-            changes: to write.
-            ahead: write them at once, and return a future of whether they are durable.
+            changes: The changes to write.
+            is_write_ahead: Whether to commit the changes at once.
+
+        Returns:
+            A future of whether the changes are durable if `is_write_ahead`. None otherwise, and if the
+            directory is not open.
         """
         if self._writer is None:
             return None
@@ -232,21 +249,23 @@
             self._writer.start()
             self._timer = self._loop.call_later(HEARTBEAT_INTERVAL, self._on_heartbeat)
             changes = ()
-        if not ahead:
+        if not is_write_ahead:
             self._writer.put(changes)
             return None
-        future = self._durability.create()
-        self._writer.put(changes, lambda is_durable: self._durability.resolve(future, is_durable))
+        future = self._durability_futures.create()
+        self._writer.put(changes, lambda is_durable: self._durability_futures.resolve(future, is_durable))
         return future
 
     def stop(self, dispatcher: Dispatcher) -> None:
-        """Write a last snapshot and release the directory."""
+        """Commit the unpersisted changes, write a final snapshot and release the directory."""
         if self._timer is not None:
             self._timer.cancel()
         if self._writer is not None and self._has_started_writer:
-            self._writer.put([*dispatcher.take_unpersisted_changes(), self._heartbeat_change(clean=True)])
+            self._writer.put(
+                [*dispatcher.take_unpersisted_changes(), self._heartbeat_change(ended_cleanly=True)]
+            )
             if not self._writer.stop(STOP_TIMEOUT):
-                log.error("last snapshot timed out", folder=str(self.path))
+                log.error("final snapshot timed out", folder=str(self.path))
             self.report()
             self._writer = None
         self._release()
--- a/saffronlane/storage/__init__.py
+++ b/saffronlane/storage/__init__.py
@@ -1,4 +1,4 @@
-"""A small crash-safe map on disk: log, snapshots, recovery. It knows nothing of what is kept in it."""
+"""A crash-safe map on disk, stored as a log of changes and snapshots. Keys and values are opaque bytes."""
 
 from .errors import DirectoryBusyError, StoreFailedError
 from .files import DirectoryLock, Files, Handle, RealFiles
--- a/saffronlane/storage/errors.py
+++ b/saffronlane/storage/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the folder."""
+"""Errors of the state directory and its files."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 
 class DirectoryBusyError(SaffronlaneError):
-    """Another process has the folder; the text says which, as far as it is known."""
+    """Another process has locked the directory. The message has its process id if the lock file names it."""
 
-    remedy = "End the process that has the folder, or give this gateway a folder of its own."
+    remedy = "Stop the process that uses the directory, or configure another directory for this gateway."
 
 
 class DamagedFileError(SaffronlaneError):
-    """The bytes are not what the format says; the text names the place."""
+    """The bytes of a file violate its format. The message describes the damage."""
 
     remedy = (
-        "Nothing at once, since what is whole is used; have the disk looked at, and restore the "
-        "folder or let it be rebuilt."
+        "No immediate action is needed, because the undamaged data is used; check the disk, and restore the "
+        "directory or let the gateway rebuild it."
     )
 
 
 class StoreFailedError(SaffronlaneError):
-    """The store cannot keep anything now. `Store.repair` tries with fresh files."""
+    """The store cannot make changes durable. `Store.repair` retries with new files."""
 
-    remedy = "Free space or replace the disk; the gateway serves on and tries again with fresh files."
+    remedy = "Free space or replace the disk; the gateway continues to serve and retries with new files."
--- a/saffronlane/storage/files.py
+++ b/saffronlane/storage/files.py
@@ -1,4 +1,4 @@
-"""The file system operations of the store. Each may fail, or be half done at a crash."""
+"""The file system operations of the store. Each may fail, or be incomplete after a crash."""
 
 from __future__ import annotations
 
@@ -14,34 +14,41 @@
 
 
 class Handle(Protocol):
-    """A new file, written from its start on."""
+    """A new file that is written sequentially from its start."""
 
     def write(self, data: bytes) -> None:
-        """All of it, or OSError and nobody knows how much."""
+        """Write all of the data. After an OSError, it is unknown how much of it was written."""
 
     def sync(self) -> None:
-        """On return all that was written survives a loss of power; OSError: it may not, ever."""
+        """Make the written data durable.
 
-    def close(self) -> None: ...
+        After an OSError the data may never become durable, even if a later call succeeds.
+        """
+
+    def close(self) -> None:
+        """Close the file without a sync."""
 
 
 class Files(Protocol):
-    """One folder. Names have no folders in them; all may raise OSError."""
+    """The operations on one flat directory. Each may raise OSError."""
 
-    def names(self) -> list[str]: ...
+    def names(self) -> list[str]:
+        """Return the names of all files in the directory."""
 
-    def read(self, name: str) -> bytes: ...
+    def read(self, name: str) -> bytes:
+        """Return the content of a file."""
 
     def create(self, name: str) -> Handle:
-        """A fresh file; one of that name is replaced by an empty one."""
+        """Create an empty file. It replaces an existing file of that name."""
 
     def rename(self, old: str, new: str) -> None:
-        """In one step; takes the place of a file named `new`."""
+        """Rename a file atomically. It replaces an existing file named `new`."""
 
-    def remove(self, name: str) -> None: ...
+    def remove(self, name: str) -> None:
+        """Remove a file."""
 
     def sync_folder(self) -> None:
-        """On return, names made, renamed and removed before are as they are, whatever comes."""
+        """Make all earlier creations, renames and removals in the directory durable."""
 
 
 class _RealHandle:
@@ -63,14 +70,19 @@
 
 
 class RealFiles:
-    """A folder of the machine, held by a descriptor: one moved away meanwhile stays the same folder.
+    """A directory of the local file system, accessed by a descriptor that stays valid if it is moved.
+
+    Args:
+        folder: The path of the directory.
+        create_missing: Whether to create the directory if it does not exist.
 
-    OSError where it cannot be made or opened.
+    Raises:
+        OSError: The directory cannot be created or opened.
     """
 
-    def __init__(self, folder: Path, make: bool = True) -> None:
+    def __init__(self, folder: Path, create_missing: bool = True) -> None:
         self.folder = folder
-        if make:
+        if create_missing:
             folder.mkdir(parents=True, exist_ok=True)
         self._fd = self._open()
 
@@ -78,14 +90,18 @@
         return os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
 
     def has_moved(self) -> bool:
-        """Return whether the path no longer names this directory: what is written is lost."""
+        """Return whether the path no longer refers to this directory. New files would then be lost."""
         try:
             return not os.path.samestat(os.stat(self.folder), os.fstat(self._fd))
         except FileNotFoundError:
             return True
 
     def reopen(self) -> bool:
-        """Hold the folder that has the path now; whether that is another one. Makes one if there is none."""
+        """Open the directory that the path refers to now, and create it if it is missing.
+
+        Returns:
+            Whether it is a different directory than before.
+        """
         self.folder.mkdir(parents=True, exist_ok=True)
         fd = self._open()
         if os.path.samestat(os.fstat(fd), os.fstat(self._fd)):
@@ -96,49 +112,63 @@
         return True
 
     def names(self) -> list[str]:
+        """Return the names of all files in the directory."""
         return os.listdir(self._fd)
 
     def read(self, name: str) -> bytes:
+        """Return the content of a file. Symbolic links are not followed."""
         fd = os.open(name, os.O_RDONLY | os.O_CLOEXEC | os.O_NOFOLLOW, dir_fd=self._fd)
-        with os.fdopen(fd, "rb") as source:
-            return source.read()
+        with os.fdopen(fd, "rb") as file:
+            return file.read()
 
     def create(self, name: str) -> Handle:
-        # Guards against writing into a file that another process still holds: the old one is unlinked.
+        """Create an empty file. It replaces an existing file of that name."""
+        # An existing file is unlinked, not truncated: another process may still have it open.
         flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC | os.O_NOFOLLOW
         with contextlib.suppress(FileNotFoundError):
             os.unlink(name, dir_fd=self._fd)
         return _RealHandle(os.open(name, flags, 0o600, dir_fd=self._fd))
 
     def rename(self, old: str, new: str) -> None:
+        """Rename a file atomically. It replaces an existing file named `new`."""
         os.rename(old, new, src_dir_fd=self._fd, dst_dir_fd=self._fd)
 
     def remove(self, name: str) -> None:
+        """Remove a file."""
         os.unlink(name, dir_fd=self._fd)
 
     def sync_folder(self) -> None:
+        """Make all earlier creations, renames and removals in the directory durable."""
         os.fsync(self._fd)
 
     def close(self) -> None:
+        """Close the descriptor of the directory. Repeated calls have no effect."""
         if self._fd >= 0:
             fd, self._fd = self._fd, -1
             os.close(fd)
 
 
-def directory_id_of(lock: os.stat_result) -> str:
-    """Return a directory's identity, by its lock file: a copied or restored directory has another."""
-    return f"{lock.st_dev:x}.{lock.st_ino:x}"
+def directory_id_of(lock_status: os.stat_result) -> str:
+    """Return a directory's identity, derived from its lock file. A copied or restored directory differs.
+
+    Args:
+        lock_status: The status of the lock file.
+    """
+    return f"{lock_status.st_dev:x}.{lock_status.st_ino:x}"
 
 
 class DirectoryLock:
-    """The exclusive use of a directory, for as long as this process lives (flock(2)).
+    """An exclusive lock on a directory (flock(2)). The kernel releases it when the process ends.
+
+    Args:
+        folder: The path of the directory, which is created if it is missing.
 
     Attributes:
-        directory_id: see `directory_id_of`.
+        directory_id: The identity of the directory, see `directory_id_of`.
 
     Raises:
-        DirectoryBusyError: another process has the lock.
-        OSError: the lock file cannot be opened.
+        DirectoryBusyError: Another process has the lock.
+        OSError: The lock file cannot be opened.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -156,10 +186,11 @@
             os.ftruncate(self._fd, 0)
             os.pwrite(self._fd, f"{os.getpid()}\n".encode(), 0)
         except OSError:
-            pass  # a full disk: the lock holds all the same, only its holder is not named
+            pass  # The disk may be full. The lock is valid without the process id in its file.
         self.directory_id = directory_id_of(os.fstat(self._fd))
 
     def release(self) -> None:
+        """Release the lock. Repeated calls have no effect."""
         if self._fd >= 0:
             fd, self._fd = self._fd, -1
             os.close(fd)
--- a/saffronlane/storage/snapshot.py
+++ b/saffronlane/storage/snapshot.py
@@ -1,4 +1,4 @@
-"""Writing of snapshot files, slice by slice."""
+"""Writing of snapshot files in slices."""
 
 from __future__ import annotations
 
@@ -7,20 +7,21 @@
 from . import format as fmt
 from .files import Files
 
-TEMPORARY_SUFFIX = "new"  # of a file that is not yet complete
-CHANGE_OVERHEAD = 8  # bytes of an entry beside its key and value
+TEMPORARY_SUFFIX = "new"  # suffix of the name of a file that is not yet complete
+CHANGE_OVERHEAD = 8  # bytes of an encoded entry in addition to its key and value
 
 
 def write_snapshot(
     files: Files, state: fmt.StoredMap, sequence: int, slice_bytes: int
 ) -> Generator[None, None, int]:
-    """Write a snapshot; the file gets its name only when it is complete and durable.
+    """Write a snapshot. The file has a temporary name until it is complete and durable.
 
     Args:
-        files: of the directory.
-        state: the map to write.
-        sequence: of the last change in it.
-        slice_bytes: written and synced at a time, since a sync of the whole file would delay commits.
+        files: The files of the directory.
+        state: The map to write.
+        sequence: The sequence of the last change in `state`.
+        slice_bytes: The approximate number of bytes to write and sync at a time. One sync of the whole file
+            would delay commits.
 
     Yields:
         None after each slice.
@@ -28,7 +29,7 @@
     Returns:
         The size of the file in bytes.
     """
-    name = fmt.FileName(fmt.SNAPSHOT, fmt.FORMAT, sequence)
+    name = fmt.FileName(fmt.SNAPSHOT, fmt.FORMAT_VERSION, sequence)
     temporary_name = f"{name}.{TEMPORARY_SUFFIX}"
     handle = files.create(temporary_name)
     try:
@@ -46,8 +47,8 @@
 
 
 def _slices(state: fmt.StoredMap, sequence: int, slice_bytes: int) -> Iterator[bytes]:
-    """Return the bytes of a snapshot, in parts of about `slice_bytes`."""
-    number = 1
+    """Yield the bytes of a snapshot in parts of about `slice_bytes`."""
+    record_number = 1
     part = fmt.encode_header(fmt.SNAPSHOT, sequence)
     batch: list[fmt.Change] = []
     batch_size = 0
@@ -55,12 +56,12 @@
         batch.append(fmt.Change(key, entry))
         batch_size += len(key) + len(entry.value) + CHANGE_OVERHEAD
         if batch_size >= slice_bytes:
-            yield part + fmt.encode_record(number, fmt.ENTRIES, fmt.pack_changes(batch))
-            number += 1
+            yield part + fmt.encode_record(record_number, fmt.ENTRIES, fmt.pack_changes(batch))
+            record_number += 1
             part = b""
             batch = []
             batch_size = 0
     if batch:
-        part += fmt.encode_record(number, fmt.ENTRIES, fmt.pack_changes(batch))
-        number += 1
-    yield part + fmt.encode_record(number, fmt.END, len(state).to_bytes(8, "big"))
+        part += fmt.encode_record(record_number, fmt.ENTRIES, fmt.pack_changes(batch))
+        record_number += 1
+    yield part + fmt.encode_record(record_number, fmt.END, len(state).to_bytes(8, "big"))
--- a/saffronlane/storage/store.py
+++ b/saffronlane/storage/store.py
@@ -1,10 +1,11 @@
-"""The store: a map whose committed changes survive a crash at any byte.
+"""A map whose committed changes survive a crash at any byte of a write.
 
-A commit appends one record to the log and syncs it. From time to time the map is written as a snapshot, in
-slices between commits; once that is durable, the log before it is removed. The snapshot before the newest one
-stays with its log, so that one unreadable file doesn't cost everything. docs/knowledge.md has the reasons.
+A commit appends one record to the log and syncs it. When the log has grown past a threshold, the map is
+written as a snapshot, in slices between commits. Once the snapshot is durable, older log files are removed.
+The second-newest snapshot and its log files are retained, so that one unreadable file does not lose the whole
+map. docs/knowledge.md explains the design.
 
-Nothing here is shared between threads: one owner (`writer.Writer`) calls it.
+The store is not thread-safe; one owner (`writer.Writer`) calls it.
 """
 
 from __future__ import annotations
@@ -21,19 +22,20 @@
 from .recovery import Recovery, recover
 from .snapshot import TEMPORARY_SUFFIX, write_snapshot
 
-SEQUENCE_GAP = 1 << 32  # sequences; more than one log file can hold
-KEPT_SNAPSHOTS = 2
+SEQUENCE_GAP = 1 << 32  # more sequences than one log file can contain
+RETAINED_SNAPSHOTS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class StoreLimits:
-    """Sizes in bytes.
+    """Size limits in bytes.
 
     Attributes:
-        segment_bytes: of a log file, past which the next one is begun.
-        log_bytes: of all log files since the newest snapshot, at which the next one is begun.
-        slice_bytes: of a snapshot, written and synced at a time.
-        max_total_bytes: of all files, past which commits fail.
+        segment_bytes: The size of a log file at which the next log file is started.
+        log_bytes: The total size of the log files after the newest snapshot at which the next snapshot is
+            started.
+        slice_bytes: The approximate size of the part of a snapshot that is written and synced at a time.
+        max_total_bytes: The total size of all files above which commits fail.
     """
 
     segment_bytes: int = 4_194_304
@@ -43,19 +45,20 @@
 
 
 class Store:
-    """The owner's view. `load`, then `begin`; then `commit` and `compact_step` in any order.
+    """A crash-safe map. Call `load`, then `begin`, then `commit` and `compact_step` in any order.
 
-    After StoreFailedError no file that was open is written or synced again: a failed fsync may have dropped
-    pages and marked them clean, so a second one would report success (fsync(2), ERRORS).
+    After a StoreFailedError, files that were open are neither written nor synced again. A failed fsync may
+    have dropped dirty pages and marked them clean, so a second fsync would wrongly report success (fsync(2),
+    ERRORS).
 
     Args:
-        files: of the directory.
-        limits: sizes.
+        files: The files of the directory.
+        limits: The size limits.
 
     Attributes:
-        state: the map with all changes, also those that are not durable.
-        sequence: of the last change.
-        has_failed: until `begin` has succeeded, and after each error.
+        state: The map with all changes, including those that are not durable.
+        sequence: The sequence of the last change.
+        has_failed: Whether commits fail. True until `begin` has succeeded, and again after each I/O error.
     """
 
     def __init__(self, files: Files, limits: StoreLimits | None = None) -> None:
@@ -65,16 +68,16 @@
         self.sequence = 0
         self.has_failed = True
         self._segment: Handle | None = None
-        self._segment_base = 0
+        self._segment_first_sequence = 0
         self._segment_size = 0
-        self._logs: dict[int, int] = {}  # bytes by first sequence
-        self._snapshots: dict[int, int] = {}  # bytes by sequence
+        self._log_sizes: dict[int, int] = {}  # in bytes by first sequence
+        self._snapshot_sizes: dict[int, int] = {}  # in bytes by sequence
         self._compaction: Iterator[None] | None = None
 
     @property
     def bytes(self) -> int:
-        """Bytes of all files."""
-        return sum(self._logs.values()) + sum(self._snapshots.values())
+        """The total size of all files in bytes."""
+        return sum(self._log_sizes.values()) + sum(self._snapshot_sizes.values())
 
     @property
     def is_compacting(self) -> bool:
@@ -83,25 +86,25 @@
 
     def load(self) -> Recovery:
         """Recover the directory's content. Raises OSError if the directory cannot be read."""
-        found = recover(self.files)
-        self.state = found.state
-        self.sequence = found.sequence
-        # A file that could not be read on to, of a newer version or behind damage, may hold sequences that
-        # are not known: ours count on from beyond them, or a later recovery would mix the two.
-        if found.newer_files or found.highest_sequence > found.sequence + 1:
-            self.sequence = max(found.highest_sequence, found.sequence) + SEQUENCE_GAP
-        for name, size in found.sizes.items():
-            self._sizes(name.kind)[name.sequence] = size
-        return found
+        recovery = recover(self.files)
+        self.state = recovery.state
+        self.sequence = recovery.sequence
+        # Skipped files, which have a newer format version or follow damage, may contain unknown sequences.
+        # New sequences start beyond those, or a later recovery would mix old and new changes.
+        if recovery.newer_files or recovery.highest_sequence > recovery.sequence + 1:
+            self.sequence = max(recovery.highest_sequence, recovery.sequence) + SEQUENCE_GAP
+        for name, size in recovery.file_sizes.items():
+            self._file_sizes(name.kind)[name.sequence] = size
+        return recovery
 
     def begin(self) -> None:
-        """Prepare for commits, or repair: write a snapshot of the state, and begin a new log.
+        """Prepare for commits, or repair a failed store: write a snapshot of the state and start a new log.
 
-        What was recovered may have been read from the page cache that a loss of power takes, so it is written
-        anew before anything builds on it.
+        Recovered data may have been read from the page cache without being durable. It is therefore written
+        again before new changes depend on it.
 
         Raises:
-            StoreFailedError: the files cannot be written.
+            StoreFailedError: The files cannot be written.
         """
         try:
             self._remove_temporary_files()
@@ -116,26 +119,26 @@
     repair = begin
 
     def commit(self, changes: Sequence[fmt.Change]) -> int:
-        """Make changes durable, all or none, and return their sequence.
+        """Make changes durable atomically, and return their sequence.
 
-        They count in `state` in either case, so that a repair keeps them.
+        The changes are applied to `state` even if the commit fails, so that a repair writes them.
 
         Raises:
-            StoreFailedError: they may be lost.
+            StoreFailedError: The changes may not be durable.
         """
         payload = fmt.pack_changes(changes)
         data = fmt.encode_record(self.sequence + 1, fmt.BATCH, payload)
         self.state = fmt.apply_changes(self.state, changes)
         self.sequence += 1
         if self.has_failed or self._segment is None:
-            raise StoreFailedError("the store has failed and is not yet repaired")
+            raise StoreFailedError("the store has failed and has not been repaired yet")
         try:
             if self.bytes + len(data) > self.limits.max_total_bytes:
-                raise OSError(f"{self.limits.max_total_bytes} bytes are taken")
+                raise OSError(f"the files would exceed the limit of {self.limits.max_total_bytes} bytes")
             self._segment.write(data)
             self._segment.sync()
             self._segment_size += len(data)
-            self._logs[self._segment_base] += len(data)
+            self._log_sizes[self._segment_first_sequence] += len(data)
             if self._segment_size >= self.limits.segment_bytes:
                 self._start_segment()
             log_size = self._log_size_since_snapshot()
@@ -143,17 +146,24 @@
             if self._compaction is None and log_size >= threshold:
                 self._start_compaction()
             elif self._compaction is not None and log_size >= 2 * threshold:
-                self.compact_step()  # a flood of changes must not outrun the snapshot that bounds the log
+                self.compact_step()  # Keeps the log bounded if changes arrive faster than slices are written.
         except OSError as error:
             raise self._fail(error) from error
         return self.sequence
 
     def compact_step(self) -> bool:
-        """Write one slice of a snapshot. Returns whether there is more to do. Raises StoreFailedError."""
+        """Write one slice of the snapshot in progress.
+
+        Returns:
+            Whether there are slices left to write.
+
+        Raises:
+            StoreFailedError: The files cannot be written or removed.
+        """
         if self._compaction is None or self.has_failed:
             return False
         try:
-            if next(self._compaction, True):  # slices give None
+            if next(self._compaction, True):  # the generator yields None after a slice
                 self._compaction = None
                 self._remove_obsolete_files()
         except OSError as error:
@@ -161,39 +171,43 @@
         return self._compaction is not None
 
     def write_final_snapshot(self) -> None:
-        """Write a last snapshot, so that the next start reads one file. Raises StoreFailedError."""
+        """Write a snapshot before shutdown, so that the next start has no log to replay.
+
+        Raises:
+            StoreFailedError: The files cannot be written.
+        """
         self._compaction = None
         self.begin()
 
     def close(self) -> None:
-        """Close the log file. The store counts as failed from then on."""
+        """Close the log file and mark the store as failed."""
         self.has_failed = True
         if self._segment is not None:
             segment, self._segment = self._segment, None
             with contextlib.suppress(OSError):
                 segment.close()
 
-    # --- inside ---
-
     def _fail(self, error: OSError) -> StoreFailedError:
         self.close()
         self._compaction = None
         return StoreFailedError(error.strerror or str(error))
 
     def _log_size_since_snapshot(self) -> int:
-        newest = max(self._snapshots, default=0)
-        return sum(size for base, size in self._logs.items() if base > newest)
+        newest_snapshot = max(self._snapshot_sizes, default=0)
+        return sum(
+            size for first_sequence, size in self._log_sizes.items() if first_sequence > newest_snapshot
+        )
 
     def _compaction_threshold(self) -> int:
-        """Return the size of the log at which to compact: at least that of the last snapshot."""
-        return max(self.limits.log_bytes, self._snapshots.get(max(self._snapshots, default=0), 0))
+        """Return the log size at which to compact, which is at least the size of the newest snapshot."""
+        return max(self.limits.log_bytes, self._snapshot_sizes.get(max(self._snapshot_sizes, default=0), 0))
 
     def _start_segment(self) -> None:
-        """Begin the next log file. All commits before are synced already."""
-        base = self.sequence + 1
-        name = fmt.FileName(fmt.LOG, fmt.FORMAT, base)
+        """Start the next log file. All earlier commits are already synced."""
+        first_sequence = self.sequence + 1
+        name = fmt.FileName(fmt.LOG, fmt.FORMAT_VERSION, first_sequence)
         temporary_name = f"{name}.{TEMPORARY_SUFFIX}"
-        data = fmt.encode_header(fmt.LOG, base)
+        data = fmt.encode_header(fmt.LOG, first_sequence)
         handle = self.files.create(temporary_name)
         try:
             handle.write(data)
@@ -206,19 +220,19 @@
         if self._segment is not None:
             self._segment.close()
         self._segment = handle
-        self._segment_base = base
+        self._segment_first_sequence = first_sequence
         self._segment_size = len(data)
-        self._logs[base] = len(data)
+        self._log_sizes[first_sequence] = len(data)
 
     def _start_compaction(self) -> None:
-        """Begin a snapshot, and a new log for the changes that it does not cover."""
+        """Start a snapshot, and a new log file for the changes that the snapshot does not include."""
         self._start_segment()
         self._compaction = self._write_snapshot(self.state, self.sequence)
 
     def _write_snapshot(self, state: fmt.StoredMap, sequence: int) -> Iterator[None]:
-        """Write a snapshot slice by slice."""
+        """Write a snapshot, and yield after each slice."""
         size = yield from write_snapshot(self.files, state, sequence, self.limits.slice_bytes)
-        self._snapshots[sequence] = size
+        self._snapshot_sizes[sequence] = size
 
     def _remove_temporary_files(self) -> None:
         for text in self.files.names():
@@ -226,21 +240,23 @@
             if (
                 suffix == TEMPORARY_SUFFIX
                 and (name := fmt.FileName.parse(stem))
-                and name.format <= fmt.FORMAT
+                and name.format_version <= fmt.FORMAT_VERSION
             ):
                 self.files.remove(text)
 
     def _remove_obsolete_files(self) -> None:
-        """Remove what neither the newest snapshot nor the one before it needs."""
+        """Remove all files that precede the oldest retained snapshot."""
         names = [name for text in self.files.names() if (name := fmt.FileName.parse(text)) is not None]
-        known = [name for name in names if name.format <= fmt.FORMAT]
-        sequences = sorted((name.sequence for name in known if name.kind == fmt.SNAPSHOT), reverse=True)
-        oldest_kept = sequences[:KEPT_SNAPSHOTS][-1]
-        for name in known:
-            is_covered_log = name.kind == fmt.LOG and name.sequence == oldest_kept
-            if name.sequence < oldest_kept or is_covered_log:
+        removable_names = [name for name in names if name.format_version <= fmt.FORMAT_VERSION]
+        sequences = sorted(
+            (name.sequence for name in removable_names if name.kind == fmt.SNAPSHOT), reverse=True
+        )
+        oldest_retained = sequences[:RETAINED_SNAPSHOTS][-1]
+        for name in removable_names:
+            is_covered_log = name.kind == fmt.LOG and name.sequence == oldest_retained
+            if name.sequence < oldest_retained or is_covered_log:
                 self.files.remove(str(name))
-                self._sizes(name.kind).pop(name.sequence, None)
+                self._file_sizes(name.kind).pop(name.sequence, None)
 
-    def _sizes(self, kind: int) -> dict[int, int]:
-        return self._logs if kind == fmt.LOG else self._snapshots
+    def _file_sizes(self, kind: int) -> dict[int, int]:
+        return self._log_sizes if kind == fmt.LOG else self._snapshot_sizes
--- a/saffronlane/storage/writer.py
+++ b/saffronlane/storage/writer.py
@@ -1,7 +1,8 @@
-"""A thread that owns a store, so that no fsync ever delays the event loop.
+"""A thread that owns a store, so that no fsync delays the event loop.
 
-Changes wait in one map, the newest of each key, so many changes to the same keys take memory once. All
-changes that wait form one commit (group commit): while one is being synced, the next one gathers.
+Pending changes are queued in one map with the newest entry of each key, which bounds the memory for repeated
+changes of the same key. All pending changes form one commit (group commit); changes that arrive while it is
+being synced form the next commit.
 """
 
 from __future__ import annotations
@@ -24,11 +25,13 @@
     """Intervals and sizes of a writer.
 
     Attributes:
-        max_delay: seconds that a change without a callback may wait.
-        min_repair_interval: seconds from a failure to the first repair; doubled while repairs fail.
-        max_repair_interval: seconds.
-        idle_interval: seconds between two turns of the thread without changes.
-        max_pending: keys that may wait; more are lost and counted.
+        max_delay: The seconds that a change without a callback may be pending.
+        min_repair_interval: The seconds from a failure to the first repair. The interval doubles after each
+            failed repair.
+        max_repair_interval: The maximum seconds between two repairs.
+        idle_interval: The maximum seconds between two iterations of the thread while there are no changes.
+        max_pending: The maximum number of pending keys, and of pending callbacks. Changes of further keys are
+            dropped and counted.
     """
 
     max_delay: float = 0.5
@@ -40,12 +43,18 @@
 
 @dataclass(frozen=True, slots=True)
 class WriterStatus:
-    """For metrics and logs.
+    """The status of a writer, for metrics and logs.
 
     Attributes:
-        last_sync_at: monotonic seconds.
-        sync_duration: seconds, of the last commit.
-        lost_changes: changes that were dropped because too many were waiting.
+        is_working: Whether commits succeed at present.
+        failure_reason: Why commits fail. Empty if they succeed.
+        last_sync_at: The time of the last commit or repair in monotonic seconds.
+        sync_duration: The duration of the last commit in seconds.
+        commits: The number of successful commits.
+        failures: The number of failures, including failed repairs.
+        lost_changes: The number of changes that were dropped because too many keys were pending.
+        bytes: The total size of all files of the store.
+        entries: The number of keys in the store.
     """
 
     is_working: bool = False
@@ -60,8 +69,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Turn:
-    """What one turn of the thread has to do."""
+class _Batch:
+    """The work of one iteration of the thread.
+
+    Attributes:
+        changes: The changes to commit.
+        callbacks: The callbacks to call after the commit.
+        is_last: Whether the thread ends after this iteration.
+    """
 
     changes: list[Change]
     callbacks: list[DurabilityCallback]
@@ -69,16 +84,16 @@
 
 
 class Writer:
-    """Takes changes from the event loop's thread and commits them on its own.
+    """Accepts changes from other threads and commits them on its own thread.
 
     Args:
-        store: loaded, not yet begun; belongs to this object from now on.
-        on_message: called with a line for the log on failures and repairs, on the writer's thread.
-        limits: intervals and sizes.
-        before_repair: called on the writer's thread before each repair; may raise OSError.
-        after_turn: called there after each commit, and at least every `idle_interval`; raises OSError if the
-            store must be repaired.
-        clock: returns monotonic seconds.
+        store: The store, after `load` and before `begin`. The writer becomes its only user.
+        on_message: Called with a message for the log after failures and repairs, on the writer's thread.
+        limits: The intervals and sizes.
+        before_repair: Called on the writer's thread before each repair. May raise OSError.
+        after_iteration: Called on the writer's thread after each iteration, at least every `idle_interval`.
+            Raises OSError if the store must be repaired.
+        clock: Returns monotonic seconds.
     """
 
     def __init__(
@@ -87,7 +102,7 @@
         on_message: MessageCallback,
         limits: WriterLimits | None = None,
         before_repair: Callable[[], None] | None = None,
-        after_turn: Callable[[], None] | None = None,
+        after_iteration: Callable[[], None] | None = None,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._store = store
@@ -95,7 +110,7 @@
         self._clock = clock
         self._limits = limits or WriterLimits()
         self._before_repair = before_repair
-        self._after_turn = after_turn
+        self._after_iteration = after_iteration
         self._condition = threading.Condition()
         self._pending: dict[bytes, Entry | None] = {}
         self._pending_since = 0.0
@@ -116,15 +131,16 @@
         """Start the thread."""
         self._thread.start()
 
-    def put(self, changes: Iterable[Change], done: DurabilityCallback | None = None) -> None:
-        """Commit changes. A disk that hangs delays nothing but what waits for it, and that is bounded.
+    def put(self, changes: Iterable[Change], on_complete: DurabilityCallback | None = None) -> None:
+        """Queue changes for a commit. Does not wait for the disk. The queue is bounded by `max_pending`.
 
         Args:
-            changes: to commit.
-            done: commit at once and call this with whether the changes are durable, mostly on the writer's
-                thread.
+            changes: The changes to commit.
+            on_complete: Called with whether the changes are durable. With this callback the commit starts at
+                once. It is called on the writer's thread, or on the caller's thread with False if the queue
+                is full.
         """
-        lost = 0
+        lost_count = 0
         with self._condition:
             if not self._pending:
                 self._pending_since = self._clock()
@@ -133,17 +149,17 @@
                 if key in self._pending or len(self._pending) < self._limits.max_pending:
                     self._pending[key] = entry
                 else:
-                    lost += 1
-            self._lost_changes += lost
-            if done is not None and not lost and len(self._callbacks) < self._limits.max_pending:
-                self._callbacks.append(done)
+                    lost_count += 1
+            self._lost_changes += lost_count
+            if on_complete is not None and not lost_count and len(self._callbacks) < self._limits.max_pending:
+                self._callbacks.append(on_complete)
                 self._condition.notify()
                 return
-        if done is not None:
-            done(False)
+        if on_complete is not None:
+            on_complete(False)
 
     def stop(self, timeout: float) -> bool:
-        """Commit what waits, write a last snapshot and end the thread.
+        """Commit the pending changes, write a final snapshot and end the thread.
 
         Returns:
             Whether the thread ended within `timeout` seconds.
@@ -154,16 +170,16 @@
         self._thread.join(timeout)
         return not self._thread.is_alive()
 
-    # --- on the thread ---
+    # The methods below run on the writer's thread.
 
     def _run(self) -> None:
         self._begin()
         is_last = False
         while not is_last:
-            turn = self._next_turn()
-            self._commit(turn)
-            self._call_after_turn()
-            is_last = turn.is_last
+            batch = self._next_batch()
+            self._commit(batch)
+            self._call_after_iteration()
+            is_last = batch.is_last
         try:
             if not self._store.has_failed:
                 self._store.write_final_snapshot()
@@ -171,22 +187,22 @@
             self._on_failure(error)
         self._store.close()
 
-    def _next_turn(self) -> _Turn:
-        """Wait until there is something to do."""
+    def _next_batch(self) -> _Batch:
+        """Wait for work or until the next iteration is due, and return a batch, which may be empty."""
         with self._condition:
             if not self._callbacks and not self._is_stopping:
                 self._condition.wait(self._wait_time())
             is_due = self._pending and self._clock() >= self._pending_since + self._limits.max_delay
-            turn = _Turn(changes=[], callbacks=self._callbacks, is_last=self._is_stopping)
-            if turn.callbacks or turn.is_last or is_due:
+            batch = _Batch(changes=[], callbacks=self._callbacks, is_last=self._is_stopping)
+            if batch.callbacks or batch.is_last or is_due:
                 changes = [Change(key, entry) for key, entry in self._pending.items()]
-                turn = replace(turn, changes=changes)
+                batch = replace(batch, changes=changes)
                 self._pending = {}
                 self._callbacks = []
-            return turn
+            return batch
 
     def _wait_time(self) -> float:
-        """Return the seconds until there is something to do without a callback. Holds the lock."""
+        """Return the maximum seconds until the next iteration. The caller holds the lock."""
         now = self._clock()
         times = [self._limits.idle_interval]
         if self._pending:
@@ -197,29 +213,29 @@
             return 0.0
         return max(0.0, min(times))
 
-    def _commit(self, turn: _Turn) -> None:
+    def _commit(self, batch: _Batch) -> None:
         if self._store.has_failed and self._clock() >= self._next_repair_at:
             self._begin()
         had_failed = self._store.has_failed
         started_at = self._clock()
-        is_durable = self._write(turn, had_failed)
-        if is_durable and turn.changes:
+        is_durable = self._write(batch, had_failed)
+        if is_durable and batch.changes:
             self._record_commit(started_at)
-        for callback in turn.callbacks:
+        for callback in batch.callbacks:
             callback(is_durable)
 
-    def _write(self, turn: _Turn, had_failed: bool) -> bool:
-        """Commit a turn's changes, or compact while there are none. Returns whether they are durable."""
+    def _write(self, batch: _Batch, had_failed: bool) -> bool:
+        """Commit the changes of a batch, or compact if it is empty. Returns whether they are durable."""
         try:
-            if turn.changes:
-                self._store.commit(turn.changes)
-            elif not turn.callbacks:
+            if batch.changes:
+                self._store.commit(batch.changes)
+            elif not batch.callbacks:
                 self._store.compact_step()
         except StoreFailedError as error:
             if not had_failed:
                 self._on_failure(error)
             return False
-        except Exception as error:  # a fault here must not end the thread: callbacks would wait for ever
+        except Exception as error:  # The thread must not end, or callbacks would never be called.
             self._store.close()
             self._on_failure(StoreFailedError(repr(error)))
             return False
@@ -236,17 +252,17 @@
             entries=len(self._store.state),
         )
 
-    def _call_after_turn(self) -> None:
+    def _call_after_iteration(self) -> None:
         try:
-            if self._after_turn is not None:
-                self._after_turn()
+            if self._after_iteration is not None:
+                self._after_iteration()
         except OSError as error:
             if not self._store.has_failed:
                 self._store.close()
                 self._on_failure(error)
 
     def _begin(self) -> None:
-        """Begin or repair the store."""
+        """Start or repair the store."""
         try:
             if self._status.failures and self._before_repair is not None:
                 self._before_repair()
@@ -255,13 +271,13 @@
             self._on_failure(error)
             return
         if self._status.failures:
-            self._on_message("knowledge is kept again")
+            self._on_message("store repaired: changes are durable again")
         self._repair_interval = self._limits.min_repair_interval
         self._status = replace(self._status, is_working=True, failure_reason="", last_sync_at=self._clock())
 
     def _on_failure(self, error: Exception) -> None:
         if self._status.is_working or not self._status.failures:
-            self._on_message(f"knowledge is not kept any more: {error}")
+            self._on_message(f"store failed: changes are no longer durable: {error}")
         self._status = replace(
             self._status, is_working=False, failure_reason=str(error), failures=self._status.failures + 1
         )
--- a/tests/test_folder.py
+++ b/tests/test_folder.py
@@ -49,7 +49,7 @@
 
 
 def read(folder: Path) -> Recovery:
-    return recover(RealFiles(folder, make=False))
+    return recover(RealFiles(folder, create_missing=False))
 
 
 def ask(house: House, count: int = 1) -> None:
@@ -261,7 +261,7 @@
     code, out = run("forget", folder, "all")
     assert code == 2 and "stop it first" in out
     code, out = run("forget", folder, "classes", "engines")
-    assert (code, out.strip()) == (0, "the running gateway forgets them")
+    assert (code, out.strip()) == (0, "the running gateway has accepted the purge request")
     house.until(lambda: house.daemon.dispatcher.gateway.workload_estimates.estimators[0].answer_count == 0)
     house.until(lambda: k.CLASS + b"lookup" not in dict(read(folder).state.items()))
 
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -875,8 +875,8 @@
 def test_a_folder_of_every_older_version_is_read(tmp_path: Path):
     """Fixtures made by the code of their time; one is added when a version changes, none is made anew."""
     for path in sorted(Path(__file__).parent.glob("fixtures/knowledge-v*")):
-        found = recover(RealFiles(path, make=False))
-        assert not found.dropped and len(found.state) == 8, path
+        found = recover(RealFiles(path, create_missing=False))
+        assert not found.problems and len(found.state) == 8, path
         settings = make_settings(
             guarantees=replace(COLD, ordering_cooldown=2.0, retry_budget_base=2.0, retry_budget_window=9.0)
         )
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -165,7 +165,7 @@
     """Old files removed before the new snapshot has its name for good; the name given before the data."""
 
     def early_name(self, state, sequence):
-        name = fmt.FileName(fmt.SNAPSHOT, fmt.FORMAT, sequence)
+        name = fmt.FileName(fmt.SNAPSHOT, fmt.FORMAT_VERSION, sequence)
         handle = self.files.create(f"{name}.new")
         self.files.rename(f"{name}.new", str(name))
         self.files.sync_folder()
@@ -179,7 +179,7 @@
         data = fmt.encode_record(1, fmt.ENTRIES, fmt.pack_changes(batch)) if batch else b""
         handle.write(data + fmt.encode_record(2, fmt.END, len(state).to_bytes(8, "big")))
         handle.sync()
-        self._snapshots[sequence] = 1
+        self._snapshot_sizes[sequence] = 1
 
     def removes_first(self, state, sequence):
         for text in self.files.names():
@@ -280,7 +280,7 @@
     data = files.read(name)
     found = recover(ModelFiles({n: files.read(n) for n in files.names()} | {name: data + b"xyz"}))
     assert plain(found.state) == {b"a": Entry(1, b"one")}
-    assert len(found.dropped) == 1 and name in found.dropped[0] and f"byte {len(data)}" in found.dropped[0]
+    assert len(found.problems) == 1 and name in found.problems[0] and f"byte {len(data)}" in found.problems[0]
 
 
 def test_files_of_a_newer_version_are_left_as_they_are_and_ours_count_on_from_beyond_them():
@@ -317,7 +317,7 @@
     newest = max(n for n in whole if n.startswith("snap") and not n.endswith("new"))
     found = recover(ModelFiles(whole | {newest: b"rotten"}))
     assert plain(found.state) == plain(store.state)
-    assert any(newest in text for text in found.dropped)
+    assert any(newest in text for text in found.problems)
 
 
 def test_sequences_behind_damage_are_never_mixed_with_new_ones():
@@ -334,7 +334,7 @@
     files = ModelFiles(whole)
     store = Store(files, StoreLimits())
     before = store.load()
-    assert before.dropped
+    assert before.problems
     store.begin()
     last = {}
     for n in range(60):
@@ -451,7 +451,10 @@
     until(lambda: heard == [False, True])
     assert set(recover(files).state) == {b"a", b"b", b"c"}  # what nobody was promised is kept all the same
     assert writer.stop(10.0)
-    assert said == ["knowledge is not kept any more: input/output error", "knowledge is kept again"]
+    assert said == [
+        "store failed: changes are no longer durable: input/output error",
+        "store repaired: changes are durable again",
+    ]
 
 
 def test_what_waits_for_a_disk_that_hangs_is_bounded():
