--- a/saffronlane/dispatch/action_handler.py
+++ b/saffronlane/dispatch/action_handler.py
@@ -20,7 +20,7 @@
     Args:
         requests: The table of requests and attempts.
         timers: The queue that receives the timers set by the policy.
-        policy: The host that returns how long an attempt waits for its write-ahead entries.
+        policy: The policy host, which records the write-ahead entries that a new attempt needs.
         effects: The list that the effects are appended to.
     """
 
--- a/saffronlane/dispatch/core.py
+++ b/saffronlane/dispatch/core.py
@@ -34,12 +34,12 @@
 
     Args:
         settings: The settings that are passed on to `policy.Gateway`.
-        seed: The seed of every random draw.
+        seed: The seed of the policy's random number generator.
         record: A callback that receives each step's time, inputs and effects (see `dispatch.recording`).
-        max_pending: The largest number of unanswered requests; further ones are rejected. The cost of a step
-            grows with the queue, so that without a limit a flood of requests would delay every answer.
+        max_pending: The largest number of unanswered requests. Requests beyond it are rejected: the cost of
+            a step grows with the queue, so that without a limit a flood of requests would delay every answer.
         persisted_state: The learned state that an earlier run stored, or None if there is none.
-        is_persistent: Whether learned state is stored, by `effects.Persist`.
+        is_persistent: Whether learned state is stored. If so, steps emit `effects.Persist`.
     """
 
     def __init__(
--- a/saffronlane/dispatch/effects.py
+++ b/saffronlane/dispatch/effects.py
@@ -37,7 +37,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Store changes of the learned state. If `is_write_ahead` is set, attempts of this step wait for them."""
+    """Store changes of the learned state.
+
+    If `is_write_ahead` is set, attempts with a `durability_timeout` wait until the changes are durable.
+    """
 
     changes: tuple[Change, ...]
     is_write_ahead: bool = False
@@ -53,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscardAttempt:
-    """Discard the result of an attempt that is no longer needed, because engines do not support cancels."""
+    """Discard the result of an unneeded attempt. Emitted instead of a cancel if engines support none."""
 
     request: int
     attempt: int
--- a/saffronlane/dispatch/engine_table.py
+++ b/saffronlane/dispatch/engine_table.py
@@ -43,6 +43,6 @@
         return entry is not None and entry.state is api.EngineState.READY
 
     def full_update(self) -> api.EndpointListUpdate:
-        """Return the whole table as a full update, for a policy that knows no engines yet."""
+        """Return the whole table as a full update, for a policy that has received no endpoint list yet."""
         entries = tuple(self._entries.values())
         return api.EndpointListUpdate(api.EndpointListMode.FULL, self._version, entries)
--- a/saffronlane/dispatch/input_handler.py
+++ b/saffronlane/dispatch/input_handler.py
@@ -156,7 +156,7 @@
         return [attempt_ended]
 
     def _settle(self, request: Request, attempt: Attempt, event: AttemptDone) -> api.Outcome:
-        """Answer the request if the end of an attempt decides it.
+        """Answer the request if the end of this attempt determines the answer.
 
         Returns:
             The outcome that is reported to the policy.
@@ -165,14 +165,16 @@
             self._requests.mark_releasable(request)
             return event.outcome
         if attempt.is_cancelled:
-            # The result of a cancelled attempt is not used, but a proof that it never ran permits a retry.
+            # The result of a cancelled attempt is not used. An outcome that proves that the attempt never ran
+            # is still reported to the policy, since it permits a retry.
             return event.outcome if event.outcome in NEVER_RAN else api.Outcome.CANCELLED
         if event.outcome is api.Outcome.OK:
             self._requests.answer(request, CompleteRequest(request.id, attempt.number))
             return event.outcome
         if event.is_query_fault:
-            # Every engine would return this error, so it is the answer. It carries no information about the
-            # health or speed of the engine. The policy learns nothing from the outcome CANCELLED.
+            # Every engine would return this error, so the error is the answer. It carries no information
+            # about the health or speed of the engine, so the outcome reported to the policy is CANCELLED,
+            # from which the policy learns nothing.
             answer = CompleteRequest(request.id, attempt.number, is_query_fault=True)
             self._requests.answer(request, answer)
             return api.Outcome.CANCELLED
--- a/saffronlane/dispatch/inputs.py
+++ b/saffronlane/dispatch/inputs.py
@@ -17,10 +17,10 @@
         class_index: The index of the query class in the settings.
         timeout: The seconds until the deadline.
         tenant: The index of the tenant in the settings.
-        ordering_key: Requests with the same key run in order; 0 means no ordering.
+        ordering_key: The key whose requests run in order, or 0 if the request is not ordered.
         estimated_cost: The estimated cost of the request, or 0 if the client gave none.
         estimated_memory_mb: The estimated memory of the request, or 0 if the client gave none.
-        table_group: The table group that the request reads, as a number, or 0 if it is not known.
+        table_group: The number of the table group that the request uses, or 0 if it is not known.
         is_retry: Whether the client has submitted the request before.
         is_write: Whether the request writes to its tables.
         idempotency_key: The key chosen by the client, or empty if there is none.
@@ -74,7 +74,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptProgress:
-    """An engine has reported the progress of an attempt."""
+    """An engine has reported the progress of an attempt.
+
+    Attributes:
+        amount: A number whose meaning depends on the kind (see `interface.ProgressKind`).
+    """
 
     request: int
     attempt: int
--- a/saffronlane/dispatch/intake.py
+++ b/saffronlane/dispatch/intake.py
@@ -11,7 +11,7 @@
 
     Args:
         limits: The limits in the settings.
-        max_pending: The largest number of unanswered requests; further ones are rejected.
+        max_pending: The largest number of unanswered requests. Requests beyond it are rejected.
     """
 
     def __init__(self, limits: api.Limits, max_pending: int) -> None:
--- a/saffronlane/dispatch/policy_host.py
+++ b/saffronlane/dispatch/policy_host.py
@@ -16,7 +16,8 @@
 
     Args:
         settings: The settings that are passed on to `policy.Gateway`.
-        seed: The seed of every random draw. Each restarted policy uses the next higher seed.
+        seed: The seed of the policy's random number generator. Each restarted policy uses the next higher
+            seed.
         effects: The list that receives log lines and changes to persist.
         persisted_state: The learned state that an earlier run stored, or None if there is none.
         is_persistent: Whether learned state is stored.
@@ -34,7 +35,8 @@
         self._seed = seed
         self._effects = effects
         self._has_engines = False  # the policy has received a list with engines
-        self._write_ahead_keys: dict[bytes, None] = {}  # of the entries that attempts of this step wait for
+        # Keys of the entries that this step's attempts wait for. The dict serves as an ordered set.
+        self._write_ahead_keys: dict[bytes, None] = {}
         self.fault_count = 0
         self.gateway = Gateway(settings, seed)
         self.checkpointer = Checkpointer(settings, persisted_state, is_persistent)
--- a/saffronlane/dispatch/recording_forms.py
+++ b/saffronlane/dispatch/recording_forms.py
@@ -1,9 +1,9 @@
 """The names under which a recording stores settings, inputs and effects.
 
 They are independent of the names in the code, so that renaming a class or field does not change the stored
-data. Each form lists the stored names of a class's fields in the order of the class. A field that is added at
-the end of a class needs a name here. A field that is added elsewhere, or removed, needs a new version of the
-recording format.
+data. Each form lists the stored names of a class's fields in the order of their declaration. A field that is
+added at the end of a class needs a name here. A field that is added elsewhere, or removed, needs a new
+version of the recording format.
 """
 
 from __future__ import annotations
@@ -165,4 +165,4 @@
 }
 
 FORMS: dict[type, RecordForm] = {**_SETTINGS, **_STORED, **_INPUTS, **_EFFECTS}
-INPUT_BY_NAME: dict[str, type] = {form.name: kind for kind, form in _INPUTS.items()}
+INPUT_BY_NAME: dict[str, type] = {form.name: input_type for input_type, form in _INPUTS.items()}
--- a/saffronlane/dispatch/recording_schema.py
+++ b/saffronlane/dispatch/recording_schema.py
@@ -20,17 +20,17 @@
 
 
 def _code_field_names(record_type: Any) -> tuple[str, ...]:
-    """Return the names of a class's fields, in order.
+    """Return the names of a class's fields in the code, in order of declaration.
 
     Raises:
-        TypeError: The form of the class has a different number of fields.
+        TypeError: The class and its form have different numbers of fields.
     """
     names = getattr(record_type, "_fields", None) or tuple(
         field.name for field in dataclasses.fields(record_type)
     )
     if len(names) != len(FORMS[record_type].fields):
         raise TypeError(
-            f"{record_type.__name__}: {len(FORMS[record_type].fields)} stored names for the fields {names}"
+            f"{record_type.__name__}: the form has {len(FORMS[record_type].fields)} fields, not {names}"
         )
     return tuple(names)
 
@@ -98,7 +98,7 @@
 
 
 def _with_code_names(encoded: Any, annotation: Any) -> Any:
-    """Replace the stored names by the names in the code, recursively through the type."""
+    """Replace the stored names by the names in the code, at every level of the annotated type."""
     if encoded is None:
         return None
     if annotation in FORMS:
--- a/saffronlane/dispatch/requests.py
+++ b/saffronlane/dispatch/requests.py
@@ -167,7 +167,7 @@
             self._releasable.discard(request.id)
 
     def release_answered(self) -> None:
-        """Release the requests that were answered in this step, and answered ones whose attempts ended."""
+        """Release the requests that were answered, or had an attempt end after their answer, in this step."""
         for request_id in sorted(self._releasable):
             self.release(self._requests[request_id])
         self._releasable.clear()
--- a/saffronlane/engines/effect_runner.py
+++ b/saffronlane/engines/effect_runner.py
@@ -170,6 +170,8 @@
 
     def _log(self, effect: api.Log) -> None:
         text = effect.text
-        for engine in self._dispatcher.engines:  # the policy's texts hold engine ids in hexadecimal
+        for (
+            engine
+        ) in self._dispatcher.engines:  # the policy's texts hold ids in hexadecimal, logs hold them as text
             text = text.replace(engine.hex(), engine.decode("utf-8", "replace"))
         log.info("decision", text=text)
--- a/saffronlane/engines/executor.py
+++ b/saffronlane/engines/executor.py
@@ -1,8 +1,8 @@
 """Drives a dispatcher on an event loop, and runs its requests through a transport.
 
-All inputs of one turn of the loop are passed to the dispatcher in one step, so that queries that arrive
-together compete by deadline. The transport defines how an attempt runs at an engine and how an answer reaches
-a client. There are two transports: `flight.py` and `platform/upstream/`.
+All inputs of one turn of the loop are passed to the dispatcher in one step, so that it compares the deadlines
+of all queries that arrive in the same turn. The transport defines how an attempt runs at an engine and how an
+answer reaches a client. There are two transports: `flight.py` and `platform/upstream/`.
 """
 
 from __future__ import annotations
--- a/saffronlane/engines/flight.py
+++ b/saffronlane/engines/flight.py
@@ -176,7 +176,8 @@
         assert isinstance(attempt, _FlightAttempt)
         flight_attempt = attempt
         flight_attempt.task = self._spawn(self._run(flight_attempt))
-        # A task that is cancelled before its first turn never runs its body, so the callback reports its end.
+        # A task that is cancelled before its first turn never runs its body, so this callback reports the end
+        # of the attempt.
         flight_attempt.task.add_done_callback(
             lambda _: self._finish(flight_attempt, Verdict(api.Outcome.NOT_SENT))
         )
@@ -197,7 +198,8 @@
     def discard(self, attempt: Attempt) -> None:
         """Read the result of an attempt to its end and drop it, without cancelling the attempt."""
         assert isinstance(attempt, _FlightAttempt)
-        # An attempt that still waits for a channel must not be sent after its client has disconnected.
+        # An attempt that still waits for a channel must not be sent any more: its result is not needed, for
+        # example because the client has disconnected.
         self.withdraw(attempt)
         attempt.is_streaming = True  # the result is neither buffered nor forwarded
         attempt.buffer.clear()
@@ -253,7 +255,9 @@
 
     def on_attempt_released(self, attempt: Attempt) -> None:
         """Close the idle connections to the engine of an ended attempt if it is not listed any more."""
-        if self._resolve_address(attempt.engine) is None:  # it was removed from the list during the attempt
+        if (
+            self._resolve_address(attempt.engine) is None
+        ):  # the engine was removed from the list during the attempt
             self.remove_engine(attempt.engine)
 
     # --- attempts ---
@@ -342,7 +346,7 @@
 
         A PING follows RST_STREAM on the same connection. Since frames are processed in order, the PING's
         acknowledgement proves that the engine has received the cancel. A retry at another engine therefore
-        does not overlap with an attempt whose engine is unaware of the cancel.
+        does not overlap with an attempt whose engine has not received the cancel.
 
         Returns:
             The given outcome, or NOT_SENT if nothing of the attempt was sent.
@@ -392,7 +396,7 @@
         """Make a call with one request message and one response message.
 
         Returns:
-            The response, or a verdict if the call failed and the attempt ends with it.
+            The response, or the verdict that ends the attempt if the call failed.
         """
         call = await self._start_call(attempt, method)
         call.write_now(request.SerializeToString(), end=True)
@@ -411,7 +415,8 @@
         """Prepare the statement at the engine, and bind the parameters of a query.
 
         Returns:
-            The engine's handle of the prepared statement, or a verdict if a call failed and ends the attempt.
+            The engine's handle of the prepared statement, or the verdict that ends the attempt if a call
+            failed.
         """
         request = packed(sql.ActionCreatePreparedStatementRequest(query=statement.query))
         action = flight.Action(type="CreatePreparedStatement", body=request.SerializeToString())
@@ -449,7 +454,7 @@
     async def _start_call(self, attempt: _FlightAttempt, method: str) -> ClientCall:
         pool = self._pool(attempt.engine)
         if pool is None:
-            raise ConnectFailed("no address: the engine is not in the engine list")
+            raise ConnectFailed("no address: the engine is not in the endpoint list")
         effect = attempt.effect
         channel = await pool.channel()
         remaining = attempt.started_at + effect.timeout - self._loop.time()
@@ -512,7 +517,7 @@
         try:
             pool = self._pool(engine)
             if pool is None:
-                raise ConnectFailed("no address: the engine is not in the engine list")
+                raise ConnectFailed("no address: the engine is not in the endpoint list")
             async with asyncio.timeout(self._limits.pool.connect_timeout):
                 channel = await pool.channel()
                 call = channel.start(SERVICE + "ListActions", (("saffronlane-probe", "load"),))
--- a/saffronlane/engines/orca.py
+++ b/saffronlane/engines/orca.py
@@ -1,9 +1,9 @@
 """Load reports of engines, and progress reports in their results.
 
-Load reports are ORCA messages in the trailer `endpoint-load-metrics-bin`. The settings name the columns of a
-report. A column is looked up in `named_metrics`, then in `utilization`, then among ORCA's own fields (`cpu`,
-`memory`, `rps`, `eps`, `application`). The resources that the query itself used are in `request_cost`: `work`
-in seconds of one thread, `memory` in MB.
+Load reports are ORCA messages in the trailer `endpoint-load-metrics-bin`. The settings list the columns of a
+report, which are the names of the values to read. A column is looked up in `named_metrics`, then in
+`utilization`, then among ORCA's own fields (`cpu`, `memory`, `rps`, `eps`, `application`). The resources that
+the query itself used are in `request_cost`: `work` in seconds of one thread, `memory` in MB.
 """
 
 from __future__ import annotations
@@ -73,12 +73,14 @@
     )
 
 
-class _ProgressNote(msgspec.Struct):
+class _ProgressReport(msgspec.Struct):
+    """The JSON value of `app_metadata`. `note` is a key of `PROGRESS_KINDS`."""
+
     note: str
     amount: float = 0.0
 
 
-_DECODER = msgspec.json.Decoder(_ProgressNote)
+_DECODER = msgspec.json.Decoder(_ProgressReport)
 
 
 def decode_progress_report(message: bytes) -> tuple[ProgressKind, float] | None:
@@ -92,16 +94,16 @@
         or message[1] != len(message) - 2
         or message[1] > 127
     ):
-        return None  # a progress report has less than 128 bytes, so that its length is encoded in one byte
+        return None  # a progress report has fewer than 128 bytes, so that its length is encoded in one byte
     try:
-        note = _DECODER.decode(message[2:])
+        report = _DECODER.decode(message[2:])
     except msgspec.DecodeError:
         return None
-    kind = PROGRESS_KINDS.get(note.note)
-    return None if kind is None else (kind, _valid_or_zero(note.amount))
+    kind = PROGRESS_KINDS.get(report.note)
+    return None if kind is None else (kind, _valid_or_zero(report.amount))
 
 
 def encode_progress_report(kind: str, amount: float) -> bytes:
     """Return a FlightData message that holds one progress report."""
-    body = msgspec.json.encode(_ProgressNote(kind, round(amount, 4)))
+    body = msgspec.json.encode(_ProgressReport(kind, round(amount, 4)))
     return bytes((APP_METADATA_TAG, len(body))) + body
--- a/saffronlane/engines/transport.py
+++ b/saffronlane/engines/transport.py
@@ -14,7 +14,9 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One request of a client. It is kept until it is answered and all its attempts have ended.
+    """One request of a client.
+
+    It stays in the executor's ledger until it is answered and all its attempts have ended.
 
     Attributes:
         id: The number of the request.
@@ -45,7 +47,8 @@
         engine: The id of the engine.
         effect: The effect that started the attempt.
         started_at: The time of the event loop when the attempt was created.
-        write_ahead: Resolves to whether the write-ahead entries are durable, or None if there are none.
+        write_ahead: The future that resolves to whether the attempt's write-ahead entries are durable, or
+            None if the attempt has none.
         durability_wait: The seconds spent waiting for `write_ahead`.
         has_ended: Whether the end of the attempt has been reported.
     """
@@ -88,7 +91,7 @@
         """Return a new attempt that does not run yet. `started_at` is the time of the event loop."""
 
     def begin(self, attempt: Attempt) -> None:
-        """Start an attempt that the executor has added to its ledger. The attempt may end from now on."""
+        """Start an attempt that the executor has added to its ledger. Its end may be reported from now on."""
 
     def cancel(self, attempt: Attempt) -> None:
         """Cancel an attempt at its engine."""
