--- a/saffronlane/dispatch/recording_schema.py
+++ b/saffronlane/dispatch/recording_schema.py
@@ -30,7 +30,7 @@
     )
     if len(names) != len(FORMS[record_type].fields):
         raise TypeError(
-            f"{record_type.__name__}: the form has {len(FORMS[record_type].fields)} fields, not {names}"
+            f"{record_type.__name__}: expected {len(FORMS[record_type].fields)} fields, found {names}"
         )
     return tuple(names)
 
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""The dispatcher's core: one final answer each, no result of a cancelled attempt, no shared state."""
+"""The dispatcher: one final answer per request, no use of a cancelled attempt's result, no shared state."""
 
 from __future__ import annotations
 
@@ -16,260 +16,263 @@
 from saffronlane.dispatch.recording import RecordingError, RecordingWriter, replay
 from saffronlane.interface import EngineState, Idempotency, Outcome
 
-ANSWERS = (dispatch.CompleteRequest, dispatch.RejectRequest, dispatch.FailRequest)
+ANSWER_TYPES = (dispatch.CompleteRequest, dispatch.RejectRequest, dispatch.FailRequest)
 
 
 class Harness:
-    """Drives one Dispatcher by hand, and collects its effects."""
+    """Steps one dispatcher with a simulated clock, and collects its effects."""
 
-    def __init__(self, settings: api.Settings | None = None, engines: int = 3, seed: int = 1) -> None:
-        self.core = dispatch.Dispatcher(settings or make_settings(), seed)
+    def __init__(self, settings: api.Settings | None = None, engine_count: int = 3, seed: int = 1) -> None:
+        self.dispatcher = dispatch.Dispatcher(settings or make_settings(), seed)
         self.now = 10.0
         self.effects: list[dispatch.Effect] = []
-        self.list_engines(dict.fromkeys(range(engines), EngineState.READY))
+        self.list_engines(dict.fromkeys(range(engine_count), EngineState.READY))
 
     def step(self, *inputs: dispatch.Input, after: float = 0.0) -> list[dispatch.Effect]:
         self.now += after
-        effects = self.core.step(self.now, list(inputs))
+        effects = self.dispatcher.step(self.now, list(inputs))
         self.effects += effects
         return effects
 
     def list_engines(self, states: dict[int, EngineState]) -> list[dispatch.Effect]:
-        entries = tuple(api.EngineEntry(engine_id(n), state) for n, state in states.items())
+        entries = tuple(api.EngineEntry(engine_id(index), state) for index, state in states.items())
         return self.step(api.EndpointListUpdate(api.EndpointListMode.FULL, 1, entries))
 
-    def submit(self, remaining: float = 5.0, **fields: int) -> int:
-        request = self.core.new_request()
-        self.step(dispatch.Submit(request, fields.pop("cls", 0), remaining, **fields))
+    def submit(self, timeout: float = 5.0, **fields: int) -> int:
+        request = self.dispatcher.new_request()
+        self.step(dispatch.Submit(request, fields.pop("class_index", 0), timeout, **fields))
         return request
 
-    def done(
+    def end_attempt(
         self, request: int, outcome: Outcome, attempt: int = 0, **fields: object
     ) -> list[dispatch.Effect]:
         return self.step(dispatch.AttemptDone(request, attempt, outcome, 0.1, **fields), after=0.1)  # type: ignore
 
-    def pass_time(self, until: float) -> None:
-        while self.core.next_timer <= until:
-            self.now = max(self.now, self.core.next_timer)
+    def advance_to(self, time: float) -> None:
+        while self.dispatcher.next_timer <= time:
+            self.now = max(self.now, self.dispatcher.next_timer)
             self.step()
-        self.now = max(self.now, until)
+        self.now = max(self.now, time)
 
-    def effects_of(self, kind: type | tuple[type, ...], request: int | None = None) -> list[dispatch.Effect]:
-        found = [e for e in self.effects if isinstance(e, kind)]
-        return [e for e in found if request is None or getattr(e, "request", None) == request]
+    def effects_of(
+        self, effect_type: type | tuple[type, ...], request: int | None = None
+    ) -> list[dispatch.Effect]:
+        effects = [e for e in self.effects if isinstance(e, effect_type)]
+        return [e for e in effects if request is None or getattr(e, "request", None) == request]
 
 
-def test_a_list_that_names_an_engine_twice_is_taken_in_order() -> None:
-    """Guards against a fault in the step: all that it was told, and all timers, were lost with it."""
-    core = dispatch.Dispatcher(make_settings(), seed=1)
-    gone = api.EngineEntry(b"a", api.EngineState.REMOVED)
+def test_entries_for_same_engine_in_one_list_are_applied_in_order() -> None:
+    """Removing an engine twice in one list made the step fail, and its inputs and all timers were lost."""
+    dispatcher = dispatch.Dispatcher(make_settings(), seed=1)
+    removed = api.EngineEntry(b"a", api.EngineState.REMOVED)
     ready = api.EngineEntry(b"a", api.EngineState.READY)
-    core.step(1.0, [api.EndpointListUpdate(api.EndpointListMode.DELTA, 1, (ready, gone, gone))])
-    assert core.engines == []
-    core.step(2.0, [api.EndpointListUpdate(api.EndpointListMode.DELTA, 2, (gone, ready))])
-    assert core.engines == [b"a"]
+    dispatcher.step(1.0, [api.EndpointListUpdate(api.EndpointListMode.DELTA, 1, (ready, removed, removed))])
+    assert dispatcher.engines == []
+    dispatcher.step(2.0, [api.EndpointListUpdate(api.EndpointListMode.DELTA, 2, (removed, ready))])
+    assert dispatcher.engines == [b"a"]
 
 
-def test_an_answer_is_served_once() -> None:
+def test_duplicate_attempt_end_does_not_answer_request_again() -> None:
     harness = Harness()
     request = harness.submit()
     (start,) = harness.effects_of(dispatch.StartAttempt)
     assert (start.request, start.attempt) == (request, 0)
-    harness.done(request, Outcome.OK)
-    assert harness.effects_of(ANSWERS) == [dispatch.CompleteRequest(request, 0)]
-    harness.done(request, Outcome.OK)  # told twice
-    harness.pass_time(60.0)
+    harness.end_attempt(request, Outcome.OK)
+    assert harness.effects_of(ANSWER_TYPES) == [dispatch.CompleteRequest(request, 0)]
+    harness.end_attempt(request, Outcome.OK)  # a duplicate report
+    harness.advance_to(60.0)
     assert (
-        len(harness.effects_of(ANSWERS)) == 1
-        and harness.core.pending_count == 0
-        and harness.core.in_flight_count == 0
+        len(harness.effects_of(ANSWER_TYPES)) == 1
+        and harness.dispatcher.pending_count == 0
+        and harness.dispatcher.in_flight_count == 0
     )
 
 
-def test_an_attempt_that_never_ran_is_tried_elsewhere() -> None:
+def test_attempt_that_never_ran_is_retried_on_another_engine() -> None:
     harness = Harness()
     request = harness.submit()
-    harness.done(request, Outcome.CONNECT_FAILED)
+    harness.end_attempt(request, Outcome.CONNECT_FAILED)
     first, second = harness.effects_of(dispatch.StartAttempt, request)
     assert first.engine != second.engine and second.attempt == 1
-    harness.done(request, Outcome.OK, attempt=1)
-    assert harness.effects_of(ANSWERS) == [dispatch.CompleteRequest(request, 1)]
+    harness.end_attempt(request, Outcome.OK, attempt=1)
+    assert harness.effects_of(ANSWER_TYPES) == [dispatch.CompleteRequest(request, 1)]
 
 
-def test_the_result_of_a_cancelled_attempt_goes_to_nobody() -> None:
-    """An answer may cross its own cancel on the wire."""
+def test_result_of_cancelled_attempt_is_not_used() -> None:
+    """A result and the cancel of its attempt may cross on the wire."""
     harness = Harness(make_settings(progress_interval=1.0))
     request = harness.submit()
-    harness.pass_time(harness.now + 4.0)  # no word: it is taken back
+    harness.advance_to(harness.now + 4.0)  # no progress report arrives, so the attempt is cancelled
     assert harness.effects_of(dispatch.CancelAttempt) == [dispatch.CancelAttempt(request, 0)]
-    assert (
-        len(harness.effects_of(dispatch.StartAttempt, request)) == 1
-    )  # copies are not allowed: the first has to end
+    # Concurrent attempts are not allowed, so the first one has to end before a retry.
+    assert len(harness.effects_of(dispatch.StartAttempt, request)) == 1
     harness.step(dispatch.ResultReady(request, 0))
     assert not harness.effects_of(dispatch.Commit)
-    harness.done(request, Outcome.OK)
+    harness.end_attempt(request, Outcome.OK)
     assert not harness.effects_of(dispatch.CompleteRequest)
     assert [s.attempt for s in harness.effects_of(dispatch.StartAttempt, request)] == [0, 1]
-    harness.done(request, Outcome.OK, attempt=1)
-    assert harness.effects_of(ANSWERS) == [dispatch.CompleteRequest(request, 1)]
+    harness.end_attempt(request, Outcome.OK, attempt=1)
+    assert harness.effects_of(ANSWER_TYPES) == [dispatch.CompleteRequest(request, 1)]
 
 
-def test_an_answer_beats_the_timer_that_falls_into_the_same_step() -> None:
+def test_result_in_same_step_as_timeout_is_used() -> None:
     harness = Harness()
-    request = harness.submit(remaining=1.0)
-    harness.step(dispatch.AttemptDone(request, 0, Outcome.OK, 1.0), after=2.0)  # both are due
-    assert harness.effects_of(ANSWERS) == [dispatch.CompleteRequest(request, 0)]
+    request = harness.submit(timeout=1.0)
+    harness.step(dispatch.AttemptDone(request, 0, Outcome.OK, 1.0), after=2.0)  # the timeout is due as well
+    assert harness.effects_of(ANSWER_TYPES) == [dispatch.CompleteRequest(request, 0)]
 
 
-def test_a_request_ends_in_time_whatever_its_engine_does() -> None:
+def test_request_is_answered_before_deadline_if_engine_does_not_respond() -> None:
     harness = Harness(make_settings(classes=one_class(idempotency=Idempotency.UNSAFE)))
-    request = harness.submit(remaining=2.0)
-    harness.pass_time(11.99)
-    (answer,) = harness.effects_of(ANSWERS)
-    assert isinstance(answer, dispatch.FailRequest)  # it may have run, so no word of trying again
+    request = harness.submit(timeout=2.0)
+    harness.advance_to(11.99)
+    (answer,) = harness.effects_of(ANSWER_TYPES)
+    assert isinstance(answer, dispatch.FailRequest)  # it may have run, so the client is not asked to retry
     assert harness.effects_of(dispatch.CancelAttempt) == [dispatch.CancelAttempt(request, 0)]
-    assert harness.core.in_flight_count == 1
-    harness.done(request, Outcome.CANCELLED)
-    assert harness.core.in_flight_count == 0 and len(harness.effects_of(ANSWERS)) == 1
+    assert harness.dispatcher.in_flight_count == 1
+    harness.end_attempt(request, Outcome.CANCELLED)
+    assert harness.dispatcher.in_flight_count == 0 and len(harness.effects_of(ANSWER_TYPES)) == 1
 
 
-def test_a_committed_attempt_is_the_only_one() -> None:
+def test_commit_cancels_hedged_request_and_ignores_its_result() -> None:
     limits = api.Limits(can_cancel=True, hedged_requests_enabled=True, max_attempts=3)
     harness = Harness(make_settings(limits=limits, classes=one_class(latency_objective=0.2)))
     request = harness.submit()
-    harness.pass_time(harness.now + 2.0)
+    harness.advance_to(harness.now + 2.0)
     starts = harness.effects_of(dispatch.StartAttempt, request)
-    assert len(starts) == 2, "a second copy was expected"
+    assert len(starts) == 2, "expected a hedged request"
     harness.step(dispatch.ResultReady(request, 0), dispatch.ResultReady(request, 1))
     assert harness.effects_of(dispatch.Commit) == [dispatch.Commit(request, 0)]
     assert dispatch.CancelAttempt(request, 1) in harness.effects
-    harness.done(request, Outcome.OK, attempt=1)  # it came all the same
-    assert not harness.effects_of(ANSWERS)
-    harness.done(request, Outcome.OK, attempt=0)
-    assert harness.effects_of(ANSWERS) == [dispatch.CompleteRequest(request, 0)]
+    harness.end_attempt(request, Outcome.OK, attempt=1)  # its result crossed the cancel
+    assert not harness.effects_of(ANSWER_TYPES)
+    harness.end_attempt(request, Outcome.OK, attempt=0)
+    assert harness.effects_of(ANSWER_TYPES) == [dispatch.CompleteRequest(request, 0)]
 
 
-def test_a_result_that_breaks_off_halfway_ends_the_request() -> None:
+def test_committed_request_is_not_retried_after_reset() -> None:
     harness = Harness()
     request = harness.submit()
     harness.step(dispatch.ResultReady(request, 0))
-    harness.done(request, Outcome.RESET)
-    assert len(harness.effects_of(ANSWERS)) == 1 and not harness.effects_of(dispatch.CompleteRequest)
+    harness.end_attempt(request, Outcome.RESET)
+    assert len(harness.effects_of(ANSWER_TYPES)) == 1 and not harness.effects_of(dispatch.CompleteRequest)
     assert len(harness.effects_of(dispatch.StartAttempt, request)) == 1
 
 
-def test_a_query_that_is_wrong_itself_gets_the_engines_word_and_harms_no_engine() -> None:
-    harness = Harness(engines=1)
+def test_query_fault_returns_engine_error_and_does_not_eject_engine() -> None:
+    harness = Harness(engine_count=1)
     for _ in range(10):
         request = harness.submit()
-        harness.done(request, Outcome.ERROR, is_query_fault=True)
-        assert harness.effects_of(ANSWERS, request) == [
+        harness.end_attempt(request, Outcome.ERROR, is_query_fault=True)
+        assert harness.effects_of(ANSWER_TYPES, request) == [
             dispatch.CompleteRequest(request, 0, is_query_fault=True)
         ]
     assert not [e for e in harness.effects_of(api.Log) if "failing" in e.text]
 
 
-def test_a_drain_recalls_what_has_not_left() -> None:
-    harness = Harness(engines=2)
+def test_unsent_attempt_at_draining_engine_is_withdrawn_and_retried_elsewhere() -> None:
+    harness = Harness(engine_count=2)
     request = harness.submit()
     (start,) = harness.effects_of(dispatch.StartAttempt)
     index = [engine_id(n) for n in range(2)].index(start.engine)
     effects = harness.list_engines({index: EngineState.DRAINING, 1 - index: EngineState.READY})
     assert dispatch.WithdrawAttempt(request, 0) in effects
-    harness.done(request, Outcome.NOT_SENT)
+    harness.end_attempt(request, Outcome.NOT_SENT)
     second = harness.effects_of(dispatch.StartAttempt, request)[1]
     assert second.engine == engine_id(1 - index)
 
 
-def test_a_client_that_leaves_in_the_turn_of_its_arrival_starts_nothing() -> None:
+def test_request_whose_client_disconnects_in_same_step_is_not_dispatched() -> None:
     harness = Harness()
-    request = harness.core.new_request()
+    request = harness.dispatcher.new_request()
     harness.step(dispatch.Submit(request, 0, 5.0), dispatch.ClientDisconnected(request))
-    assert not harness.effects_of(dispatch.StartAttempt) and not harness.effects_of(ANSWERS)
-    assert harness.core.pending_count == 0 and harness.core.in_flight_count == 0
+    assert not harness.effects_of(dispatch.StartAttempt) and not harness.effects_of(ANSWER_TYPES)
+    assert harness.dispatcher.pending_count == 0 and harness.dispatcher.in_flight_count == 0
 
 
-def test_a_client_that_leaves_has_its_attempt_cancelled() -> None:
+def test_client_disconnect_cancels_attempt() -> None:
     harness = Harness()
     request = harness.submit()
     harness.step(dispatch.ClientDisconnected(request))
     assert harness.effects_of(dispatch.CancelAttempt) == [dispatch.CancelAttempt(request, 0)]
-    harness.done(request, Outcome.CANCELLED)
-    assert not harness.effects_of(ANSWERS) and not harness.core._requests
+    harness.end_attempt(request, Outcome.CANCELLED)
+    assert not harness.effects_of(ANSWER_TYPES) and not harness.dispatcher._requests
 
 
-def test_a_stop_refuses_what_is_new_and_answers_what_is_owed() -> None:
+def test_drain_rejects_new_requests_and_answers_pending_ones() -> None:
     settings = make_settings(classes=one_class(idempotency=Idempotency.UNSAFE))
     harness = Harness(settings)
-    running = harness.submit()
+    pending = harness.submit()
     harness.step(dispatch.BeginDrain(5.0))
-    late = harness.submit()
-    (refusal,) = harness.effects_of(ANSWERS, late)
-    assert isinstance(refusal, dispatch.RejectRequest) and 0.0 < refusal.retry_after <= 5.0
-    assert not harness.effects_of(ANSWERS, running)
+    rejected = harness.submit()
+    (rejection,) = harness.effects_of(ANSWER_TYPES, rejected)
+    assert isinstance(rejection, dispatch.RejectRequest) and 0.0 < rejection.retry_after <= 5.0
+    assert not harness.effects_of(ANSWER_TYPES, pending)
     harness.step(dispatch.FinishDrain(), after=5.0)
-    assert [type(a) for a in harness.effects_of(ANSWERS, running)] == [dispatch.FailRequest]
-    assert harness.core.pending_count == 0
-
-
-def test_ten_thousand_held_queries_when_the_fleet_vanishes() -> None:
-    harness = Harness(engines=0)
-    requests = [harness.core.new_request() for _ in range(10_000)]
-    for at in range(0, 10_000, 500):  # what arrives in one turn of the loop is one step
-        harness.step(*[dispatch.Submit(n, 0, 3.0) for n in requests[at : at + 500]])
-    assert harness.core.pending_count == 10_000
-    harness.pass_time(14.0)
-    answers = harness.effects_of(ANSWERS)
+    assert [type(a) for a in harness.effects_of(ANSWER_TYPES, pending)] == [dispatch.FailRequest]
+    assert harness.dispatcher.pending_count == 0
+
+
+def test_ten_thousand_queued_requests_without_engines_are_all_answered() -> None:
+    harness = Harness(engine_count=0)
+    requests = [harness.dispatcher.new_request() for _ in range(10_000)]
+    for start in range(0, 10_000, 500):  # requests of one turn of the event loop are processed in one step
+        harness.step(*[dispatch.Submit(request, 0, 3.0) for request in requests[start : start + 500]])
+    assert harness.dispatcher.pending_count == 10_000
+    harness.advance_to(14.0)
+    answers = harness.effects_of(ANSWER_TYPES)
     assert len(answers) == 10_000 and {a.request for a in answers} == set(requests)
-    assert not harness.core._requests and not harness.core.gateway.pending.requests
+    assert not harness.dispatcher._requests and not harness.dispatcher.gateway.pending.requests
 
 
-def test_a_clock_that_goes_back_counts_as_standing_still() -> None:
+def test_requests_are_answered_after_clock_goes_backwards() -> None:
     harness = Harness()
     harness.submit()
     harness.step(after=-100.0)
     harness.now += 100.0
     request = harness.submit()
-    harness.done(request, Outcome.OK)
-    assert harness.effects_of(ANSWERS, request) == [dispatch.CompleteRequest(request, 0)]
+    harness.end_attempt(request, Outcome.OK)
+    assert harness.effects_of(ANSWER_TYPES, request) == [dispatch.CompleteRequest(request, 0)]
 
 
-def test_a_fault_in_the_decisions_loses_no_request(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_policy_error_fails_pending_requests_and_later_ones_are_served(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     harness = Harness()
     request = harness.submit()
 
-    def fails(*_: object) -> list[api.Action]:
+    def raise_error(*_: object) -> list[api.Action]:
         raise ZeroDivisionError
 
-    monkeypatch.setattr(harness.core.gateway, "step", fails)
+    monkeypatch.setattr(harness.dispatcher.gateway, "step", raise_error)
     other = harness.submit()
-    assert [type(a) for a in harness.effects_of(ANSWERS, request)] == [dispatch.FailRequest]
-    assert [type(a) for a in harness.effects_of(ANSWERS, other)] == [dispatch.FailRequest]
-    assert harness.core.fault_count == 1
-    third = harness.submit()  # the list is known anew, and life goes on
-    harness.done(third, Outcome.OK)
-    assert harness.effects_of(ANSWERS, third) == [dispatch.CompleteRequest(third, 0)]
+    assert [type(a) for a in harness.effects_of(ANSWER_TYPES, request)] == [dispatch.FailRequest]
+    assert [type(a) for a in harness.effects_of(ANSWER_TYPES, other)] == [dispatch.FailRequest]
+    assert harness.dispatcher.fault_count == 1
+    third = harness.submit()  # the new policy has received the endpoint list
+    harness.end_attempt(third, Outcome.OK)
+    assert harness.effects_of(ANSWER_TYPES, third) == [dispatch.CompleteRequest(third, 0)]
 
 
-def test_a_policy_restarts_even_without_its_learned_state(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_policy_restarts_without_learned_state_if_snapshot_fails(monkeypatch: pytest.MonkeyPatch) -> None:
     harness = Harness()
 
-    def fails(*_: object) -> list[api.Action]:
+    def raise_error(*_: object) -> list[api.Action]:
         raise ZeroDivisionError
 
-    monkeypatch.setattr(harness.core.gateway, "step", fails)
-    monkeypatch.setattr(harness.core.checkpointer, "snapshot_for_restart", fails)
+    monkeypatch.setattr(harness.dispatcher.gateway, "step", raise_error)
+    monkeypatch.setattr(harness.dispatcher.checkpointer, "snapshot_for_restart", raise_error)
     request = harness.submit()
-    assert [type(a) for a in harness.effects_of(ANSWERS, request)] == [dispatch.FailRequest]
-    assert harness.core.fault_count == 1
+    assert [type(a) for a in harness.effects_of(ANSWER_TYPES, request)] == [dispatch.FailRequest]
+    assert harness.dispatcher.fault_count == 1
     logs = [e.text for e in harness.effects if isinstance(e, api.Log)]
     assert any("learned state discarded" in text for text in logs)
     second = harness.submit()
-    harness.done(second, Outcome.OK)
-    assert harness.effects_of(ANSWERS, second) == [dispatch.CompleteRequest(second, 0)]
+    harness.end_attempt(second, Outcome.OK)
+    assert harness.effects_of(ANSWER_TYPES, second) == [dispatch.CompleteRequest(second, 0)]
 
 
-def test_a_request_cannot_be_submitted_twice() -> None:
+def test_duplicate_request_number_raises_value_error() -> None:
     harness = Harness()
     request = harness.submit()
     with pytest.raises(ValueError, match="before"):
@@ -277,11 +280,11 @@
 
 
 def random_scenario(seed: int, settings: api.Settings) -> Iterator[tuple[float, list[dispatch.Input]]]:
-    """A random scenario that depends on the dispatcher; the generator is sent its effects."""
+    """Yield the time and inputs of each step. The effects of that step must be sent to the generator."""
     random = Random(seed)
     now, in_flight, number = 100.0, [], 0
     states = dict.fromkeys(range(5), EngineState.READY)
-    entries = tuple(api.EngineEntry(engine_id(n), s) for n, s in states.items())
+    entries = tuple(api.EngineEntry(engine_id(index), state) for index, state in states.items())
     effects = yield now, [api.EndpointListUpdate(api.EndpointListMode.FULL, 1, entries)]
     for _ in range(300):
         now += random.random() * 0.05
@@ -289,9 +292,11 @@
         inputs: list[dispatch.Input] = []
         if random.random() < 0.6:
             number += 1
-            cls = random.randrange(len(settings.classes))
+            class_index = random.randrange(len(settings.classes))
             inputs.append(
-                dispatch.Submit(number, cls, 0.5 + 3.0 * random.random(), ordering_key=random.randrange(3))
+                dispatch.Submit(
+                    number, class_index, 0.5 + 3.0 * random.random(), ordering_key=random.randrange(3)
+                )
             )
         for start in [s for s in in_flight if random.random() < 0.3]:
             in_flight.remove(start)
@@ -299,18 +304,21 @@
             inputs.append(dispatch.AttemptDone(start.request, start.attempt, outcome, random.random()))
         if random.random() < 0.03:
             states[random.randrange(5)] = random.choice(list(EngineState))
-            entries = tuple(api.EngineEntry(engine_id(n), s) for n, s in states.items())
+            entries = tuple(api.EngineEntry(engine_id(index), state) for index, state in states.items())
             inputs.append(api.EndpointListUpdate(api.EndpointListMode.FULL, 2, entries))
         if number and random.random() < 0.05:
             inputs.append(dispatch.ClientDisconnected(random.randrange(1, number + 1)))
         effects = yield now, inputs
 
 
-def play(seed: int, settings: api.Settings, core: dispatch.Dispatcher) -> Iterator[list[dispatch.Effect]]:
+def run_scenario(
+    seed: int, settings: api.Settings, dispatcher: dispatch.Dispatcher
+) -> Iterator[list[dispatch.Effect]]:
+    """Run a random scenario, and yield the effects of each step."""
     scenario = random_scenario(seed, settings)
     now, inputs = next(scenario)
     while True:
-        effects = core.step(now, inputs)
+        effects = dispatcher.step(now, inputs)
         yield effects
         try:
             now, inputs = scenario.send(effects)  # type: ignore[attr-defined]
@@ -325,106 +333,108 @@
 )
 
 
-def test_two_dispatchers_in_one_process_share_nothing() -> None:
-    """Two with different settings and seeds, in turns, do what each does alone."""
+def test_dispatchers_in_same_process_share_no_state() -> None:
+    """Two interleaved dispatchers with different settings and seeds behave as each does alone."""
     first, second = (
         make_settings(classes=MIXED_CLASSES),
         make_settings(classes=MIXED_CLASSES[:2], gateway_count=3, gateway_index=1),
     )
     alone = [
-        list(play(1, first, dispatch.Dispatcher(first, 5))),
-        list(play(2, second, dispatch.Dispatcher(second, 6))),
+        list(run_scenario(1, first, dispatch.Dispatcher(first, 5))),
+        list(run_scenario(2, second, dispatch.Dispatcher(second, 6))),
     ]
-    together = [
-        play(1, first, dispatch.Dispatcher(first, 5)),
-        play(2, second, dispatch.Dispatcher(second, 6)),
+    scenarios = [
+        run_scenario(1, first, dispatch.Dispatcher(first, 5)),
+        run_scenario(2, second, dispatch.Dispatcher(second, 6)),
     ]
-    mixed: list[list[list[dispatch.Effect]]] = [[], []]
-    random, live = Random(3), [0, 1]
-    while live:
-        which = random.choice(live)
-        effects = next(together[which], None)
+    interleaved: list[list[list[dispatch.Effect]]] = [[], []]
+    random, running = Random(3), [0, 1]
+    while running:
+        index = random.choice(running)
+        effects = next(scenarios[index], None)
         if effects is None:
-            live.remove(which)
+            running.remove(index)
         else:
-            mixed[which].append(effects)
-    assert mixed == alone
-    assert any(isinstance(e, ANSWERS) for step in alone[0] for e in step)
+            interleaved[index].append(effects)
+    assert interleaved == alone
+    assert any(isinstance(e, ANSWER_TYPES) for step in alone[0] for e in step)
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_every_request_of_a_random_day_ends_exactly_once(seed: int) -> None:
+def test_each_request_of_random_scenario_ends_exactly_once(seed: int) -> None:
     settings = make_settings(classes=MIXED_CLASSES)
-    core = dispatch.Dispatcher(settings, seed)
-    submitted, left, answers = set(), set(), []
+    dispatcher = dispatch.Dispatcher(settings, seed)
+    submitted, disconnected, answers = set(), set(), []
     scenario = random_scenario(seed, settings)
     now, inputs = next(scenario)
     while True:
         submitted |= {i.request for i in inputs if isinstance(i, dispatch.Submit)}
-        left |= {i.request for i in inputs if isinstance(i, dispatch.ClientDisconnected)}
-        effects = core.step(now, inputs)
-        answers += [e.request for e in effects if isinstance(e, ANSWERS)]
+        disconnected |= {i.request for i in inputs if isinstance(i, dispatch.ClientDisconnected)}
+        effects = dispatcher.step(now, inputs)
+        answers += [e.request for e in effects if isinstance(e, ANSWER_TYPES)]
         try:
             now, inputs = scenario.send(effects)  # type: ignore[attr-defined]
         except StopIteration:
             break
-    while core.next_timer < now + 30.0:
-        effects = core.step(core.next_timer, [])
-        answers += [e.request for e in effects if isinstance(e, ANSWERS)]
+    while dispatcher.next_timer < now + 30.0:
+        effects = dispatcher.step(dispatcher.next_timer, [])
+        answers += [e.request for e in effects if isinstance(e, ANSWER_TYPES)]
     assert len(answers) == len(set(answers))
-    assert submitted - set(answers) <= left and core.pending_count == 0
+    assert submitted - set(answers) <= disconnected and dispatcher.pending_count == 0
 
 
-def test_a_record_is_played_again_with_the_same_effects(tmp_path: Path) -> None:
+def test_recording_replays_with_same_effects(tmp_path: Path) -> None:
     settings = make_settings(classes=MIXED_CLASSES, progress_interval=1.0)
     sink = io.BytesIO()
-    core = dispatch.Dispatcher(settings, 9, RecordingWriter(sink, settings, 9))
-    for _ in play(4, settings, core):
+    dispatcher = dispatch.Dispatcher(settings, 9, RecordingWriter(sink, settings, 9))
+    for _ in run_scenario(4, settings, dispatcher):
         pass
     path = tmp_path / "record"
     path.write_bytes(sink.getvalue())
     steps = list(replay(path))
     assert len(steps) == 301
     assert all(step.recorded == step.replayed for step in steps)
-    path.write_bytes(sink.getvalue()[:-3])  # killed while it wrote
+    path.write_bytes(sink.getvalue()[:-3])  # the process was killed during a write
     assert len(list(replay(path))) == 300
 
 
-def test_a_record_that_is_none_says_so(tmp_path: Path) -> None:
+def test_replay_of_file_that_is_no_recording_raises_error(tmp_path: Path) -> None:
     path = tmp_path / "record"
     path.write_bytes(b"not a record")
     with pytest.raises(RecordingError, match="no settings"):
         list(replay(path))
 
 
-def test_settings_without_cancel_discard_instead() -> None:
+def test_attempt_is_discarded_if_engines_do_not_support_cancels() -> None:
     limits = replace(make_settings().limits, can_cancel=False)
     harness = Harness(make_settings(limits=limits))
-    request = harness.submit(remaining=1.0)
-    harness.pass_time(12.0)
-    assert len(harness.effects_of(ANSWERS, request)) == 1
+    request = harness.submit(timeout=1.0)
+    harness.advance_to(12.0)
+    assert len(harness.effects_of(ANSWER_TYPES, request)) == 1
     assert harness.effects_of(dispatch.DiscardAttempt) == [dispatch.DiscardAttempt(request, 0)]
     assert not harness.effects_of(dispatch.CancelAttempt)
 
 
-def test_a_flood_of_arrivals_is_refused_past_a_bound() -> None:
-    """Each held query makes a step dearer: without a bound, a flood would make every answer late."""
-    core = dispatch.Dispatcher(make_settings(), 1, max_pending=5)
-    requests = [core.new_request() for _ in range(8)]
-    effects = core.step(10.0, [dispatch.Submit(n, 0, 5.0) for n in requests])
+def test_requests_beyond_pending_limit_are_rejected() -> None:
+    """The cost of a step grows with the queue: without a limit, a flood would delay every answer."""
+    dispatcher = dispatch.Dispatcher(make_settings(), 1, max_pending=5)
+    requests = [dispatcher.new_request() for _ in range(8)]
+    effects = dispatcher.step(10.0, [dispatch.Submit(request, 0, 5.0) for request in requests])
     assert [e.request for e in effects if isinstance(e, dispatch.RejectRequest)] == requests[5:]
-    assert core.pending_count == 5
-    effects = core.step(20.0, [])
-    assert len([e for e in effects if isinstance(e, ANSWERS)]) == 5
-    late = core.new_request()
-    assert not [e for e in core.step(20.0, [dispatch.Submit(late, 0, 5.0)]) if isinstance(e, ANSWERS)]
+    assert dispatcher.pending_count == 5
+    effects = dispatcher.step(20.0, [])
+    assert len([e for e in effects if isinstance(e, ANSWER_TYPES)]) == 5
+    later = dispatcher.new_request()
+    assert not [
+        e for e in dispatcher.step(20.0, [dispatch.Submit(later, 0, 5.0)]) if isinstance(e, ANSWER_TYPES)
+    ]
 
 
-def test_hash_orders_of_table_groups_without_number_are_bounded() -> None:
-    """Groups come from the clients' statements; each one's order was kept until the next list."""
+def test_cache_of_rendezvous_orders_is_bounded() -> None:
+    """Clients' statements name any number of groups, and the order of each was kept until the next list."""
     harness = Harness()
     for n in range(5_000):
         request = harness.submit(table_group=n + 1)
         harness.step(dispatch.ClientDisconnected(request))
-        harness.done(request, Outcome.CANCELLED)
-    assert len(harness.core.gateway.engine_selector.eligibility.rendezvous_order.cached_orders) <= 4_096
+        harness.end_attempt(request, Outcome.CANCELLED)
+    assert len(harness.dispatcher.gateway.engine_selector.eligibility.rendezvous_order.cached_orders) <= 4_096
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Every error type of the program says what an operator can do, and the page for operators lists them all."""
+"""Every error type of the package states a remedy, and docs/errors.md lists all error types."""
 
 import importlib
 import inspect
@@ -12,51 +12,53 @@
 
 
 def error_types() -> list[type[BaseException]]:
-    """All exception types that the package's modules define."""
-    found: set[type[BaseException]] = set()
+    """Return all exception types that the package's modules define."""
+    types: set[type[BaseException]] = set()
     for module in pkgutil.walk_packages(saffronlane.__path__, "saffronlane."):
         if module.name.endswith("__main__"):
             continue
-        loaded = importlib.import_module(module.name)
-        for _, one in inspect.getmembers(loaded, inspect.isclass):
-            if issubclass(one, BaseException) and one.__module__ == module.name:
-                found.add(one)
-    return sorted(found, key=lambda one: (one.__module__, one.__name__))
+        imported = importlib.import_module(module.name)
+        for _, error_type in inspect.getmembers(imported, inspect.isclass):
+            if issubclass(error_type, BaseException) and error_type.__module__ == module.name:
+                types.add(error_type)
+    return sorted(types, key=lambda error_type: (error_type.__module__, error_type.__name__))
 
 
-def package(one: type) -> str:
-    return one.__module__.removeprefix("saffronlane.").removesuffix(".errors")
+def package_of(error_type: type) -> str:
+    return error_type.__module__.removeprefix("saffronlane.").removesuffix(".errors")
 
 
 def test_each_error_type_has_a_remedy_of_one_sentence() -> None:
     types = error_types()
     assert len(types) > 20
-    for one in types:
-        assert issubclass(one, SaffronlaneError), f"{one.__module__}.{one.__name__} has no remedy"
-        if one is not SaffronlaneError:
-            assert one.remedy.endswith("."), one
-            assert len(one.remedy) > 30, one
-            assert one.__doc__, one
+    for error_type in types:
+        assert issubclass(error_type, SaffronlaneError), (
+            f"{error_type.__module__}.{error_type.__name__} has no remedy"
+        )
+        if error_type is not SaffronlaneError:
+            assert error_type.remedy.endswith("."), error_type
+            assert len(error_type.remedy) > 30, error_type
+            assert error_type.__doc__, error_type
 
 
-def test_the_page_lists_each_error_type_with_its_remedy() -> None:
+def test_page_lists_each_error_type_with_its_remedy() -> None:
     rows = [line for line in PAGE.read_text().splitlines() if line.startswith("| `")]
-    wanted = [
-        f"| `{package(one)}.{one.__name__}` | {one.remedy} |"
-        for one in error_types()
-        if issubclass(one, SaffronlaneError) and one is not SaffronlaneError
+    expected_rows = [
+        f"| `{package_of(error_type)}.{error_type.__name__}` | {error_type.remedy} |"
+        for error_type in error_types()
+        if issubclass(error_type, SaffronlaneError) and error_type is not SaffronlaneError
     ]
-    assert rows == wanted
+    assert rows == expected_rows
 
 
-def test_a_log_line_says_why_where_and_what_to_do() -> None:
-    class Lost(SaffronlaneError):
-        remedy = "Look for it."
+def test_error_fields_hold_reason_details_and_remedy() -> None:
+    class MissingKey(SaffronlaneError):
+        remedy = "Restore the key."
 
-    assert error_fields(Lost("the key is gone", place="/keys/3")) == {
-        "why": "the key is gone",
+    assert error_fields(MissingKey("the key is missing", place="/keys/3")) == {
+        "why": "the key is missing",
         "place": "/keys/3",
-        "remedy": "Look for it.",
+        "remedy": "Restore the key.",
     }
     assert error_fields(OSError(28, "No space left on device")) == {
         "why": "[Errno 28] No space left on device"
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -1,4 +1,8 @@
-"""How exactly an attempt ended: each distinction of rule 2, against peers that misbehave on order."""
+"""Classification of attempt outcomes, against engines that misbehave in defined ways.
+
+A request that is not idempotent may be retried only after an attempt that certainly never ran, so the
+different ends of attempts must not be confused.
+"""
 
 from __future__ import annotations
 
@@ -23,12 +27,12 @@
 from saffronlane.rpc.status import detailed
 
 SERVICE = "/arrow.flight.protocol.FlightService/"
-INFO = flight.FlightInfo(endpoint=[flight.FlightEndpoint(ticket=flight.Ticket(ticket=b"t"))])
+FLIGHT_INFO = flight.FlightInfo(endpoint=[flight.FlightEndpoint(ticket=flight.Ticket(ticket=b"t"))])
 Handler = Callable[[ServerCall], Awaitable[None]]
 
 
 @pytest.mark.parametrize(
-    ("ending", "status", "heard", "expected"),
+    ("ending", "status", "earlier_call_processed", "expected"),
     [
         (Ending.STATUS, Status(Code.OK), False, Verdict(Outcome.OK)),
         (Ending.UNPROCESSED, Status(Code.UNAVAILABLE), False, Verdict(Outcome.REJECTED)),
@@ -52,12 +56,14 @@
         (Ending.STATUS, detailed(Code.UNAVAILABLE, "no", "OTHER", 1.0), False, Verdict(Outcome.ERROR)),
     ],
 )
-def test_the_table(ending: Ending, status: Status, heard: bool, expected: Verdict) -> None:
-    assert classify(ending, status, heard) == expected
+def test_call_end_is_classified(
+    ending: Ending, status: Status, earlier_call_processed: bool, expected: Verdict
+) -> None:
+    assert classify(ending, status, earlier_call_processed) == expected
 
 
-class Recorder(dispatch.Dispatcher):
-    """A dispatcher that keeps the ends of attempts, and repeats nothing."""
+class RecordingDispatcher(dispatch.Dispatcher):
+    """A dispatcher that records ends and progress reports of attempts, and does not retry."""
 
     def __init__(self) -> None:
         settings = api.Settings(
@@ -67,20 +73,22 @@
             report_columns=("active", "cpu"),
         )
         super().__init__(settings, 1)
-        self.ends: list[dispatch.AttemptDone] = []
-        self.notes: list[dispatch.AttemptProgress] = []
+        self.attempt_ends: list[dispatch.AttemptDone] = []
+        self.progress_reports: list[dispatch.AttemptProgress] = []
 
     def step(self, now: float, inputs: list[dispatch.Input]) -> list[dispatch.Effect]:
-        self.ends += [i for i in inputs if isinstance(i, dispatch.AttemptDone)]
-        self.notes += [i for i in inputs if isinstance(i, dispatch.AttemptProgress)]
+        self.attempt_ends += [i for i in inputs if isinstance(i, dispatch.AttemptDone)]
+        self.progress_reports += [i for i in inputs if isinstance(i, dispatch.AttemptProgress)]
         return super().step(now, inputs)
 
 
-class Answer:
+class RecordingSink:
+    """Records the answer of one request."""
+
     def __init__(self) -> None:
         self.messages: list[bytes] = []
         self.status: Status | None = None
-        self.over = asyncio.Event()
+        self.ended = asyncio.Event()
 
     async def write(self, message: bytes) -> None:
         self.messages.append(message)
@@ -91,48 +99,52 @@
     def end(self, status: Status) -> None:
         assert self.status is None, "two final answers"
         self.status = status
-        self.over.set()
+        self.ended.set()
 
     def on_progress(self, kind: ProgressKind, amount: float) -> None:
         return None
 
 
-async def info(call: ServerCall) -> None:
+async def send_flight_info(call: ServerCall) -> None:
     await call.read()
-    await call.write(INFO.SerializeToString())
+    await call.write(FLIGHT_INFO.SerializeToString())
 
 
-class Peer:
-    """One engine with handlers made for a test, an executor, and a request on its way."""
+class Harness:
+    """One engine with the handlers of a test, and an executor that sends requests to it."""
 
     def __init__(self, handlers: dict[str, Handler] | None, **limits: Any) -> None:
-        self.core = Recorder()
+        self.dispatcher = RecordingDispatcher()
         self.port = 0
         self.server: Server | None = None
         if handlers is not None:
-            self.server = Server({SERVICE + name: h for name, h in handlers.items()})
+            self.server = Server({SERVICE + name: handler for name, handler in handlers.items()})
             sockets = local_sockets("127.0.0.1", 0)
             self.port = sockets[0].getsockname()[1]
             self.server.listen(sockets)
         pool = limits.pop("pool", PoolLimits(connect_timeout=0.3))
-        bounds = FlightTransportLimits(
+        transport_limits = FlightTransportLimits(
             pool=pool, cancel_ack_timeout=limits.pop("cancel_ack_timeout", 0.3), **limits
         )
-        self.executor = Executor(self.core, FlightTransport(bounds, lambda _: ("127.0.0.1", self.port)))
+        self.executor = Executor(
+            self.dispatcher, FlightTransport(transport_limits, lambda _: ("127.0.0.1", self.port))
+        )
         entry = api.EngineEntry(b"engine", api.EngineState.READY)
         self.executor.feed(api.EndpointListUpdate(api.EndpointListMode.FULL, 1, (entry,)))
 
-    def ask(self, remaining: float = 5.0, work: FlightStatement | None = None) -> tuple[int, Answer]:
-        answer = Answer()
-        work = work or FlightStatement("SELECT 1")
-        return self.executor.submit(work, answer, lambda n: dispatch.Submit(n, 0, remaining)), answer
+    def submit(
+        self, timeout: float = 5.0, statement: FlightStatement | None = None
+    ) -> tuple[int, RecordingSink]:
+        sink = RecordingSink()
+        statement = statement or FlightStatement("SELECT 1")
+        return self.executor.submit(statement, sink, lambda number: dispatch.Submit(number, 0, timeout)), sink
 
-    async def end(self) -> dispatch.AttemptDone:
-        """The first end of an attempt."""
+    async def first_attempt_end(self) -> dispatch.AttemptDone:
+        """Wait until an attempt has ended, and return the first end."""
         async with asyncio.timeout(10.0):
-            while not self.core.ends:
+            while not self.dispatcher.attempt_ends:
                 await asyncio.sleep(0.005)
-        return self.core.ends[0]
+        return self.dispatcher.attempt_ends[0]
 
     def close(self) -> None:
         self.executor.close()
@@ -140,32 +152,35 @@
             self.server.close()
 
 
-def run(work: Callable[[], Awaitable[None]]) -> None:
-    async def bounded() -> None:
-        await asyncio.wait_for(work(), 20.0)
+def run(test_body: Callable[[], Awaitable[None]]) -> None:
+    async def run_with_timeout() -> None:
+        await asyncio.wait_for(test_body(), 20.0)
 
-    asyncio.run(bounded())
+    asyncio.run(run_with_timeout())
 
 
-def outcome_of(do_get: Handler, get_info: Handler = info, remaining: float = 5.0) -> dispatch.AttemptDone:
-    found: list[dispatch.AttemptDone] = []
+def run_attempt(
+    do_get: Handler, get_flight_info: Handler = send_flight_info, timeout: float = 5.0
+) -> dispatch.AttemptDone:
+    """Run one request whose calls are answered by the given handlers, and return the end of its attempt."""
+    attempt_ends: list[dispatch.AttemptDone] = []
 
-    async def work() -> None:
-        peer = Peer({"GetFlightInfo": get_info, "DoGet": do_get})
-        _, answer = peer.ask(remaining)
-        found.append(await peer.end())
-        await answer.over.wait()
-        peer.close()
+    async def test_body() -> None:
+        harness = Harness({"GetFlightInfo": get_flight_info, "DoGet": do_get})
+        _, sink = harness.submit(timeout)
+        attempt_ends.append(await harness.first_attempt_end())
+        await sink.ended.wait()
+        harness.close()
 
-    run(work)
-    return found[0]
+    run(test_body)
+    return attempt_ends[0]
 
 
-async def empty(call: ServerCall) -> None:
+async def send_empty_result(call: ServerCall) -> None:
     await call.read()
 
 
-def ends_with(status: Status) -> Handler:
+def fail_with(status: Status) -> Handler:
     async def handler(call: ServerCall) -> None:
         await call.read()
         raise RpcError(status)
@@ -173,7 +188,7 @@
     return handler
 
 
-def test_an_answer_with_its_load_report() -> None:
+def test_load_report_in_trailers_is_reported_with_attempt_end() -> None:
     async def handler(call: ServerCall) -> None:
         await call.read()
         report = OrcaLoadReport(
@@ -181,226 +196,228 @@
         )
         call.trailers = ((orca.TRAILER, report.SerializeToString()),)
 
-    end = outcome_of(handler)
+    end = run_attempt(handler)
     assert (end.outcome, end.work, end.memory_mb, end.load_report) == (Outcome.OK, 0.25, 7.0, (3.0, 0.5))
 
 
-def test_a_refused_connection_never_ran() -> None:
-    async def work() -> None:
-        peer = Peer(None)
+def test_refused_connection_is_classified_as_connect_failed() -> None:
+    async def test_body() -> None:
+        harness = Harness(None)
         sockets = local_sockets("127.0.0.1", 0)
-        peer.port = sockets[0].getsockname()[1]
+        harness.port = sockets[0].getsockname()[1]
         sockets[0].close()
-        peer.ask()
-        assert (await peer.end()).outcome is Outcome.CONNECT_FAILED
-        peer.close()
+        harness.submit()
+        assert (await harness.first_attempt_end()).outcome is Outcome.CONNECT_FAILED
+        harness.close()
 
-    run(work)
+    run(test_body)
 
 
-def test_an_engine_that_refuses_the_stream_never_ran_it() -> None:
-    async def refuses(call: ServerCall) -> None:
+def test_refused_stream_of_first_call_is_classified_as_rejected() -> None:
+    async def refuse_stream(call: ServerCall) -> None:
         call.reset(ErrorCode.REFUSED_STREAM)
 
-    assert outcome_of(empty, get_info=refuses).outcome is Outcome.REJECTED
+    assert run_attempt(send_empty_result, get_flight_info=refuse_stream).outcome is Outcome.REJECTED
 
 
-def test_a_refused_second_call_is_no_proof_since_the_first_was_taken_in() -> None:
-    async def refuses(call: ServerCall) -> None:
+def test_refused_stream_after_processed_call_is_classified_as_reset() -> None:
+    async def refuse_stream(call: ServerCall) -> None:
         call.reset(ErrorCode.REFUSED_STREAM)
 
-    assert outcome_of(refuses).outcome is Outcome.RESET
+    assert run_attempt(refuse_stream).outcome is Outcome.RESET
 
 
-def test_the_engines_explicit_word() -> None:
+def test_status_with_never_ran_reason_is_classified_as_rejected() -> None:
     assert (
-        outcome_of(ends_with(detailed(Code.UNAVAILABLE, "full", NEVER_RAN_REASON, 1.0))).outcome
+        run_attempt(fail_with(detailed(Code.UNAVAILABLE, "full", NEVER_RAN_REASON, 1.0))).outcome
         is Outcome.REJECTED
     )
 
 
-def test_a_stream_that_is_reset() -> None:
-    async def resets(call: ServerCall) -> None:
+def test_reset_stream_is_classified_as_reset() -> None:
+    async def reset_stream(call: ServerCall) -> None:
         call.reset(ErrorCode.INTERNAL_ERROR)
 
-    assert outcome_of(resets).outcome is Outcome.RESET
+    assert run_attempt(reset_stream).outcome is Outcome.RESET
 
 
-def test_a_connection_that_breaks() -> None:
-    async def breaks(call: ServerCall) -> None:
+def test_lost_connection_is_classified_as_reset() -> None:
+    async def close_connection(call: ServerCall) -> None:
         call._transport.close()
 
-    assert outcome_of(breaks).outcome is Outcome.RESET
-    assert outcome_of(empty, get_info=breaks).outcome is Outcome.RESET
+    assert run_attempt(close_connection).outcome is Outcome.RESET
+    assert run_attempt(send_empty_result, get_flight_info=close_connection).outcome is Outcome.RESET
 
 
-def test_time_that_runs_out() -> None:
-    async def never(call: ServerCall) -> None:
+def test_unanswered_call_is_classified_as_timeout_or_cancelled() -> None:
+    async def never_answer(call: ServerCall) -> None:
         await asyncio.sleep(60.0)
 
-    assert outcome_of(never, remaining=0.3).outcome in (Outcome.TIMEOUT, Outcome.CANCELLED)
+    assert run_attempt(never_answer, timeout=0.3).outcome in (Outcome.TIMEOUT, Outcome.CANCELLED)
 
 
 @pytest.mark.parametrize(
-    ("status", "outcome", "fault"),
+    ("status", "outcome", "is_query_fault"),
     [
         (Status(Code.INTERNAL, "x"), Outcome.ERROR, False),
         (Status(Code.UNAVAILABLE, "x"), Outcome.ERROR, False),
         (Status(Code.INVALID_ARGUMENT, "x"), Outcome.ERROR, True),
     ],
 )
-def test_an_engines_error(status: Status, outcome: Outcome, fault: bool) -> None:
-    end = outcome_of(ends_with(status))
-    assert (end.outcome, end.is_query_fault) == (outcome, fault)
+def test_error_status_of_engine_is_classified_as_error_or_query_fault(
+    status: Status, outcome: Outcome, is_query_fault: bool
+) -> None:
+    end = run_attempt(fail_with(status))
+    assert (end.outcome, end.is_query_fault) == (outcome, is_query_fault)
 
 
-def test_what_is_no_protobuf_is_an_error_of_the_engine() -> None:
-    async def odd(call: ServerCall) -> None:
+def test_invalid_protobuf_in_response_is_classified_as_error() -> None:
+    async def send_invalid_protobuf(call: ServerCall) -> None:
         await call.read()
         await call.write(b"\xff\xff\xff")
 
-    assert outcome_of(empty, get_info=odd).outcome is Outcome.ERROR
+    assert run_attempt(send_empty_result, get_flight_info=send_invalid_protobuf).outcome is Outcome.ERROR
 
 
-def test_an_attempt_recalled_before_it_left_is_moot() -> None:
-    async def work() -> None:
-        peer = Peer({"GetFlightInfo": info, "DoGet": empty})
-        number, _ = peer.ask()
-        # The drain is told in the turn in which the attempt starts: nothing of it may leave.
-        peer.executor._step()
+def test_attempt_withdrawn_before_sending_is_classified_as_not_sent() -> None:
+    async def test_body() -> None:
+        harness = Harness({"GetFlightInfo": send_flight_info, "DoGet": send_empty_result})
+        number, _ = harness.submit()
+        # The drain is reported in the turn in which the attempt starts, so nothing may be sent.
+        harness.executor._step()
         entry = api.EngineEntry(b"engine", api.EngineState.DRAINING)
-        peer.executor.feed(api.EndpointListUpdate(api.EndpointListMode.FULL, 2, (entry,)))
-        assert (await peer.end()).outcome is Outcome.NOT_SENT
-        assert peer.server is not None and peer.server.open_calls == 0
-        peer.executor.disconnect_client(number)
-        peer.close()
+        harness.executor.feed(api.EndpointListUpdate(api.EndpointListMode.FULL, 2, (entry,)))
+        assert (await harness.first_attempt_end()).outcome is Outcome.NOT_SENT
+        assert harness.server is not None and harness.server.open_calls == 0
+        harness.executor.disconnect_client(number)
+        harness.close()
 
-    run(work)
+    run(test_body)
 
 
-def test_an_attempt_on_its_way_when_a_drain_is_told_may_end() -> None:
-    async def work() -> None:
-        inside, go = asyncio.Event(), asyncio.Event()
+def test_attempt_in_flight_completes_when_its_engine_drains() -> None:
+    async def test_body() -> None:
+        call_received, release_call = asyncio.Event(), asyncio.Event()
 
-        async def waits(call: ServerCall) -> None:
-            inside.set()
-            await go.wait()
+        async def hold_call(call: ServerCall) -> None:
+            call_received.set()
+            await release_call.wait()
 
-        peer = Peer({"GetFlightInfo": info, "DoGet": waits})
-        _, answer = peer.ask()
-        await inside.wait()
+        harness = Harness({"GetFlightInfo": send_flight_info, "DoGet": hold_call})
+        _, sink = harness.submit()
+        await call_received.wait()
         entry = api.EngineEntry(b"engine", api.EngineState.DRAINING)
-        peer.executor.feed(api.EndpointListUpdate(api.EndpointListMode.FULL, 2, (entry,)))
+        harness.executor.feed(api.EndpointListUpdate(api.EndpointListMode.FULL, 2, (entry,)))
         await asyncio.sleep(0)
-        go.set()
-        await answer.over.wait()
-        assert answer.status == Status(Code.OK)
-        peer.close()
+        release_call.set()
+        await sink.ended.wait()
+        assert sink.status == Status(Code.OK)
+        harness.close()
 
-    run(work)
+    run(test_body)
 
 
-def test_a_cancel_is_told_only_once_the_engine_has_taken_it_in() -> None:
-    """A repeat must not overlap the attempt that it replaces, where copies are not allowed."""
+def test_cancelled_attempt_ends_only_after_engine_received_the_cancel() -> None:
+    """A retry must not overlap with the attempt that it replaces if concurrent attempts are not allowed."""
 
-    async def work() -> None:
-        gone: list[float] = []
-        inside = asyncio.Event()
+    async def test_body() -> None:
+        cancel_times: list[float] = []
+        call_received = asyncio.Event()
         loop = asyncio.get_running_loop()
 
-        async def waits(call: ServerCall) -> None:
-            call.on_gone = lambda: gone.append(loop.time())
-            inside.set()
+        async def hold_call(call: ServerCall) -> None:
+            call.on_gone = lambda: cancel_times.append(loop.time())
+            call_received.set()
             await asyncio.sleep(60.0)
 
-        peer = Peer({"GetFlightInfo": info, "DoGet": waits})
-        number, _ = peer.ask()
-        await inside.wait()
-        peer.executor.disconnect_client(number)
-        end = await peer.end()
-        assert end.outcome is Outcome.CANCELLED and gone
-        peer.close()
+        harness = Harness({"GetFlightInfo": send_flight_info, "DoGet": hold_call})
+        number, _ = harness.submit()
+        await call_received.wait()
+        harness.executor.disconnect_client(number)
+        end = await harness.first_attempt_end()
+        assert end.outcome is Outcome.CANCELLED and cancel_times
+        harness.close()
 
-    run(work)
+    run(test_body)
 
 
-def test_a_cancel_that_nobody_acknowledges_waits_its_time_and_no_longer() -> None:
-    async def work() -> None:
+def test_unacknowledged_cancel_ends_attempt_after_ack_timeout() -> None:
+    async def test_body() -> None:
         loop = asyncio.get_running_loop()
-        taken = asyncio.Event()
+        request_received = asyncio.Event()
 
-        async def deaf(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            writer.write(b"\0\0\0\4\0\0\0\0\0")  # SETTINGS, and never a word again
+        async def ignore_frames(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            writer.write(b"\0\0\0\4\0\0\0\0\0")  # an empty SETTINGS frame, and nothing after it
             while await reader.read(65_536):
-                taken.set()
+                request_received.set()
 
-        server = await asyncio.start_server(deaf, "127.0.0.1", 0)
-        peer = Peer(None, cancel_ack_timeout=0.2)
-        peer.port = server.sockets[0].getsockname()[1]
-        number, _ = peer.ask()
-        await taken.wait()
+        server = await asyncio.start_server(ignore_frames, "127.0.0.1", 0)
+        harness = Harness(None, cancel_ack_timeout=0.2)
+        harness.port = server.sockets[0].getsockname()[1]
+        number, _ = harness.submit()
+        await request_received.wait()
         await asyncio.sleep(0.05)
-        began = loop.time()
-        peer.executor.disconnect_client(number)
-        assert (await peer.end()).outcome is Outcome.CANCELLED
-        assert 0.19 < loop.time() - began < 2.0
-        peer.close()
+        cancelled_at = loop.time()
+        harness.executor.disconnect_client(number)
+        assert (await harness.first_attempt_end()).outcome is Outcome.CANCELLED
+        assert 0.19 < loop.time() - cancelled_at < 2.0
+        harness.close()
         server.close()
 
-    run(work)
+    run(test_body)
 
 
-def test_a_task_cancelled_before_its_first_turn_still_tells_its_end() -> None:
-    """Else its attempt would be out for ever, and its request's key with it."""
+def test_attempt_task_cancelled_before_its_first_turn_reports_its_end() -> None:
+    """Without the report, the attempt would stay in flight forever and block the key of its request."""
 
-    async def work() -> None:
-        peer = Peer({"GetFlightInfo": info, "DoGet": empty})
-        number, _ = peer.ask()
-        peer.executor._step()
-        running = peer.executor._requests[number].attempts_in_flight[0]
-        assert running.task is not None
-        running.task.cancel()
-        assert (await peer.end()).outcome is Outcome.NOT_SENT
-        peer.executor.disconnect_client(number)
-        peer.close()
+    async def test_body() -> None:
+        harness = Harness({"GetFlightInfo": send_flight_info, "DoGet": send_empty_result})
+        number, _ = harness.submit()
+        harness.executor._step()
+        attempt = harness.executor._requests[number].attempts_in_flight[0]
+        assert attempt.task is not None
+        attempt.task.cancel()
+        assert (await harness.first_attempt_end()).outcome is Outcome.NOT_SENT
+        harness.executor.disconnect_client(number)
+        harness.close()
 
-    run(work)
+    run(test_body)
 
 
-def test_an_engine_that_says_goaway_gets_a_new_connection() -> None:
-    async def work() -> None:
-        peer = Peer({"GetFlightInfo": info, "DoGet": empty})
+def test_requests_after_goaway_use_a_new_connection() -> None:
+    async def test_body() -> None:
+        harness = Harness({"GetFlightInfo": send_flight_info, "DoGet": send_empty_result})
         for _ in range(3):
-            _, answer = peer.ask()
-            await answer.over.wait()
-            assert answer.status == Status(Code.OK)
-            assert peer.server is not None
-            for connection in list(peer.server.connections):
+            _, sink = harness.submit()
+            await sink.ended.wait()
+            assert sink.status == Status(Code.OK)
+            assert harness.server is not None
+            for connection in list(harness.server.connections):
                 connection.transport.http.drain()
                 connection.transport.flush()
             await asyncio.sleep(0.02)
-        peer.close()
+        harness.close()
 
-    run(work)
+    run(test_body)
 
 
-def test_notes_reach_the_dispatcher_and_not_the_client() -> None:
-    async def work() -> None:
-        async def notes(call: ServerCall) -> None:
+def test_progress_reports_reach_dispatcher_and_not_client() -> None:
+    async def test_body() -> None:
+        async def send_progress_reports(call: ServerCall) -> None:
             await call.read()
             await call.write(orca.encode_progress_report("progress", 0.25))
             await call.write(orca.encode_progress_report("waiting", 1.0))
             await call.write(flight.FlightData(data_header=b"h").SerializeToString())
 
-        peer = Peer({"GetFlightInfo": info, "DoGet": notes})
-        _, answer = peer.ask()
-        await answer.over.wait()
-        assert len(answer.messages) == 1
-        told = [(n.kind, n.amount) for n in peer.core.notes]
-        assert told == [(ProgressKind.PROGRESS, 0.25), (ProgressKind.WAITING, 1.0)]
-        peer.close()
+        harness = Harness({"GetFlightInfo": send_flight_info, "DoGet": send_progress_reports})
+        _, sink = harness.submit()
+        await sink.ended.wait()
+        assert len(sink.messages) == 1
+        reports = [(report.kind, report.amount) for report in harness.dispatcher.progress_reports]
+        assert reports == [(ProgressKind.PROGRESS, 0.25), (ProgressKind.WAITING, 1.0)]
+        harness.close()
 
-    run(work)
+    run(test_body)
 
 
 @pytest.mark.parametrize(
@@ -416,111 +433,116 @@
         flight.FlightData(app_metadata=b"x" * 500).SerializeToString(),
     ],
 )
-def test_what_only_looks_like_a_note_is_data(message: bytes) -> None:
+def test_message_that_resembles_progress_report_is_data(message: bytes) -> None:
     assert orca.decode_progress_report(message) is None
 
 
-def test_absurd_reports_are_no_reports() -> None:
-    odd = OrcaLoadReport(
+def test_invalid_load_report_values_are_zero_and_malformed_reports_are_missing() -> None:
+    report = OrcaLoadReport(
         named_metrics={"active": float("nan")}, request_cost={"work": -1.0, "memory": float("inf")}
     )
-    trailers = Metadata(((orca.TRAILER, odd.SerializeToString()),))
+    trailers = Metadata(((orca.TRAILER, report.SerializeToString()),))
     assert orca.read_load_report(trailers, ("active", "missing")) == orca.LoadReport(0.0, 0.0, (0.0, 0.0))
     assert orca.read_load_report(Metadata(((orca.TRAILER, b"\xff\xff"),)), ("active",)) == orca.LoadReport()
     assert orca.read_load_report(Metadata(), ("active",)) == orca.LoadReport()
 
 
-def test_a_stream_shared_by_many_calls_stays_within_what_the_engine_takes() -> None:
-    """The engine allows two calls at once on a connection, and there may be two connections."""
+def test_concurrent_calls_stay_within_stream_and_connection_limits() -> None:
+    """The engine allows two concurrent calls per connection, and the pool opens at most two connections."""
 
-    async def work() -> None:
+    async def test_body() -> None:
         from saffronlane.http2 import ConnectionLimits
 
-        most, now = 0, 0
+        max_concurrent, concurrent = 0, 0
 
-        async def counted(call: ServerCall) -> None:
-            nonlocal most, now
-            now += 1
-            most = max(most, now)
+        async def count_call(call: ServerCall) -> None:
+            nonlocal max_concurrent, concurrent
+            concurrent += 1
+            max_concurrent = max(max_concurrent, concurrent)
             await asyncio.sleep(0.02)
-            now -= 1
+            concurrent -= 1
 
-        peer = Peer(None, pool=PoolLimits(connect_timeout=1.0, max_connections=2))
+        harness = Harness(None, pool=PoolLimits(connect_timeout=1.0, max_connections=2))
         server = Server(
-            {SERVICE + "GetFlightInfo": info, SERVICE + "DoGet": counted}, ConnectionLimits(max_streams=2)
+            {SERVICE + "GetFlightInfo": send_flight_info, SERVICE + "DoGet": count_call},
+            ConnectionLimits(max_streams=2),
         )
         sockets = local_sockets("127.0.0.1", 0)
-        peer.port = sockets[0].getsockname()[1]
+        harness.port = sockets[0].getsockname()[1]
         server.listen(sockets)
-        answers = [peer.ask()[1] for _ in range(12)]
-        for answer in answers:
-            await answer.over.wait()
-        assert [a.status for a in answers] == [Status(Code.OK)] * 12
-        assert most <= 4
-        peer.close()
+        sinks = [harness.submit()[1] for _ in range(12)]
+        for sink in sinks:
+            await sink.ended.wait()
+        assert [sink.status for sink in sinks] == [Status(Code.OK)] * 12
+        assert max_concurrent <= 4
+        harness.close()
         server.close()
 
-    run(work)
+    run(test_body)
 
 
-def test_a_connection_that_is_just_up_is_seen_by_who_looks_in_the_same_turn(
+def test_new_connection_is_found_in_the_turn_in_which_it_is_established(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A done connect whose channel was not entered yet made the search spin, and the loop with it."""
+    """Guards against a pool that blocks the event loop.
+
+    `Pool.channel` spun forever after a connect task had completed but its channel was not registered yet.
+    """
     from saffronlane.engines.pool import Pool
     from saffronlane.rpc import Channel
 
-    looks, found = 0, []
+    prune_count, channels = 0, []
 
-    async def work() -> None:
+    async def test_body() -> None:
         server = Server({})
         sockets = local_sockets("127.0.0.1", 0)
         server.listen(sockets)
         pool = Pool("127.0.0.1", sockets[0].getsockname()[1], PoolLimits())
         connect, prune = Channel.connect, pool._prune
 
-        async def connect_and_look(channel: Channel, *args: Any) -> None:
+        async def connect_and_schedule_lookup(channel: Channel, *args: Any) -> None:
             await connect(channel, *args)
-            asyncio.get_running_loop().call_soon(look)  # before anything that follows from the connect's end
+            # The lookup runs before any callback of the completed connect task.
+            asyncio.get_running_loop().call_soon(find_channel)
 
-        def look() -> None:
+        def find_channel() -> None:
             with pytest.raises(StopIteration) as caught:
                 pool.channel().send(None)
-            found.append(caught.value.value)
+            channels.append(caught.value.value)
 
-        def counted() -> None:
-            nonlocal looks
-            looks += 1
-            assert looks < 100, "it spins"
+        def count_prune() -> None:
+            nonlocal prune_count
+            prune_count += 1
+            assert prune_count < 100, "Pool.channel spins"
             prune()
 
-        monkeypatch.setattr(Channel, "connect", connect_and_look)
-        monkeypatch.setattr(pool, "_prune", counted)
+        monkeypatch.setattr(Channel, "connect", connect_and_schedule_lookup)
+        monkeypatch.setattr(pool, "_prune", count_prune)
         channel = await pool.channel()
-        assert found == [channel] and pool._connecting is None
+        assert channels == [channel] and pool._connecting is None
         pool.close()
         server.close()
 
-    run(work)
+    run(test_body)
 
 
-def test_an_effect_that_fails_takes_no_other_with_it() -> None:
-    async def work() -> None:
-        peer = Peer({"GetFlightInfo": info, "DoGet": empty})
-        first, second = peer.ask(), peer.ask()
-        effects = peer.executor._effect_runner
-        start = effects._start_attempt
+def test_failing_effect_does_not_stop_other_effects() -> None:
+    async def test_body() -> None:
+        harness = Harness({"GetFlightInfo": send_flight_info, "DoGet": send_empty_result})
+        first, second = harness.submit(), harness.submit()
+        effect_runner = harness.executor._effect_runner
+        start_attempt = effect_runner._start_attempt
 
-        def faulty(effect: dispatch.StartAttempt) -> None:
+        def fail_for_first_request(effect: dispatch.StartAttempt) -> None:
             if effect.request == first[0]:
-                raise KeyError("a fault of ours")
-            start(effect)
+                raise KeyError("injected fault")
+            start_attempt(effect)
 
-        effects._start_attempt = faulty  # type: ignore[method-assign]
-        await second[1].over.wait()
+        effect_runner._start_attempt = fail_for_first_request  # type: ignore[method-assign]
+        await second[1].ended.wait()
         assert second[1].status == Status(Code.OK)
-        await first[1].over.wait()
+        await first[1].ended.wait()
         assert first[1].status is not None and first[1].status.code is Code.UNAVAILABLE
-        peer.close()
+        harness.close()
 
-    run(work)
+    run(test_body)
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -22,7 +22,7 @@
 from saffronlane.learned_state import PersistedState
 
 RECORDINGS = sorted(Path(__file__).parent.glob("fixtures/recordings/*.record"))
-EFFECTS_RECORDED = {
+RECORDED_EFFECT_NAMES = {
     "CancelAttempt",
     "Commit",
     "DiscardAttempt",
@@ -48,19 +48,19 @@
 
 def test_recordings_hold_every_effect_that_the_policy_produces() -> None:
     effects = [effect for path in RECORDINGS for step in replay(path) for effect in step.recorded]
-    assert {effect.split("(")[0] for effect in effects} == EFFECTS_RECORDED
+    assert {effect.split("(")[0] for effect in effects} == RECORDED_EFFECT_NAMES
 
 
-def test_only_the_text_of_log_lines_may_differ() -> None:
-    log, serve = "Log(text='a')", "Serve(request=1, attempt=0, fault=False)"
-    assert ReplayedStep(1.0, [log, serve], ["Log(text='b')", serve]).is_equal
-    assert not ReplayedStep(1.0, [log, serve], [serve]).is_equal
-    assert not ReplayedStep(1.0, [serve], ["Serve(request=2, attempt=0, fault=False)"]).is_equal
+def test_replayed_step_is_equal_if_only_log_texts_differ() -> None:
+    log, answer = "Log(text='a')", "Serve(request=1, attempt=0, fault=False)"
+    assert ReplayedStep(1.0, [log, answer], ["Log(text='b')", answer]).is_equal
+    assert not ReplayedStep(1.0, [log, answer], [answer]).is_equal
+    assert not ReplayedStep(1.0, [answer], ["Serve(request=2, attempt=0, fault=False)"]).is_equal
 
 
 @pytest.mark.parametrize("path", RECORDINGS, ids=lambda path: path.stem)
-def test_inputs_are_written_as_an_earlier_version_wrote_them(path: Path) -> None:
-    """Decoded and encoded again, every input and the settings are the bytes of the recording."""
+def test_inputs_are_encoded_as_in_an_earlier_version(path: Path) -> None:
+    """Decoding and encoding the settings, learned state and inputs of a recording does not change them."""
     header, *steps = _records(io.BytesIO(path.read_bytes()))
     assert encode(decode(header[0], api.Settings)) == header[0]
     assert header[3] is None or encode(decode(header[3], PersistedState)) == header[3]
@@ -69,7 +69,7 @@
             assert repr(encode_input(decode_input(name, fields))) == repr([name, fields])
 
 
-def test_recording_of_a_newer_version_is_refused(tmp_path: Path) -> None:
+def test_recording_of_a_newer_version_is_rejected(tmp_path: Path) -> None:
     path = tmp_path / "newer.record"
     with path.open("wb") as sink:
         RecordingWriter(sink, make_settings(), seed=1)
--- a/tests/test_request_table.py
+++ b/tests/test_request_table.py
@@ -1,4 +1,4 @@
-"""The parts of the dispatcher's core: request table, intake, engine table and timers."""
+"""The components of the dispatcher: request table, intake, engine table and timers."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     assert table.pending_count == 0
 
 
-def test_a_number_in_use_is_not_accepted() -> None:
+def test_adding_a_request_with_a_used_number_raises_an_error() -> None:
     table, _, _ = table_with_request()
     with pytest.raises(DuplicateRequestError, match="request 1 was submitted before"):
         table.add(Request(1))
@@ -71,23 +71,23 @@
     assert table.find_in_flight(request_id, attempt_number) is None
 
 
-def test_a_grant_holds_for_one_attempt() -> None:
+def test_a_resource_grant_is_valid_for_one_attempt() -> None:
     request = Request(1, next_grant=ResourceGrant(64.0, 2))
     assert request.take_grant() == ResourceGrant(64.0, 2)
     assert request.take_grant() == NO_GRANT
 
 
-def test_intake_rejects_one_more_than_the_limit() -> None:
+def test_intake_rejects_requests_beyond_the_limit() -> None:
     intake = RequestIntake(LIMITS, max_pending=5)
     assert intake.rejection(1, pending_count=5, now=0.0) is None
     rejection = intake.rejection(1, pending_count=6, now=0.0)
     assert rejection == dispatch.RejectRequest(1, 10.0, "5 requests wait already")
 
 
-def test_a_drain_rejects_with_the_rest_of_its_grace_period() -> None:
+def test_a_drain_sends_its_remaining_grace_period_as_retry_after() -> None:
     intake = RequestIntake(LIMITS, max_pending=5)
     intake.begin_drain(now=100.0, grace_period=4.0)
-    intake.begin_drain(now=101.0, grace_period=60.0)  # the first one counts
+    intake.begin_drain(now=101.0, grace_period=60.0)  # ignored, since the drain has begun
     rejection = intake.rejection(1, pending_count=1, now=101.0)
     assert rejection is not None and rejection.retry_after == 3.0
     intake.finish_drain(now=102.0)
@@ -95,7 +95,7 @@
     assert rejection is not None and rejection.retry_after == 0.0
 
 
-def test_engines_follow_full_and_partial_lists() -> None:
+def test_engine_table_applies_full_and_partial_lists() -> None:
     table = EngineTable()
     ready = api.EngineEntry(b"a", api.EngineState.READY)
     draining = api.EngineEntry(b"b", api.EngineState.DRAINING)
