--- a/saffronlane/config/settings.py
+++ b/saffronlane/config/settings.py
@@ -52,8 +52,8 @@
     poll_keep: float = 60.0
     connect_timeout: float = 1.0
     per_engine: int = 4
-    cancel_wait: float = 1.0
-    hold_back: int = 262_144
+    cancel_ack_timeout: float = 1.0
+    max_buffered_bytes: int = 262_144
     peer_listen: tuple[str, int] | None = None
     peer_addresses: tuple[tuple[str, int], ...] = ()
     record: Path | None = None
@@ -111,8 +111,8 @@
         poll_keep=front.get("poll_keep_s", 60.0),
         connect_timeout=links.get("connect_timeout_s", 1.0),
         per_engine=links.get("per_engine", 4),
-        cancel_wait=links.get("cancel_wait_s", 1.0),
-        hold_back=links.get("hold_back_bytes", 262_144),
+        cancel_ack_timeout=links.get("cancel_wait_s", 1.0),
+        max_buffered_bytes=links.get("hold_back_bytes", 262_144),
         peer_listen=address_of(peers["listen"]) if peers else None,
         peer_addresses=tuple(address_of(a) for a in peers["addresses"]) if peers else (),
         record=base / value["record"] if "record" in value else None,
--- a/saffronlane/daemon.py
+++ b/saffronlane/daemon.py
@@ -53,8 +53,8 @@
         )
         http = ConnectionLimits(max_streams=config.max_streams, keepalive_after=config.keepalive)
         limits = FlightTransportLimits(
-            max_buffered_bytes=config.hold_back,
-            cancel_ack_timeout=config.cancel_wait,
+            max_buffered_bytes=config.max_buffered_bytes,
+            cancel_ack_timeout=config.cancel_ack_timeout,
             pool=PoolLimits(config.connect_timeout, config.per_engine),
         )
         self.peers = None
@@ -62,14 +62,14 @@
             self.peers = GossipTransport(
                 config.peer_listen, config.peer_addresses, config.settings.gateway_index, self._on_peer
             )
-        self.links = FlightTransport(limits, self.view.address, str(config.settings.gateway_index))
+        self.transport = FlightTransport(limits, self.view.address, str(config.settings.gateway_index))
         self.executor = Executor(
             self.dispatcher,
-            self.links,
+            self.transport,
             self.peers.send if self.peers is not None else None,
             self.folder.persist if self.folder is not None else None,
         )
-        self.front = FlightFront(config, self.executor, self.links)
+        self.front = FlightFront(config, self.executor, self.transport)
         self.server = Server(self.front.handlers, http, config.max_connections, config.max_message)
         self.source = FileSource(config, self._on_list)
         self._share_port = share_port
@@ -83,7 +83,7 @@
         self.executor.feed(self.view.replace(version, records))
         for engine in before:
             if engine not in self.view.snapshot:
-                self.links.remove_engine(engine)
+                self.transport.remove_engine(engine)
         states = [r.state.name.lower() for r in records]
         log.info("engine list", version=version, engines=len(records), ready=states.count("ready"))
 
--- a/saffronlane/flight/service.py
+++ b/saffronlane/flight/service.py
@@ -55,8 +55,8 @@
 class FlightFront:
     """Turns calls into requests of an Executor. `handlers` is what an `rpc.Server` serves."""
 
-    def __init__(self, config: Config, executor: Executor, links: FlightTransport) -> None:
-        self._config, self._executor, self._links = config, executor, links
+    def __init__(self, config: Config, executor: Executor, transport: FlightTransport) -> None:
+        self._config, self._executor, self._transport = config, executor, transport
         self._loop = asyncio.get_running_loop()
         self.sessions = Sessions(config.session_idle, config.sessions_most, self._loop.time)
         self._identifier = Identifier(config)
@@ -278,7 +278,7 @@
             statement, identity, _ = self._identify(call, handle.query)
             if len(self._polls) >= self._config.polls:
                 raise error(Code.RESOURCE_EXHAUSTED, f"{self._config.polls} queries are polled for", "POLLS")
-            sink = KeptSink(self._config.hold_back)
+            sink = KeptSink(self._config.max_buffered_bytes)
             number = self._submit(call, handle, (statement, identity), sink)
             poll = self._polls[handle.nonce] = _Poll(number, handle, sink, self._loop.time())
         poll.seen = self._loop.time()
@@ -407,7 +407,7 @@
             poll = self._polls.get(nonce)
             for number in list(self._running.get(nonce, ())) + ([poll.request] if poll is not None else []):
                 cancelled = (
-                    self._links.cancel_request(number, Status(Code.CANCELLED, "cancelled")) or cancelled
+                    self._transport.cancel_request(number, Status(Code.CANCELLED, "cancelled")) or cancelled
                 )
         status = flight.CANCEL_STATUS_CANCELLED if cancelled else flight.CANCEL_STATUS_NOT_CANCELLABLE
         return flight.CancelFlightInfoResult(status=status).SerializeToString()
--- a/saffronlane/lab/fleet/audit.py
+++ b/saffronlane/lab/fleet/audit.py
@@ -34,7 +34,7 @@
 
 def audit(record: Record, shape: FleetShape, ended: list[str]) -> list[Finding]:
     """All findings in the order of their time."""
-    given = params.read_settings(params.Params.of_object(settings(shape, 0)))
+    given = params.read_settings(params.Params.from_object(settings(shape, 0)))
     findings = [Finding(0, 0.0, text) for text in ended]
     left = {event["query"] for event in record.events if event["kind"] == "left"}
     waiting = [
--- a/saffronlane/lab/fleet/virtual.py
+++ b/saffronlane/lab/fleet/virtual.py
@@ -80,7 +80,7 @@
         self._wakes = [math.inf] * shape.dispatchers
         self._met: set[tuple[int, bytes]] = set()
         count = range(0 if chooser else shape.dispatchers)
-        given = [params.Params.of_object(settings(shape, n)) for n in count]
+        given = [params.Params.from_object(settings(shape, n)) for n in count]
         read = map(params.read_settings, given)
         self.cores = [dispatch.Dispatcher(one, shape.seed * 1000 + n) for n, one in enumerate(read)]
 
--- a/saffronlane/learned_state/confidence.py
+++ b/saffronlane/learned_state/confidence.py
@@ -12,7 +12,7 @@
 import math
 from dataclasses import dataclass
 
-from ..policy.estimation.run_time_estimator import DECAY, SEED_ANSWERS
+from ..policy.estimation.run_time_estimator import DECAY, PRIOR_ANSWERS
 from ..policy.health.outlier_detection import FAILURE_RATIO_DECAY_TIME
 from .clock import Gap
 
@@ -115,7 +115,7 @@
 
 def remaining_seed_samples(restored_samples: float) -> float:
     """Return how many of the seed answers remain after a restored estimate replaces some of them."""
-    return max(0.0, SEED_ANSWERS - restored_samples)
+    return max(0.0, PRIOR_ANSWERS - restored_samples)
 
 
 def remaining_weight(weight: float, answer_count: int) -> float:
--- a/saffronlane/learned_state/estimates.py
+++ b/saffronlane/learned_state/estimates.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from .. import interface as api
-from ..policy.estimation.run_time_estimator import SEED_ANSWERS, RunTimeEstimator
+from ..policy.estimation.run_time_estimator import PRIOR_ANSWERS, RunTimeEstimator
 from . import confidence
 from .records import ClassRecord
 
@@ -71,7 +71,7 @@
         for seed_total, restored_total in zip(estimator.prior, estimate_sums, strict=True)
     ]
     _set_totals(estimator, EstimateSums(*totals))
-    weight = samples / (samples + SEED_ANSWERS)
+    weight = samples / (samples + PRIOR_ANSWERS)
     estimator.baseline_inflation = 1.0 + weight * (record.baseline_inflation - 1.0)
     has_memory_estimate = samples >= MIN_SAMPLES_FOR_MEMORY
     estimator.memory_requirement = record.memory_requirement if has_memory_estimate else 0.0
@@ -90,7 +90,7 @@
         new_answer_count: Number of answers since then.
     """
     weight = confidence.remaining_weight(1.0, new_answer_count)
-    seeds = seed_sums(estimator.class_settings, cost, SEED_ANSWERS)
+    seeds = seed_sums(estimator.class_settings, cost, PRIOR_ANSWERS)
     totals = [
         max(MIN_TOTAL, total - weight * (restored_total + prior_total)) + weight * seed_total
         for total, restored_total, prior_total, seed_total in zip(
--- a/saffronlane/learned_state/restore.py
+++ b/saffronlane/learned_state/restore.py
@@ -6,7 +6,7 @@
 
 from .. import interface as api
 from ..policy import Gateway
-from ..policy.estimation.run_time_estimator import SEED_ANSWERS, RunTimeEstimator
+from ..policy.estimation.run_time_estimator import PRIOR_ANSWERS, RunTimeEstimator
 from ..state import Engine, PeerAttempt, RecentDispatch
 from . import confidence, export, records
 from .estimates import apply_restored_estimate
@@ -159,8 +159,8 @@
         for index, count in counts.items():
             estimator = estimators[index]
             estimator.answer_count = round(scale * count)
-            if self.sample_sizes[index] >= SEED_ANSWERS:
-                estimator.answer_count = max(estimator.answer_count, int(SEED_ANSWERS))
+            if self.sample_sizes[index] >= PRIOR_ANSWERS:
+                estimator.answer_count = max(estimator.answer_count, int(PRIOR_ANSWERS))
             estimator.update_cost_rate()
             if not confidence.may_reject(estimator.exec_time(), estimator.class_settings.deadline):
                 estimator.answer_count = 0
--- a/saffronlane/platform/config.py
+++ b/saffronlane/platform/config.py
@@ -152,7 +152,7 @@
 def _read_settings(values: dict[str, object]) -> tuple[Settings, float]:
     """Return the settings and the engines' idle timeout in seconds."""
     try:
-        params = simulator_settings.Params.of_object(values)
+        params = simulator_settings.Params.from_object(values)
         return simulator_settings.read_settings(params), params.number("limits.idleClose", 0.0)
     except simulator_settings.SettingsError as error:
         raise ConfigError(f"/settings/{error.path.replace('.', '/')}: {error}") from error
--- a/saffronlane/platform/connection_output.py
+++ b/saffronlane/platform/connection_output.py
@@ -37,7 +37,7 @@
         """Whether output is queued and not handed to the stream yet."""
 
     @abstractmethod
-    def handle_event(self, event: Event, why: str) -> None:
+    def handle_event(self, event: Event, reason: str) -> None:
         """Report an event to the lifecycle and perform the actions of the state that it enters."""
 
     @abstractmethod
--- a/saffronlane/platform/downstream/client_connection.py
+++ b/saffronlane/platform/downstream/client_connection.py
@@ -206,14 +206,14 @@
 
     # --- timeouts and closing ---
 
-    def drain(self, why: str) -> None:
+    def drain(self, reason: str) -> None:
         """Accept no more requests, answer the open ones, and close the connection."""
         self._fault_replies.flush()
-        super().drain(why)
+        super().drain(reason)
 
-    def handle_event(self, event: Event, why: str) -> None:
+    def handle_event(self, event: Event, reason: str) -> None:
         """Apply a lifecycle event."""
-        super().handle_event(event, why)
+        super().handle_event(event, reason)
         if not (self.lifecycle.accepts_work or self.lifecycle.is_closed):
             self.server.eviction.mark_closing(self)
 
@@ -259,7 +259,7 @@
         if self.is_idle:
             self.drain("idle")
 
-    def on_closed(self, event: Event, why: str) -> None:
+    def on_closed(self, event: Event, reason: str) -> None:
         """Cancel the open requests of a client whose connection has closed."""
         self._fault_replies.discard()
         for request in self.open_requests.values():
--- a/saffronlane/platform/downstream/reply_channel.py
+++ b/saffronlane/platform/downstream/reply_channel.py
@@ -54,6 +54,6 @@
             fields[RETRY_AFTER_MS_FIELD] = str(retry_after_ms)
         self.client.send_reply(self, rpc.Reply(self.message_id, REJECTED_ERROR, fields))
 
-    def send_failure(self, why: str) -> None:
+    def send_failure(self, reason: str) -> None:
         """Reply that the request failed."""
         self.client.send_reply(self, rpc.Reply(self.message_id, FAULT_ERROR, {}))
--- a/saffronlane/platform/managed_connection.py
+++ b/saffronlane/platform/managed_connection.py
@@ -50,7 +50,7 @@
         """Process received bytes."""
 
     @abstractmethod
-    def on_closed(self, event: Event, why: str) -> None:
+    def on_closed(self, event: Event, reason: str) -> None:
         """End all pending work after an event has closed the connection; called once."""
 
     async def connect(self) -> None:
@@ -93,9 +93,9 @@
 
     # --- ending ---
 
-    def drain(self, why: str) -> None:
+    def drain(self, reason: str) -> None:
         """Shut down gracefully: accept no new work, complete pending work, and close without a reset."""
-        self.handle_event(Event.DRAIN, why)
+        self.handle_event(Event.DRAIN, reason)
         self.settle()
 
     def settle(self) -> None:
@@ -126,11 +126,11 @@
             with contextlib.suppress(Exception):
                 self.abort("internal error")
 
-    def abort(self, why: str) -> None:
+    def abort(self, reason: str) -> None:
         """Close immediately, whatever is pending."""
-        self.handle_event(Event.ABORT, why)
+        self.handle_event(Event.ABORT, reason)
 
-    def handle_event(self, event: Event, why: str) -> None:
+    def handle_event(self, event: Event, reason: str) -> None:
         """Report an event to the lifecycle and perform the actions of the state that it enters."""
         before = self.lifecycle.state
         after = self.lifecycle.handle(event, self.loop.time())
@@ -140,7 +140,7 @@
         if after is State.HALF_CLOSED:
             self.stream.shutdown_write()
         elif after is State.CLOSED:
-            self._close(event, why)
+            self._close(event, reason)
 
     def _schedule_expiry(self) -> None:
         self._cancel_expiry()
@@ -160,9 +160,9 @@
         else:
             self.handle_event(Event.EXPIRED, "closing timed out")
 
-    def _close(self, event: Event, why: str) -> None:
+    def _close(self, event: Event, reason: str) -> None:
         self._cancel_expiry()
-        self.on_closed(event, why)
+        self.on_closed(event, reason)
         self.stream.close()
         if self._task is not None and asyncio.current_task() is not self._task:
             self._task.cancel()
--- a/saffronlane/platform/server.py
+++ b/saffronlane/platform/server.py
@@ -50,11 +50,11 @@
         exhaustion = DescriptorExhaustion()
         self.endpoints = EndpointTable(settings, self._loop.time, time.time)
         self.dispatcher = dispatch.Dispatcher(settings, config.seed)
-        self.links = UpstreamTransport(
+        self.upstream = UpstreamTransport(
             _upstream_limits(config, allocation.engines), self.endpoints.address, exhaustion
         )
         self.peers = self._gossip_transport()
-        self.executor = Executor(self.dispatcher, self.links, self.peers.send if self.peers else None)
+        self.executor = Executor(self.dispatcher, self.upstream, self.peers.send if self.peers else None)
         self.downstream = DownstreamServer(
             self.executor,
             settings,
@@ -92,7 +92,7 @@
         update, removed_engines = self.endpoints.apply(endpoints)
         self.executor.feed(update)
         for engine in removed_engines:
-            self.links.remove_engine(engine)
+            self.upstream.remove_engine(engine)
         changed = []
         if not endpoints.is_complete:
             changed = [
--- a/saffronlane/platform/upstream/client.py
+++ b/saffronlane/platform/upstream/client.py
@@ -24,7 +24,7 @@
             retry_after: The seconds after which the client should retry; 0 for no advice.
         """
 
-    def send_failure(self, why: str) -> None:
+    def send_failure(self, reason: str) -> None:
         """Answer with an error."""
 
 
--- a/saffronlane/platform/upstream/connection.py
+++ b/saffronlane/platform/upstream/connection.py
@@ -178,11 +178,11 @@
             self.idle_since = self.loop.time()
             self.settle()
 
-    def on_closed(self, event: Event, why: str) -> None:
+    def on_closed(self, event: Event, reason: str) -> None:
         """End each attempt and probe with the outcome that the bytes written so far prove."""
         if self.has_pending_work:
             engine = self.engine.decode("utf-8", "replace")
-            log.info("upstream connection lost", engine=engine, attempts=len(self.attempts), reason=why)
+            log.info("upstream connection lost", engine=engine, attempts=len(self.attempts), reason=reason)
         self._listener.on_connection_closed(self)
         self._sender.clear()
         is_broken = event in (Event.BROKEN, Event.EOF)
--- a/saffronlane/policy/estimation/run_time_estimator.py
+++ b/saffronlane/policy/estimation/run_time_estimator.py
@@ -3,7 +3,7 @@
 from ... import interface as api
 from ...state import ClassStatistics, Request, clamp
 
-SEED_ANSWERS = 4.0  # weight of the configured values, in responses; limits the effect of a single response
+PRIOR_ANSWERS = 4.0  # weight of the configured values, in responses; limits the effect of a single response
 DECAY = 0.97  # factor per response on the weight of earlier ones
 MAX_BASELINE_GROWTH = 0.002  # weight of a response that raises the baseline; low, to exclude congestion
 BASELINE_GROWTH_RATE = 0.01  # the same per second since the last response, for frequent responses
@@ -21,7 +21,7 @@
     """Estimates for one class; a request without a client's estimate has a cost of 1."""
 
     def __init__(self, class_settings: api.ClassSettings) -> None:
-        super().__init__(class_settings, SEED_ANSWERS)
+        super().__init__(class_settings, PRIOR_ANSWERS)
 
     def record_estimate(self, cost: float, is_estimate_given: bool) -> None:
         """Record the cost of a request that arrives.
@@ -31,7 +31,7 @@
             is_estimate_given: Whether the cost is the client's estimate.
         """
         if not self.estimated_costs:
-            self.apply_first_estimate(cost, cost * SEED_ANSWERS, is_estimate_given)
+            self.apply_first_estimate(cost, cost * PRIOR_ANSWERS, is_estimate_given)
         self.mean_estimated_cost += (cost - self.mean_estimated_cost) * (1.0 - DECAY)
         self.update_cost_rate()
 
@@ -69,7 +69,7 @@
         inflation = 1.0
         if work > 0.0:
             inflation = self._inflation_over_baseline(thread_time / work, growth)
-        elif self.answer_count > SEED_ANSWERS and not threads_per_core:
+        elif self.answer_count > PRIOR_ANSWERS and not threads_per_core:
             inflation = elapsed / uncontended_time
         self.update_cost_rate()
         return inflation
@@ -104,7 +104,7 @@
     def work(self, cost: float = 0.0) -> float:
         """Return the work of a request with this cost in thread seconds; a cost of 0 stands for the mean."""
         if not self.estimated_costs:
-            return self.work_total / SEED_ANSWERS
+            return self.work_total / PRIOR_ANSWERS
         return (cost or self.mean_estimated_cost) * self.work_total / self.estimated_costs
 
     def uncontended_time(self, cost: float) -> float:
@@ -115,7 +115,7 @@
     def update_cost_rate(self) -> None:
         """Update the seconds per unit of cost, bounded by `MAX_EXEC_TIME_RATIO`."""
         latency_total = self.latency_total
-        if self.answer_count >= SEED_ANSWERS:
+        if self.answer_count >= PRIOR_ANSWERS:
             max_work = MAX_EXEC_TIME_RATIO * self.uncontended_work_total
             max_latency_total = max_work * self.baseline_inflation / self.class_settings.threads
             latency_total = min(latency_total, max_latency_total)
--- a/saffronlane/policy/scheduling/group_edf.py
+++ b/saffronlane/policy/scheduling/group_edf.py
@@ -3,7 +3,7 @@
 import math
 
 from ...state import Request
-from ..estimation.run_time_estimator import SEED_ANSWERS
+from ..estimation.run_time_estimator import PRIOR_ANSWERS
 from ..execution.attempts import AttemptManager
 from ..execution.completion import EXPIRY_MARGIN, TIMER_TOLERANCE
 
@@ -30,7 +30,7 @@
         """Return whether now + ExecTime exceeds the time limit of the request, its class or its client."""
         estimator = self.workload_estimates.estimators[request.class_index]
         exec_time = 0.0
-        if estimator.answer_count >= SEED_ANSWERS:
+        if estimator.answer_count >= PRIOR_ANSWERS:
             exec_time = estimator.exec_time(request.estimated_cost)
         return self.step_context.now + exec_time > self._completion_limit(request)
 
--- a/saffronlane/simulator/adapter.py
+++ b/saffronlane/simulator/adapter.py
@@ -34,7 +34,7 @@
         WireError: A setting is missing or invalid; the text names it.
     """
     try:
-        return settings.read_settings(params.Params.of_lines(text))
+        return settings.read_settings(params.Params.from_lines(text))
     except params.SettingsError as error:
         raise WireError(str(error)) from error
 
--- a/saffronlane/simulator/params.py
+++ b/saffronlane/simulator/params.py
@@ -32,12 +32,12 @@
         self._values = values
 
     @classmethod
-    def of_lines(cls, text: str) -> Params:
+    def from_lines(cls, text: str) -> Params:
         """Parse `path=value` lines."""
         return cls(dict(line.split("=", 1) for line in text.splitlines() if "=" in line))
 
     @classmethod
-    def of_object(cls, settings: Mapping[str, object]) -> Params:
+    def from_object(cls, settings: Mapping[str, object]) -> Params:
         """Flatten nested JSON into dotted paths."""
         return cls(dict(_flatten("", settings)))
 
--- a/tests/node/test_answers.py
+++ b/tests/node/test_answers.py
@@ -91,7 +91,7 @@
         await built.until(lambda: built.node.discovery.last_sequence == 2)
         held[0][0].done(held[0][1])
         assert await client.answer(msgid) == (None, [ROWS, {}])
-        await built.until(lambda: not built.node.links.pool.connections_by_engine)
+        await built.until(lambda: not built.node.upstream.pool.connections_by_engine)
 
     play(work, holding(held))
 
@@ -108,7 +108,8 @@
         built.feed.event(2, [member("node-0", built.computes[0].port, "removed")])
         assert (await client.answer(msgid))[0][0] == "Fault"
         await built.until(
-            lambda: not any(built.tables().values()) and not built.node.links.pool.connections_by_engine, 1.0
+            lambda: not any(built.tables().values()) and not built.node.upstream.pool.connections_by_engine,
+            1.0,
         )
 
     play(work, nothing)
@@ -125,7 +126,7 @@
         await built.until(lambda: held)
         peer, name = held[0]
         data = encode_command(name, b"DONE", b"sheets=1,toil=5,room=7", ROWS)
-        (link,) = built.node.links.pool.connections_by_engine[b"node-0"]
+        (link,) = built.node.upstream.pool.connections_by_engine[b"node-0"]
         peer.raw(data[:20])
         await built.until(lambda: link._reader.has_partial_response)
         peer.raw(data[20:])  # leaves at once, in this turn of the loop
--- a/tests/node/test_attempt_ends.py
+++ b/tests/node/test_attempt_ends.py
@@ -163,11 +163,11 @@
         await built.until(lambda: told)
         assert told[0] in (Outcome.TIMEOUT, Outcome.CANCELLED)
         # It was silent all the while: nothing new goes there, and it closes.
-        links = built.node.links
+        upstream = built.node.upstream
         assert not any(
-            link.has_capacity(b"x", 32) for link in links.pool.connections_by_engine.get(b"node-0", ())
+            link.has_capacity(b"x", 32) for link in upstream.pool.connections_by_engine.get(b"node-0", ())
         )
-        await built.until(lambda: not links.pool.connections_by_engine)
+        await built.until(lambda: not upstream.pool.connections_by_engine)
 
     play(work, silent)
 
@@ -250,7 +250,7 @@
         told = outcomes(built)
         await built.until(lambda: built.feed.writers)
         client = await built.client()
-        links, real = built.node.links, connection_module.UpstreamConnection._run
+        upstream, real = built.node.upstream, connection_module.UpstreamConnection._run
 
         async def held(link: Any) -> None:
             await draining.wait()
@@ -260,8 +260,8 @@
         connection_module.UpstreamConnection._run = held  # type: ignore[method-assign]
         try:
             msgid = client.call("ask", RID)
-            await built.until(lambda: links.pool.connections_by_engine)
-            name = next(iter(links.pool.connections_by_engine)).decode()
+            await built.until(lambda: upstream.pool.connections_by_engine)
+            name = next(iter(upstream.pool.connections_by_engine)).decode()
             port = built.computes[int(name[-1])].port
             built.feed.event(2, [member(name, port, "draining")])
             await built.until(lambda: Outcome.NOT_SENT in told)
@@ -281,7 +281,7 @@
         told = outcomes(built)
         client = await built.client()
         assert (await client.answer(client.call("ask", rid(1))))[0] is None
-        link = next(iter(built.node.links.pool.connections_by_engine.values()))[0]
+        link = next(iter(built.node.upstream.pool.connections_by_engine.values()))[0]
         link.stream.close()
         assert not link.has_capacity(b"x", 32)
         assert await client.answer(client.call("ask", rid(2))) == (None, [ROWS, {}])
@@ -298,8 +298,8 @@
         told, compute = outcomes(built), built.computes[0]
         client = await built.client()
         assert (await client.answer(client.call("ask", rid(1))))[0] is None
-        link = next(iter(built.node.links.pool.connections_by_engine.values()))[0]
-        built.node.executor.transport.begin = lambda attempt, begin=built.node.links.begin: (  # type: ignore
+        link = next(iter(built.node.upstream.pool.connections_by_engine.values()))[0]
+        built.node.executor.transport.begin = lambda attempt, begin=built.node.upstream.begin: (  # type: ignore
             begin(attempt),
             link.stream.close(),
         )
@@ -350,7 +350,7 @@
         for n in range(2, 5):
             assert (await client.answer(client.call("ask", rid(n))))[0] is None
         assert len(other.words(b"fetch")) == 3 and len(other.peers) == 1
-        assert [link.address[1] for link in built.node.links.pool.connections_by_engine[b"node-0"]] == [
+        assert [link.address[1] for link in built.node.upstream.pool.connections_by_engine[b"node-0"]] == [
             other.port
         ]
 
@@ -363,7 +363,7 @@
     async def work(built: World) -> None:
         client = await built.client()
         await client.answer(client.call("ask", RID))
-        await built.until(lambda: not built.node.links.pool.connections_by_engine)
+        await built.until(lambda: not built.node.upstream.pool.connections_by_engine)
 
     play(work, settings=SETTINGS | {"limits": limits})
 
@@ -377,9 +377,9 @@
         for n in range(60):
             msgid = client.call("ask", rid(n), b"SELECT 1 FROM s_%d.t" % n)
             assert await client.answer(msgid) == (None, [ROWS, {}])
-        links = built.node.links
-        assert sum(bool(compute.heard) for compute in built.computes) > links.pool.limits.max_connections
-        assert links.pool.connections_in_use <= links.pool.limits.max_connections
+        upstream = built.node.upstream
+        assert sum(bool(compute.heard) for compute in built.computes) > upstream.pool.limits.max_connections
+        assert upstream.pool.connections_in_use <= upstream.pool.limits.max_connections
         assert told == [Outcome.OK] * 60
 
     own_descriptors(monkeypatch)
--- a/tests/node/test_certainty.py
+++ b/tests/node/test_certainty.py
@@ -51,7 +51,7 @@
     await built.until(lambda: built.feed.writers)
     built.feed.event(2, [member("raw", node.port), member("node-0", built.computes[0].port, "draining")])
     await built.until(lambda: built.node.discovery.last_sequence == 2)
-    link = built.node.links.pool.select(b"raw", b"first")
+    link = built.node.upstream.pool.select(b"raw", b"first")
     assert link is not None
     await built.until(lambda: link.is_established)
     node.accept()
@@ -207,7 +207,7 @@
         told, pour, crossed = outcomes(built), UpstreamConnection.flush, []
         client = await built.client()
         assert (await client.answer(client.call("ask", rid(1))))[0] is None
-        (link,) = built.node.links.pool.connections_by_engine[b"node-0"]
+        (link,) = built.node.upstream.pool.connections_by_engine[b"node-0"]
 
         def cross(one: UpstreamConnection) -> None:
             if one is link and one.has_queued_output and not crossed:
@@ -230,14 +230,15 @@
     async def work(built: World) -> None:
         client = await built.client()
         assert (await client.answer(client.call("ask", rid(1))))[0] is None
-        links = built.node.links
-        (link,) = links.pool.connections_by_engine[b"node-0"]
+        upstream = built.node.upstream
+        (link,) = upstream.pool.connections_by_engine[b"node-0"]
         link.stream.close()  # as where the system told of the node's end in this turn of the loop
-        links.remove_engine(b"node-0")
+        upstream.remove_engine(b"node-0")
         assert await client.answer(client.call("ask", rid(2))) == (None, [ROWS, {}])
         await built.until(
             lambda: (
-                link.lifecycle.is_closed and link not in links.pool.connections_by_engine.get(b"node-0", ())
+                link.lifecycle.is_closed
+                and link not in upstream.pool.connections_by_engine.get(b"node-0", ())
             )
         )
 
@@ -251,16 +252,16 @@
         told = outcomes(built)
         client = await built.client()
         assert (await client.answer(client.call("ask", rid(1))))[0] is None
-        links = built.node.links
-        (link,) = next(iter(links.pool.connections_by_engine.values()))
-        begin = links.begin
+        upstream = built.node.upstream
+        (link,) = next(iter(upstream.pool.connections_by_engine.values()))
+        begin = upstream.begin
 
         def crossed(attempt: Any) -> None:
             begin(attempt)
             if attempt.connection is link:
                 link.abort("spoilt answer")
 
-        links.begin = crossed  # type: ignore[method-assign]
+        upstream.begin = crossed  # type: ignore[method-assign]
         assert await client.answer(client.call("frail", rid(2))) == (None, [ROWS, {}])
         assert told == [Outcome.OK, Outcome.NOT_SENT, Outcome.OK]
         assert [words[1] for words in built.computes[0].words(b"fetch")] == [rid(1).encode(), rid(2).encode()]
@@ -356,7 +357,7 @@
         assert (await client.answer(client.call("ask", rid(2))))[0] is None
         held[0][0].done(held[0][1])
         assert await client.answer(first) == (None, [ROWS, {}])
-        await built.until(lambda: len(built.node.links.pool.connections_by_engine[b"node-0"]) == 1)
+        await built.until(lambda: len(built.node.upstream.pool.connections_by_engine[b"node-0"]) == 1)
 
     play(work, holding(held))
 
@@ -365,12 +366,12 @@
     """It stayed open until it had been idle for long: nobody looked when a probe ended."""
 
     async def work(built: World) -> None:
-        links = built.node.links
-        links.probe(b"node-0")
-        (link,) = links.pool.connections_by_engine[b"node-0"]
+        upstream = built.node.upstream
+        upstream.probe(b"node-0")
+        (link,) = upstream.pool.connections_by_engine[b"node-0"]
         await built.until(lambda: built.computes[0].words(b"alive"))
         link.drain("its node has gone")
         assert not link.lifecycle.is_closing
-        await built.until(lambda: not links.pool.connections_by_engine, 1.5)
+        await built.until(lambda: not upstream.pool.connections_by_engine, 1.5)
 
     play(work, silent)
--- a/tests/node/test_closing.py
+++ b/tests/node/test_closing.py
@@ -477,10 +477,10 @@
         await built.until(lambda: len(front.clients) == 3)
         first, real = next(iter(front.clients)), connection.ClientConnection.drain
 
-        def drain(one: connection.ClientConnection, why: str) -> None:
+        def drain(one: connection.ClientConnection, reason: str) -> None:
             if one is first:
                 raise RuntimeError("a fault")
-            real(one, why)
+            real(one, reason)
 
         monkeypatch.setattr(connection.ClientConnection, "drain", drain)
         built.node.stop()
@@ -498,10 +498,10 @@
 
     async def work(built: World) -> None:
         monkeypatch.setattr(connection, "RECEIVE_TIMEOUT", 0.3)
-        front, links = built.node.downstream, built.node.links
+        front, upstream = built.node.downstream, built.node.upstream
         client = await built.client()
         assert (await client.answer(client.call("ask", rid(1))))[0] is None
-        (link,) = links.pool.connections_by_engine[b"node-0"]
+        (link,) = upstream.pool.connections_by_engine[b"node-0"]
         first = SyncClient(front.port)
         await built.until(lambda: len(front.clients) == 2)
         struck = [list(front.clients)[1], link]
--- a/tests/node/test_descriptors.py
+++ b/tests/node/test_descriptors.py
@@ -111,11 +111,11 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def work(built: World) -> None:
-        links = built.node.links
-        links.probe(b"node-0")
+        upstream = built.node.upstream
+        upstream.probe(b"node-0")
         await built.until(lambda: built.computes[0].words(b"alive"))
         built.computes[0].peers[0].send(b"p1", b"FIT", b"-", b"")
-        (link,) = links.pool.connections_by_engine[b"node-0"]
+        (link,) = upstream.pool.connections_by_engine[b"node-0"]
         await built.until(lambda: not link.has_pending_work)
         real, tries = connection_module.socket.socket, []
 
@@ -126,7 +126,7 @@
             return real(*args)
 
         monkeypatch.setattr(connection_module.socket, "socket", once)
-        assert links.pool.select(b"node-1", b"x") is not None and not link.lifecycle.accepts_work
+        assert upstream.pool.select(b"node-1", b"x") is not None and not link.lifecycle.accepts_work
         monkeypatch.setattr(connection_module.socket, "socket", real)
 
     play(work, answer, answer)
--- a/tests/node/test_ends.py
+++ b/tests/node/test_ends.py
@@ -46,7 +46,7 @@
         await built.until(lambda: not any(built.tables().values()) and not built.node.downstream.clients)
         node = built.node
         assert len(node.endpoints) == len(node.dispatcher._engines) == 1
-        assert len(node.links.pool.connections_by_engine) <= 1
+        assert len(node.upstream.pool.connections_by_engine) <= 1
         assert (
             len(gateway.engine_registry.engines)
             == len(gateway.engine_registry.engine_by_digest)
--- a/tests/node/test_interleavings.py
+++ b/tests/node/test_interleavings.py
@@ -138,14 +138,14 @@
     async def work(built: World) -> None:
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda _, context: faults.append(context))
-        clients, links = Clients(built, random), built.node.links
-        start = links.create_attempt
+        clients, upstream = Clients(built, random), built.node.upstream
+        start = upstream.create_attempt
 
         def kept(*told: Any) -> Any:
             sent.append(start(*told))
             return sent[-1]
 
-        links.create_attempt = kept  # type: ignore[method-assign]
+        upstream.create_attempt = kept  # type: ignore[method-assign]
         with structlog.testing.capture_logs() as logs:
             changing = asyncio.create_task(lists(built, random))
             await clients.run()
--- a/tests/node/test_settings.py
+++ b/tests/node/test_settings.py
@@ -49,7 +49,7 @@
             assert (await client.answer(foreign))[0][0] == "Fault"
             assert (await other.answer(tenant))[0][0] == "Fault"
             first, second = ours.node, theirs.node
-            assert first.links.pool.limits != second.links.pool.limits
+            assert first.upstream.pool.limits != second.upstream.pool.limits
             assert first.dispatcher.settings.classes != second.dispatcher.settings.classes
             assert not any(theirs.tables().values())
             assert len(second.dispatcher.gateway.workload_estimates.estimators) == 2
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -238,7 +238,7 @@
             "ids": len(node.downstream.open_request_ids),
             "open": sum(
                 len(link.attempts)
-                for links in node.links.pool.connections_by_engine.values()
+                for links in node.upstream.pool.connections_by_engine.values()
                 for link in links
             ),
         }
--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -481,7 +481,7 @@
         built.call(built.publish)
         built.until(lambda: not list(built.daemon.view.snapshot))
         assert len(list(call)) == 2
-        built.until(lambda: not built.daemon.links._pools)
+        built.until(lambda: not built.daemon.transport._pools)
 
 
 def test_an_engines_endless_error_still_reaches_the_client_as_a_status(tmp_path: Path) -> None:
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -31,7 +31,7 @@
 from saffronlane.learned_state import confidence as weigh
 from saffronlane.learned_state import records as k
 from saffronlane.learned_state.rebase import Rebase
-from saffronlane.policy.estimation.run_time_estimator import SEED_ANSWERS
+from saffronlane.policy.estimation.run_time_estimator import PRIOR_ANSWERS
 from saffronlane.storage import Entry, RealFiles, recover
 
 HERE = Timestamp(1000.0, 1e9, "boot", "place")
@@ -915,8 +915,8 @@
 
 def test_seeds_give_way_to_knowledge_answer_by_answer():
     assert (
-        weigh.remaining_seed_samples(0.0) == SEED_ANSWERS
-        and weigh.remaining_seed_samples(1.5) == SEED_ANSWERS - 1.5
+        weigh.remaining_seed_samples(0.0) == PRIOR_ANSWERS
+        and weigh.remaining_seed_samples(1.5) == PRIOR_ANSWERS - 1.5
         and weigh.remaining_seed_samples(9.0) == 0.0
     )
 
--- a/tests/test_many_gateways.py
+++ b/tests/test_many_gateways.py
@@ -14,7 +14,7 @@
 from saffronlane import interface as api
 from saffronlane import policy
 from saffronlane.interface import EndpointListMode, EngineState, Outcome, ProgressKind
-from saffronlane.policy.estimation.run_time_estimator import SEED_ANSWERS
+from saffronlane.policy.estimation.run_time_estimator import PRIOR_ANSWERS
 from saffronlane.policy.estimation.workload_estimates import HEAVY_WORK_RATIO
 from saffronlane.policy.routing.eligibility import REJECTION_COOLDOWN
 
@@ -215,7 +215,7 @@
     assert driver.sends(driver.ask(cls=1)) and len(driver.of_kind(api.SendGossip)) == 1
     known = driver.gateway.workload_estimates.estimators[1]
     known.work_total = known.uncontended_work_total = (
-        HEAVY_WORK_RATIO * 1.01 * driver.gateway.workload_estimates.mean_query()[0] * SEED_ANSWERS
+        HEAVY_WORK_RATIO * 1.01 * driver.gateway.workload_estimates.mean_query()[0] * PRIOR_ANSWERS
     )
     assert driver.gateway.workload_estimates.is_heavy(driver.gateway.pending.requests[driver.next_request])
     assert (
--- a/tests/test_platform_parts.py
+++ b/tests/test_platform_parts.py
@@ -45,15 +45,15 @@
 
 
 def test_both_forms_of_the_settings_are_one() -> None:
-    by_lines = params.read_settings(params.Params.of_lines(PARAMS))
-    by_object = params.read_settings(params.Params.of_object(nested(PARAMS)))
+    by_lines = params.read_settings(params.Params.from_lines(PARAMS))
+    by_object = params.read_settings(params.Params.from_object(nested(PARAMS)))
     assert by_lines == by_object
     assert by_lines.classes[1].idempotency is api.Idempotency.KEYED
 
 
 def test_each_key_of_the_nested_form_is_read_as_the_line_says_it() -> None:
-    lines = params.Params.of_lines(PARAMS)._values
-    flat = params.Params.of_object(nested(PARAMS))._values
+    lines = params.Params.from_lines(PARAMS)._values
+    flat = params.Params.from_object(nested(PARAMS))._values
     for path, value in lines.items():
         try:
             assert float(flat[path]) == float(value), path
@@ -162,7 +162,7 @@
 
 
 def fleet() -> EndpointTable:
-    settings = params.read_settings(params.Params.of_object(SETTINGS))
+    settings = params.read_settings(params.Params.from_object(SETTINGS))
     return EndpointTable(settings, lambda: 100.0, lambda: 1_000_000.0)
 
 
@@ -187,7 +187,7 @@
 def test_a_start_is_converted_once() -> None:
     """Guards against a step of the wall clock, which would look like a restart of every node."""
     walls = iter([1_000_000.0, 2_000_000.0])
-    settings = params.read_settings(params.Params.of_object(SETTINGS))
+    settings = params.read_settings(params.Params.from_object(SETTINGS))
     one = EndpointTable(settings, lambda: 100.0, lambda: next(walls))
     first, _ = one.apply(told(member("a", 1, up_since_ms=999_990_000.0)))
     second, _ = one.apply(told(member("a", 1, "draining", up_since_ms=999_990_000.0)))
