--- a/saffronlane/errors/__init__.py
+++ b/saffronlane/errors/__init__.py
@@ -14,7 +14,7 @@
     Attributes:
         remedy: One sentence that says what an operator can do, the same for all errors of a type.
         place: Location of the fault: a file, a JSON pointer, a field or an address. Empty if the message
-            names it.
+            already contains it.
     """
 
     remedy: ClassVar[str] = ""
--- a/saffronlane/interface/events.py
+++ b/saffronlane/interface/events.py
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PreviousAttempt:
-    """An earlier attempt of a request that arrives again; it may have been executed."""
+    """An attempt from before the arrival of a repeated request; the attempt may have been executed."""
 
     engine: bytes
     sent_at: float
@@ -59,8 +59,9 @@
         class_index: Index of its query class in the settings.
         timeout: Seconds until the client stops waiting for the answer.
         tenant: Index of its tenant in the settings.
-        ordering_key: Requests with the same key run one at a time, in order of arrival; 0 if it has none.
-        estimated_cost: The client's estimate of the work, in a unit of its own; 0 if there is none.
+        ordering_key: Requests with the same key run one at a time, in order of arrival; 0 if the request
+            has no key.
+        estimated_cost: The client's estimate of the work, in an arbitrary unit; 0 if there is none.
         estimated_memory_mb: The client's estimate of the memory; 0 if there is none.
         table_group: Number that identifies the group of tables that it uses.
         is_retry: Whether the client has sent it before.
--- a/saffronlane/interface/kinds.py
+++ b/saffronlane/interface/kinds.py
@@ -56,7 +56,7 @@
 
     WAIT = "wait"  # the query is queued until enough memory is free
     SHRINK = "shrink"  # the query gets the memory that is left
-    PAGE = "page"  # the query starts; all queries slow down once the memory in use exceeds the engine's
+    PAGE = "page"  # the query starts; all queries slow down once they use more memory than the engine has
 
 
 class DeduplicationScope(Enum):
--- a/saffronlane/interface/settings.py
+++ b/saffronlane/interface/settings.py
@@ -82,15 +82,16 @@
 
     Attributes:
         response_slack: Longest time by which an answer may exceed the client's timeout.
-        drain_grace_period: Time from the notification that an engine drains or is removed until the
-            engine must get no new attempts.
+        drain_grace_period: Time for which an engine may still get new attempts after the notification that
+            it drains or is removed.
         slow_start_overload_factor: An engine in slow start fails once it gets more than this multiple of its
             capacity within the overload window; 0 if it can't be overloaded.
-        slow_start_overload_window: Length of the window in which that work is counted.
+        slow_start_overload_window: Length of the window in which the work sent to the engine is summed.
         slow_start_initial_ratio: Part of its full capacity that an engine has at its start.
         slow_start_duration: Time from its start until an engine reaches its full capacity.
-        ordering_cooldown: Pause of an ordering key after an attempt that may still be running.
-        retry_budget_base: Retries that are always allowed within the window; None does not limit retries.
+        ordering_cooldown: Time for which an ordering key is blocked after an attempt that may still
+            be running.
+        retry_budget_base: Retries that are always allowed within the window; None sets no limit.
         retry_budget_ratio: Additional retries for each served request of the window.
         retry_budget_window: Length of the window in which retries and served requests are counted.
         subscribe_deadline: Time from the start by which the gateway has to subscribe to the endpoint list.
@@ -117,7 +118,7 @@
         can_cancel: Whether attempts can be cancelled.
         hedged_requests_enabled: Whether two attempts of one request may run at the same time.
         load_probes_enabled: Whether engines may be probed for their load.
-        load_probe_price: Price of one probe per query, in points of the service score.
+        load_probe_price: Price of one probe for every query, in points of the service score.
         gossip_enabled: Whether gateways may exchange messages.
         sends_retry_after: Whether clients respect the delay that a rejection asks for.
         max_attempts: Highest number of attempts of one request.
@@ -154,7 +155,7 @@
         limits: Features that decisions may use.
         memory_grants_enabled: Whether engines respect memory grants.
         priorities_enabled: Whether engines respect priorities.
-        max_memory_grant_ratio: Largest memory grant over the memory of the largest machine type.
+        max_memory_grant_ratio: Ratio of the largest memory grant to the memory of the largest machine type.
         memory_overcommit: How an engine handles memory grants that exceed its memory.
         progress_interval: Time between two progress reports of an attempt; 0 if engines send none.
         reports_work: Whether responses report the work done and the memory used.
--- a/saffronlane/policy/estimation/load_reports.py
+++ b/saffronlane/policy/estimation/load_reports.py
@@ -8,7 +8,7 @@
 MAX_PROBED_ENGINES = 3  # engines probed for one heavy request
 MIN_PROBE_INTERVAL = 0.1  # seconds between two probes of the same engine
 PROBE_TIMEOUT = 0.025  # seconds that a request waits for the results of its probes
-MAX_PROBE_PRICE = 0.02  # points of the service score for one probe per request, up to which probing pays off
+MAX_PROBE_PRICE = 0.02  # points of the service score; no probes if one for every query costs more
 MAX_REPORTED_THREADS_PER_CORE = 100.0  # threads per core; higher reported values are limited to this
 REPORT_DECAY_TIME = 15.0  # seconds in which the weight of a report decays to 1/e
 
--- a/saffronlane/policy/estimation/run_time_estimator.py
+++ b/saffronlane/policy/estimation/run_time_estimator.py
@@ -5,14 +5,14 @@
 
 SEED_ANSWERS = 4.0  # weight of the configured values, in responses; limits the effect of a single response
 DECAY = 0.97  # factor per response on the weight of earlier ones
-MAX_BASELINE_GROWTH = 0.002  # weight of a response that raises the baseline; low, to exclude congestion
-BASELINE_GROWTH_RATE = 0.01  # the same per second since the last response, for frequent responses
+MAX_BASELINE_GROWTH = 0.002  # highest weight of a response above the baseline; low, to exclude congestion
+BASELINE_GROWTH_RATE = 0.01  # the same per second since the last response; lower if responses are frequent
 BASELINE_DECREASE = 0.1  # weight of a response that lowers the baseline
 MIN_INFLATION = 0.05  # lowest measured ratio of thread time to work
 MAX_INFLATION = 1000.0  # highest measured ratio of thread time to work
-MAX_EXEC_TIME_RATIO = 3.0  # highest ExecTime over the uncontended run time
+MAX_EXEC_TIME_RATIO = 3.0  # highest ratio of ExecTime to the uncontended run time
 MIN_EXEC_TIME = 1e-3  # seconds
-INITIAL_MEMORY_RATIO = 1.25  # memory required over memory estimated, before the first response
+INITIAL_MEMORY_RATIO = 1.25  # ratio of memory required to memory estimated, before the first response
 MEMORY_RATIO_INCREASE = 0.15  # weight of a response that raises the memory ratio; spilling is expensive
 MEMORY_RATIO_DECREASE = 0.02  # weight of a response that lowers the memory ratio
 
@@ -55,7 +55,7 @@
             threads_per_core: Load that the engine reported; 0 if not reported.
 
         Returns:
-            The latency inflation: the latency over the expected latency without contention.
+            The latency inflation: the ratio of the latency to the expected latency without contention.
         """
         self.answer_count += 1
         growth = min(MAX_BASELINE_GROWTH, BASELINE_GROWTH_RATE * (now - self.last_answer_at))
@@ -95,7 +95,7 @@
         """Update the work from an attempt that was ended early and would have taken longer.
 
         Without such attempts the mean work would be too low. The limit on the load of an engine in slow start
-        relies on it.
+        relies on this mean.
         """
         if self.estimated_costs:
             thread_time = elapsed * self.class_settings.threads
--- a/saffronlane/policy/estimation/workload_estimates.py
+++ b/saffronlane/policy/estimation/workload_estimates.py
@@ -6,11 +6,11 @@
 from ...state import Request
 from .run_time_estimator import INITIAL_MEMORY_RATIO, RunTimeEstimator
 
-HEAVY_WORK_RATIO = 2.0  # lowest work of a heavy request over the mean work
-MEMORY_MARGIN_RATIO = 1.1  # memory granted over memory required, where clients give no estimates
+HEAVY_WORK_RATIO = 2.0  # lowest ratio of a heavy request's work to the mean work
+MEMORY_MARGIN_RATIO = 1.1  # ratio of memory granted to memory required, where clients give no estimates
 MIN_WORK = 1e-3  # thread seconds
 DEFAULT_PRIORITY = 1  # priority until the mean request is known
-PRIORITY_THRESHOLDS = (2.0, 1.0, 0.4)  # lowest priority weight per work, over the mean, for 3, 2 and 1
+PRIORITY_THRESHOLDS = (2.0, 1.0, 0.4)  # lowest ratio to the mean weight per work for priority 3, 2 and 1
 
 
 class MeanQuery(NamedTuple):
--- a/saffronlane/policy/execution/attempts.py
+++ b/saffronlane/policy/execution/attempts.py
@@ -8,10 +8,10 @@
 from ..scheduling.concurrency_limit import CONGESTED_INFLATION
 from .completion import EXPIRY_MARGIN, RequestCompletion
 
-UNRESPONSIVE_REPORT_PERIODS = 1.1  # progress intervals without a report, plus the run time up to one more
+UNRESPONSIVE_REPORT_PERIODS = 1.1  # intervals until an attempt is overdue, plus one at most for its run time
 UNRESPONSIVE_EXEC_TIMES = 5.0  # ExecTimes until an attempt is overdue if engines send no progress reports
-MIN_UNRESPONSIVE_TIMEOUT = 0.5  # seconds; lower bound of the same timeout
-UNHEDGED_TIMEOUT_RATIO = 2.0  # factor on the same timeout if a retry has to cancel the first attempt
+MIN_UNRESPONSIVE_TIMEOUT = 0.5  # seconds; lower bound of the timeout without progress reports
+UNHEDGED_TIMEOUT_RATIO = 2.0  # factor on that timeout if a retry has to cancel the first attempt
 MIN_DISPATCH_TIMEOUT = 1e-3  # seconds
 MIN_ELAPSED = 1e-4  # seconds; a shorter reported duration counts as this
 MAX_ELAPSED = 1e4  # seconds; a longer reported duration counts as this
@@ -148,7 +148,7 @@
             estimator.record_interruption(request, clamp(event.elapsed))
 
     def requeue_or_finish(self, attempt: Attempt) -> None:
-        """Queue a request whose attempts have all failed for a retry, or finish it."""
+        """Queue a request for a retry after all its attempts have failed, or finish it."""
         request = attempt.request
         if attempt.outcome is not Outcome.CANCELLED and attempt.engine.id not in request.failed_engines:
             request.failed_engines.append(attempt.engine.id)
--- a/saffronlane/policy/execution/completion.py
+++ b/saffronlane/policy/execution/completion.py
@@ -27,7 +27,7 @@
         self.workload_estimates = workload_estimates
         self.retry_policy = RetryPolicy(step_context)
         self.pending = PendingRequests()
-        # The sum over the queue is computed at most once per step, since many requests may be rejected in it.
+        # The sum over the queue is computed at most once per step, since a step may reject many requests.
         self.queued_thread_seconds: float | None = None
 
     def begin_step(self) -> None:
@@ -89,7 +89,7 @@
             self.queued_thread_seconds -= self._thread_seconds(request)
 
     def retry_after(self, request: Request) -> float:
-        """Return the seconds until the queue has drained, up to the delay that clients respect."""
+        """Return the seconds until the queue has drained: at least ExecTime, up to what clients respect."""
         if self.queued_thread_seconds is None:
             self.queued_thread_seconds = sum(map(self._thread_seconds, self.pending.queued.values()))
         cores = self.engine_registry.ready_cores
--- a/saffronlane/policy/execution/hedging.py
+++ b/saffronlane/policy/execution/hedging.py
@@ -8,13 +8,13 @@
 from .completion import TIMER_TOLERANCE
 
 MAX_REMAINING_EXEC_TIMES = 4.0  # ExecTimes that the remaining run may take before a new attempt is better
-MAX_REMAINING_TIME_RATIO = 1.5  # remaining run time over the time left, above which the request is ended
+MAX_REMAINING_TIME_RATIO = 1.5  # ratio of remaining run time to time left above which a request is ended
 MAX_CONCURRENT_ATTEMPTS = 2  # attempts of one request in flight at the same time
 MIN_PROGRESS = 1e-3  # lower bound of the reported progress, to avoid a division by zero
 
 
 class HedgingAndRetry:
-    """Cancels or hedges attempts that another engine will probably complete earlier."""
+    """Cancels or hedges an attempt if another engine will probably complete the request earlier."""
 
     def __init__(self, attempt_manager: AttemptManager) -> None:
         self.attempt_manager = attempt_manager
@@ -94,8 +94,8 @@
     def retry_waiting(self, attempt: Attempt) -> None:
         """Cancel an attempt that waits for memory or a bulk load, if another engine is eligible.
 
-        A request is withdrawn from each engine at most once, since it may lose a good position in the queue
-        there.
+        A request is withdrawn from each engine at most once, since it loses its position in the engine's
+        queue.
         """
         request = attempt.request
         engine = attempt.engine
--- a/saffronlane/policy/gateway.py
+++ b/saffronlane/policy/gateway.py
@@ -24,7 +24,7 @@
 MAINTENANCE_INTERVAL = 0.15  # seconds between timers while requests are queued or a subscription is due
 SUBSCRIBE_RETRY_INTERVAL = 0.5  # seconds until a failed subscription is repeated
 MAX_REMOVED_ENGINES = 1024  # removed engines without attempts in flight that stay registered
-DEFERRED_EVENTS = (api.PeerMessage, api.ProgressReport, api.ProbeResult)  # start no queued requests
+DEFERRED_EVENTS = (api.PeerMessage, api.ProgressReport, api.ProbeResult)  # these alone start no request
 
 
 class Gateway:
--- a/saffronlane/policy/gossip/load_gossip.py
+++ b/saffronlane/policy/gossip/load_gossip.py
@@ -7,9 +7,9 @@
 from ..routing.eligibility import REJECTION_COOLDOWN
 
 BUSY_PEER_ATTEMPTS = 512  # peers' attempts above which only heavier requests are reported; limits messages
-REPORT_LIFETIME_RATIO = 3.0  # expected run times after which a report expires if no end was reported
-RENEWAL_RATIO = 2.0  # lifetime of a renewed report over the time since the dispatch
-MAX_SENDERS_RATIO = 2  # upper bound of a sender's index over the gateway count, which may be out of date
+REPORT_LIFETIME_RATIO = 3.0  # ratio of a report's lifetime to the expected run time; it ends with the attempt
+RENEWAL_RATIO = 2.0  # ratio of a renewed report's lifetime to the time since the dispatch
+MAX_SENDERS_RATIO = 2  # multiple of the gateway count that bounds sender indices; the count may be outdated
 GOSSIP_NUMBERS = 256  # number of distinct attempt numbers in messages; they are reused after that
 
 
--- a/saffronlane/policy/health/outlier_detection.py
+++ b/saffronlane/policy/health/outlier_detection.py
@@ -18,9 +18,9 @@
 PROBE_REQUEST_JITTER = 0.2  # highest relative deviation from the interval, in either direction
 PROBE_REQUEST_RATIO = 0.2  # probe requests per dispatch, so that ejected engines don't get all requests
 MAX_PROBE_REQUEST_CREDIT = 3.0  # unused probe requests that may accumulate
-MAX_PROBE_EXEC_TIME_RATIO = 2.0  # highest ExecTime of a probe request over that of the shortest class
+MAX_PROBE_EXEC_TIME_RATIO = 2.0  # highest ratio of a probe request's ExecTime to that of the shortest class
 MIN_RESTART_DURATION = 0.25  # seconds that a process needs to restart; not applied after a refused connection
-LATE_RESPONSE_MARGIN = 0.1  # seconds after a connection loss for which responses sent before may still arrive
+LATE_RESPONSE_MARGIN = 0.1  # seconds after a connection loss in which earlier responses may still arrive
 SUCCESS = 0.0  # value of a successful outcome in the failure ratio
 FAILURE = 1.0  # value of a failed outcome in the failure ratio
 
@@ -73,7 +73,7 @@
         """Update the engine's connection state and failure ratio; eject or readmit it accordingly."""
         engine = attempt.engine
         self._record_connection_state(attempt, outcome)
-        if outcome is Outcome.OK:  # one response ends unresponsiveness, while failures decay
+        if outcome is Outcome.OK:  # one response readmits an unresponsive engine; other failures decay
             weight = 1.0 if engine.is_unresponsive else MIN_OUTCOME_WEIGHT
             self.update_failure_ratio(engine, weight, SUCCESS)
         if not engine.is_ejected:
@@ -133,8 +133,8 @@
             min_weight: Lower bound of its weight, between 0 and 1.
             value: `FAILURE` or `SUCCESS`.
         """
-        elapsed = max(engine.last_outcome_at - self.step_context.now, -1e3)
-        weight = max(min_weight, 1.0 - math.exp(elapsed / FAILURE_RATIO_DECAY_TIME))
+        negative_age = max(engine.last_outcome_at - self.step_context.now, -1e3)
+        weight = max(min_weight, 1.0 - math.exp(negative_age / FAILURE_RATIO_DECAY_TIME))
         engine.failure_ratio += weight * (value - engine.failure_ratio)
         engine.last_outcome_at = self.step_context.now
 
--- a/saffronlane/policy/routing/capacity.py
+++ b/saffronlane/policy/routing/capacity.py
@@ -41,9 +41,9 @@
     def _has_memory(self, engine: Engine, memory_mb: float) -> bool:
         """Return whether the engine has enough free memory.
 
-        Without gossip, each gateway may use an equal part of the engine's memory. With gossip, half of the
-        engine's memory is enough for the largest request. With many gateways an engine is never idle and
-        would otherwise never get such a request.
+        Without gossip, each gateway may use an equal part of the engine's memory. With gossip, half of
+        the memory that may be granted is enough for any request. With many gateways an engine is never idle,
+        so a request that needs all of it would never be dispatched.
         """
         if not engine.memory_mb:
             return True
--- a/saffronlane/policy/routing/eligibility.py
+++ b/saffronlane/policy/routing/eligibility.py
@@ -43,7 +43,7 @@
         return self._is_in_deduplication_scope(engine, request)
 
     def _is_in_deduplication_scope(self, engine: Engine, request: Request) -> bool:
-        """Return whether the engine discards the request if an earlier attempt was executed."""
+        """Return False if the engine might execute a keyed request again that another engine has executed."""
         settings = request.class_settings
         if settings.idempotency is not Idempotency.KEYED:
             return True
--- a/saffronlane/policy/routing/engine_selection.py
+++ b/saffronlane/policy/routing/engine_selection.py
@@ -6,8 +6,8 @@
 from ..scheduling.concurrency_limit import AdaptiveConcurrencyLimit
 from .eligibility import EngineEligibility
 
-OVERLOAD_FACTOR = 1.25  # load over the mean load, apart from one request, above which an engine is skipped
-RECENT_WORK_HORIZON = 10.0  # decay time in seconds of dispatched work as load; little may be in flight
+OVERLOAD_FACTOR = 1.25  # engines above this multiple of the mean load, plus one request, are skipped
+RECENT_WORK_HORIZON = 10.0  # seconds; decay time of dispatched work, a load even if little is in flight
 
 
 class EngineSelector:
@@ -55,7 +55,7 @@
         )
 
     def _select_warming_up(self, request: Request) -> Engine | None:
-        """Return an engine in slow start with capacity for the request; the gateway's turns on it are short.
+        """Return an engine in slow start with capacity, preferred since the gateway's turns on it are short.
 
         The rendezvous order differs between gateways. With the same order, all gateways would use the same
         engine first.
@@ -75,9 +75,9 @@
         return None
 
     def _select_in_order(self, request: Request, strict: bool) -> Engine | None:
-        """Return the less loaded engine of the first pair of neighbours that is not overloaded.
+        """Return the less loaded engine of the first pair of neighbours where it is not overloaded.
 
-        If there is none, return the least loaded engine.
+        If it is overloaded in every pair, return the least loaded engine of all.
         """
         previous: Engine | None = None
         least_loaded: Engine | None = None
--- a/saffronlane/policy/routing/rendezvous.py
+++ b/saffronlane/policy/routing/rendezvous.py
@@ -4,7 +4,7 @@
 
 from ...state import Engine, EngineRegistry, StepContext
 
-HOME_ENGINES = 4  # first engines of an order, of which those in the gateway's own zone come first
+HOME_ENGINES = 4  # first engines of an order; the own zone's come first if crossing zones is costly
 MIN_CROSS_ZONE_PRICE = 0.03  # points of the service score; at this price and above, crossing zones is costly
 MAX_CACHED_ORDERS = 4096  # orders; the number of table groups is up to the clients
 DIGEST_SIZE = 8  # bytes
--- a/saffronlane/policy/routing/slow_start.py
+++ b/saffronlane/policy/routing/slow_start.py
@@ -5,8 +5,8 @@
 
 UTILIZATION_LIMIT = 0.85  # ratio of busy cores at which an engine works at full capacity
 BUDGET_MARGIN = 0.85  # part of the budget that is used, since the work is only estimated
-TURN_MARGIN = 0.42  # the same for requests sent in turns, of which two may fall into one window
-MAX_REQUEST_RATIO = 0.33  # largest request over the limit of a window, so that all turns and one more fit
+TURN_MARGIN = 0.42  # the same for requests sent in turns, since two turns may fall into one window
+MAX_REQUEST_RATIO = 0.33  # highest part of a window's limit for one request; all turns and one more must fit
 
 
 class SlowStartBudget:
@@ -27,7 +27,8 @@
         self.window = step_context.guarantees.slow_start_overload_window
         self.warmup_started_at = engine.warmup_started_at(step_context.now)
         self.load_limit = UTILIZATION_LIMIT * step_context.guarantees.slow_start_overload_factor
-        # A small request counts as the mean request, without margins: a sum over many requests needs none.
+        # A small request counts as the mean request. The factors cancel the margins of the budget, which
+        # a sum over many requests doesn't need.
         self.min_work = BUDGET_MARGIN * UTILIZATION_LIMIT * workload_estimates.mean_query().work
         cores = engine.effective_cores(step_context.now - self.window, step_context.guarantees)
         self.window_core_seconds = cores * self.window
--- a/saffronlane/policy/scheduling/admission.py
+++ b/saffronlane/policy/scheduling/admission.py
@@ -8,9 +8,9 @@
 from ..execution.completion import RequestCompletion
 from ..routing.engine_selection import EngineSelector
 
-TENANT_RATE_MARGIN = 1.3  # allowed rate over a gateway's equal share of the limit, since traffic is uneven
-TENANT_BURST_REQUESTS = 3.0  # requests that a burst may have at any rate limit
-TENANT_BURST_DURATION = 2.0  # seconds at the allowed rate that a burst may have in addition
+TENANT_RATE_MARGIN = 1.3  # ratio of allowed rate to a gateway's equal share of the limit; traffic is uneven
+TENANT_BURST_REQUESTS = 3.0  # requests allowed in a burst, independent of the rate limit
+TENANT_BURST_DURATION = 2.0  # seconds; a burst may also contain the requests of this time at the allowed rate
 
 
 class AdmissionController:
@@ -25,7 +25,7 @@
         self.token_buckets = [TokenBucket() for _ in self.settings.tenants]
 
     def on_arrival(self, event: api.Arrival) -> None:
-        """Queue a request; finish it immediately if an earlier attempt rules out any further one."""
+        """Queue a request; finish it immediately if it is unsafe to repeat its previous attempt."""
         request = self._create_request(event)
         self.completion.add_pending(request)
         if request.previous_attempt_count and self.completion.retry_policy.is_exhausted(request):
@@ -39,7 +39,7 @@
         request = Request(event, class_index, self.settings.classes[class_index], self.step_context.now)
         estimator = self.completion.workload_estimates.estimators[class_index]
         estimator.record_estimate(request.estimated_cost, is_estimate_given=event.estimated_cost > 0.0)
-        request.is_over_quota = self.exceeds_quota(event.tenant)
+        request.is_over_rate_limit = self.exceeds_rate_limit(event.tenant)
         if event.previous_attempt is not None:
             request.add_previous_attempt(event.previous_attempt, self.settings.machine_types)
         return request
@@ -52,8 +52,8 @@
         if request.probing_until > self.step_context.now:
             self.step_context.schedule(request.probing_until, None)
 
-    def exceeds_quota(self, tenant: int) -> bool:
-        """Count a request and return whether it exceeds its tenant's rate limit; it then yields to others."""
+    def exceeds_rate_limit(self, tenant: int) -> bool:
+        """Count a request and return whether it exceeds the rate limit of its tenant."""
         if not 0 <= tenant < len(self.settings.tenants):
             return False
         rate_limit = self.settings.tenants[tenant].rate_limit
--- a/saffronlane/policy/scheduling/concurrency_limit.py
+++ b/saffronlane/policy/scheduling/concurrency_limit.py
@@ -5,7 +5,7 @@
 from ...state import Engine, InFlightWork, Request, clamp
 from ..estimation.load_reports import LoadReports
 
-FAIR_SHARE_THREADS_PER_CORE = 1.3  # threads per core under congestion, shared by all gateways
+FAIR_SHARE_THREADS_PER_CORE = 1.3  # threads per core that all gateways together use under congestion
 FAIR_SHARE_DEVIATIONS = 1.5  # standard deviations added to the fair share, since requests coincide by chance
 CONGESTED_INFLATION = 4.0  # latency inflation above which the limit falls
 RECOVERED_INFLATION = 2.5  # latency inflation below which the limit grows
@@ -32,7 +32,8 @@
     def admits(self, request: Request) -> bool:
         """Return whether the limit leaves room for at least half of the request's threads.
 
-        Attempts of classes with a longer ExecTime don't count, so that short requests can overtake them.
+        Attempts of classes with a longer ExecTime don't count, so that short requests can overtake them. If
+        no other attempt is in flight, every request is admitted.
         """
         estimators = self.load_reports.workload_estimates.estimators
         exec_time = estimators[request.class_index].exec_time()
@@ -56,8 +57,9 @@
         """Record the reported load of a response or, without a report, its latency inflation.
 
         Args:
-            engine: The engine that responded. It is slow while it warms up, which is not congestion.
-            inflation: Latency over the uncontended latency.
+            engine: The engine that responded. While it warms up, the inflation is scaled down, since such an
+                engine is slow without congestion.
+            inflation: Ratio of the latency to the latency without contention.
             threads_per_core: Load that the engine reported; 0 if not reported.
         """
         if threads_per_core:
--- a/saffronlane/policy/scheduling/group_edf.py
+++ b/saffronlane/policy/scheduling/group_edf.py
@@ -7,13 +7,15 @@
 from ..execution.attempts import AttemptManager
 from ..execution.completion import EXPIRY_MARGIN, TIMER_TOLERANCE
 
-GROUP_RANGE_RATIO = 0.4  # Gr in the paper: deadline range of a group over its first time to deadline
-MIN_LATE_PRIORITY_WEIGHT = 0.4  # while engines are full, classes below it expire at their latency objective
+# Gr in the paper: ratio of a group's deadline range to the time that its first request has from arrival to
+# deadline.
+GROUP_RANGE_RATIO = 0.4
+MIN_LATE_PRIORITY_WEIGHT = 0.4  # classes below this expire at the latency objective while engines are full
 EXPIRY_CHECK_INTERVAL = 0.05  # seconds; a check in every step takes too long with long queues
 
 
 class GroupEdfScheduler:
-    """Releases queued requests: the earliest deadline selects a group; its shortest request is first."""
+    """Releases queued requests, always the shortest of the group that the earliest deadline defines."""
 
     def __init__(self, attempt_manager: AttemptManager) -> None:
         self.attempt_manager = attempt_manager
@@ -27,7 +29,10 @@
         self.next_expiry_check_at = -math.inf
 
     def is_expired(self, request: Request) -> bool:
-        """Return whether now + ExecTime exceeds the time limit of the request, its class or its client."""
+        """Return whether an attempt started now would complete too late to be worthwhile.
+
+        The ExecTime of a class with few responses counts as 0, since it is not yet measured.
+        """
         estimator = self.workload_estimates.estimators[request.class_index]
         exec_time = 0.0
         if estimator.answer_count >= SEED_ANSWERS:
@@ -37,7 +42,7 @@
     def _completion_limit(self, request: Request) -> float:
         """Return the latest time of completion at which an attempt is still worthwhile."""
         is_blocked = self.concurrency_limit.is_blocked
-        if is_blocked and request.is_over_quota:
+        if is_blocked and request.is_over_rate_limit:
             return -math.inf
         limit = min(request.deadline, request.expires_at - EXPIRY_MARGIN)
         settings = request.class_settings
@@ -64,7 +69,7 @@
             if engine is None:
                 self.concurrency_limit.is_blocked = True
                 waiting = self._without_similar(waiting, request)
-            elif self.retry_policy.can_retry(request):  # its idempotency key may have expired meanwhile
+            elif self.retry_policy.can_retry(request):  # its idempotency key may have expired while queued
                 self.attempt_manager.start(request, engine)
 
     def _finish_expired(self) -> None:
@@ -81,7 +86,7 @@
                 self.completion.finish(request)
 
     def _releasable_requests(self) -> list[Request]:
-        """Return the queued requests that may start now, sorted by quota and deadline."""
+        """Return the queued requests that may start now, those within their rate limit first, by deadline."""
         now = self.step_context.now
         requests = [
             request
@@ -90,7 +95,7 @@
             and self.pending.ordering.is_next(request, now)
             and self.retry_policy.has_retry_budget(request)
         ]
-        requests.sort(key=lambda request: (request.is_over_quota, request.deadline, request.id))
+        requests.sort(key=lambda request: (request.is_over_rate_limit, request.deadline, request.id))
         return requests
 
     def _next_request(self, waiting: list[Request]) -> Request:
@@ -100,7 +105,7 @@
         group = [
             request
             for request in waiting
-            if request.is_over_quota == first.is_over_quota and request.deadline <= group_end
+            if request.is_over_rate_limit == first.is_over_rate_limit and request.deadline <= group_end
         ]
         exec_time = self.workload_estimates.exec_time
         return min(group, key=lambda request: (exec_time(request), request.deadline, request.id))
@@ -108,7 +113,7 @@
     def _without_similar(self, waiting: list[Request], blocked: Request) -> list[Request]:
         """Return the requests for which there may be an engine although the blocked request has none.
 
-        They exclude its class, since trying each request of a class would take too long. If the blocked
+        Requests of its class are left out, since trying each of them would take too long. If the blocked
         request is a retry, first attempts of its class remain: they may use more engines than a retry.
         """
         return [
--- a/saffronlane/policy/scheduling/retry_budget.py
+++ b/saffronlane/policy/scheduling/retry_budget.py
@@ -1,4 +1,4 @@
-"""Retry budget: limits the retries within a sliding window to a base and a fraction of the requests."""
+"""Retry budget: limits retries in a sliding window to a base number plus a ratio of served requests."""
 
 from ...state import Request, RetryBudgetWindow, StepContext
 
@@ -32,6 +32,6 @@
         return retry_count + 1 <= available_base + self.guarantees.retry_budget_ratio * served_count
 
     def _is_window_complete(self) -> bool:
-        """Return whether the gateway has run for a window; a previous run may have used the base before."""
+        """Return whether the gateway has run for a window; an earlier run may have used the base."""
         first_window_end = self.step_context.started_at + self.guarantees.retry_budget_window
         return self.step_context.now >= first_window_end + self.dispatch_delay
--- a/saffronlane/policy/scheduling/retry_policy.py
+++ b/saffronlane/policy/scheduling/retry_policy.py
@@ -32,7 +32,7 @@
         return attempt_count >= self.max_attempts or not self.is_retry_safe(request)
 
     def can_retry(self, request: Request) -> bool:
-        """Return whether the request may be dispatched now."""
+        """Return whether the request may have another attempt now; this includes the first attempt."""
         if request.is_ended or request.is_streaming or self.is_exhausted(request):
             return False
         return self.has_retry_budget(request)
--- a/saffronlane/policy/scheduling/retry_safety.py
+++ b/saffronlane/policy/scheduling/retry_safety.py
@@ -8,7 +8,7 @@
 
 
 class RetrySafety:
-    """Decides whether another attempt is safe: a second effect is allowed only in idempotent classes."""
+    """Decides whether another attempt is safe although an earlier one may have been executed."""
 
     def __init__(self, step_context: StepContext) -> None:
         self.step_context = step_context
--- a/saffronlane/state/class_statistics.py
+++ b/saffronlane/state/class_statistics.py
@@ -18,11 +18,11 @@
         uncontended_work_total: Decayed sum of the work that the requests would have taken without the load
             that their engines reported.
         mean_estimated_cost: Decayed mean of the clients' estimates.
-        prior: Part of the four sums that comes from no response, in the above order.
-        baseline_inflation: Low quantile of latency x threads / work, as it is without congestion.
-        seconds_per_cost_unit: Run time over estimated cost.
+        prior: Estimated costs, latencies, work and uncontended work before the first response.
+        baseline_inflation: Low quantile of latency x threads / work, which excludes congestion.
+        seconds_per_cost_unit: Seconds of run time per unit of estimated cost.
         last_answer_at: Time of the last response; -inf if there was none.
-        memory_requirement: High quantile of the memory used over the memory estimated.
+        memory_requirement: High quantile of the ratio of memory used to memory estimated.
     """
 
     def __init__(self, class_settings: api.ClassSettings, prior_answers: float) -> None:
--- a/saffronlane/state/engine_registry.py
+++ b/saffronlane/state/engine_registry.py
@@ -49,7 +49,7 @@
         self.warmups_end_at = last_start + slow_start_duration
 
     def record_load_report(self, engine: Engine, threads_per_core: float, now: float) -> None:
-        """Record the load report of an engine and update the mean over all."""
+        """Record the load report of an engine and update the mean over the ready engines."""
         engine.reported_threads_per_core = threads_per_core
         engine.reported_at = now
         reported = [e.reported_threads_per_core for e in self.ready if e.reported_at > -math.inf]
@@ -65,7 +65,7 @@
         engine.update(entry)
         if has_restarted:
             engine.restart(now)
-        elif has_returned:  # it may have restarted while it was not listed, at the latest now
+        elif has_returned:  # it may have restarted while it was not listed; the latest time is assumed
             engine.inferred_restart_at = now
 
     def _add(self, entry: api.EngineEntry) -> None:
--- a/saffronlane/state/engines.py
+++ b/saffronlane/state/engines.py
@@ -34,7 +34,7 @@
         peer_bulk_loads: Number of the peers' bulk loads by the digest of their table group.
         recent_work: Work that this gateway sent, as the mean number of threads that it occupies.
         in_flight: This gateway's attempts without an outcome, by request and attempt index.
-        hash_fraction: Constant hash of its id from 0 to 1, which shifts the gateways' turns at this engine.
+        hash_fraction: Constant hash of its id from 0 to 1, an offset for the gateways' turns in slow start.
         last_response_at: Time of the last response or progress report; -inf if there was none.
         last_outcome_at: Time of the last update of the failure ratio; -inf if there was none.
         last_rejection_at: Time of the last rejection or other sign of congestion; -inf if there was none.
--- a/saffronlane/state/requests.py
+++ b/saffronlane/state/requests.py
@@ -71,7 +71,7 @@
         is_ended: Whether it has received its final answer or its client has disconnected.
         is_streaming: Whether bytes of a result were sent to the client.
         was_restarted: Whether an attempt was cancelled because it was far slower than expected.
-        is_over_quota: Whether it exceeds the rate limit of its tenant.
+        is_over_rate_limit: Whether it exceeds the rate limit of its tenant.
         failed_engines: Ids of the engines on which an attempt failed or had to wait.
     """
 
@@ -95,7 +95,7 @@
         self.is_ended = False
         self.is_streaming = False
         self.was_restarted = False
-        self.is_over_quota = False
+        self.is_over_rate_limit = False
         self.failed_engines: list[bytes] = []
 
     def first_possible_execution(self) -> Attempt | None:
