--- a/tests/test_module_limits.py
+++ b/tests/test_module_limits.py
@@ -1,4 +1,4 @@
-"""The deploy file lists exactly the files that decide, and each of them can be read in a sitting."""
+"""The deploy file lists exactly the files of the policy package, and each of these files is short."""
 
 import tomllib
 from pathlib import Path
--- a/tests/test_random_events.py
+++ b/tests/test_random_events.py
@@ -68,7 +68,7 @@
         )
         self.driver = Driver(plain, engines=0)
         self.states = {engine_id(i): EngineState.READY for i in range(6)}
-        self.driver.list([self.entry(e) for e in self.states])
+        self.driver.update_endpoints([self.entry(e) for e in self.states])
         self.open: dict[int, api.Arrival] = {}
         self.limit: dict[int, float] = {}
         self.outcomes: dict[int, list[Outcome | None]] = {}
@@ -99,19 +99,19 @@
         now, request = self.driver.now, send.request
         assert request in self.open  # 1: nothing goes out after the end
         arrival, tries = self.open[request], self.outcomes[request]
-        cls = CLASSES[arrival.class_index]
+        class_index = CLASSES[arrival.class_index]
         assert now + send.timeout <= self.limit[request]
         assert None not in tries  # 2: one attempt at a time
         maybe = [i for i, outcome in enumerate(tries) if outcome not in NEVER_RAN]
-        if cls.idempotency is Idempotency.UNSAFE:
+        if class_index.idempotency is Idempotency.UNSAFE:
             assert not maybe
-        if cls.idempotency is Idempotency.KEYED and maybe:
+        if class_index.idempotency is Idempotency.KEYED and maybe:
             first, sent = self.engines[request][maybe[0]]
-            assert first[3] % 2 == send.engine[3] % 2 and now <= sent + cls.idempotency_ttl
+            assert first[3] % 2 == send.engine[3] % 2 and now <= sent + class_index.idempotency_ttl
         assert self.states[send.engine] is EngineState.READY  # 3
-        if cls.allowed_zones:
-            assert send.engine[3] % 2 in cls.allowed_zones  # 6
-        if cls.is_ordered:
+        if class_index.allowed_zones:
+            assert send.engine[3] % 2 in class_index.allowed_zones  # 6
+        if class_index.is_ordered:
             assert self.order[arrival.ordering_key][0] == request  # 5
             assert now >= self.rest.get(arrival.ordering_key, 0.0)
         if tries:  # 7
@@ -125,8 +125,8 @@
     def check_answer(self, answer: api.Reject | api.Fail) -> None:
         request = answer.request
         assert request in self.open and self.driver.now <= self.limit[request]
-        cls, tries = CLASSES[self.open.pop(request).class_index], self.outcomes[request]
-        if isinstance(answer, api.Reject) and cls.idempotency is not Idempotency.SAFE:
+        class_index, tries = CLASSES[self.open.pop(request).class_index], self.outcomes[request]
+        if isinstance(answer, api.Reject) and class_index.idempotency is not Idempotency.SAFE:
             assert all(outcome in NEVER_RAN for outcome in tries)
         self.settle(request)
 
@@ -137,16 +137,16 @@
                 queue.remove(request)
 
     def arrive(self) -> None:
-        cls = self.random.randrange(len(CLASSES))
-        key = self.random.randrange(1, 4) if CLASSES[cls].is_ordered else 0
-        remaining = self.random.uniform(0.1, CLASSES[cls].deadline)
+        class_index = self.random.randrange(len(CLASSES))
+        key = self.random.randrange(1, 4) if CLASSES[class_index].is_ordered else 0
+        timeout = self.random.uniform(0.1, CLASSES[class_index].deadline)
         fields = {
             "ordering_key": key,
             "table_group": float(self.random.randrange(5)),
             "tenant": self.random.randrange(6),
         }
-        event = self.driver.arrival(cls, remaining, **fields)
-        self.open[event.request], self.limit[event.request] = event, self.driver.now + remaining
+        event = self.driver.make_arrival(class_index, timeout, **fields)
+        self.open[event.request], self.limit[event.request] = event, self.driver.now + timeout
         self.outcomes[event.request], self.engines[event.request] = [], []
         self.taken.append(self.driver.now)
         if key:
@@ -243,8 +243,8 @@
 @pytest.mark.parametrize("mode", [EndpointListMode.FULL, EndpointListMode.CACHED])
 def test_list_that_shrinks_to_nothing_and_returns(mode: EndpointListMode) -> None:
     checker = Checker(1)
-    checker.driver.list([], mode)
-    request = checker.driver.ask()
-    assert not checker.driver.sends(request)
-    checker.driver.list([checker.entry(engine) for engine in checker.states], mode)
-    assert checker.driver.sends(request)
+    checker.driver.update_endpoints([], mode)
+    request = checker.driver.submit()
+    assert not checker.driver.dispatches(request)
+    checker.driver.update_endpoints([checker.entry(engine) for engine in checker.states], mode)
+    assert checker.driver.dispatches(request)
--- a/tests/test_rules_kept.py
+++ b/tests/test_rules_kept.py
@@ -1,4 +1,4 @@
-"""One test or more for each of the seven rules; each fails when its guard is taken out."""
+"""The seven rules of every decision. Each test fails if the code that enforces its rule is removed."""
 
 from __future__ import annotations
 
@@ -6,381 +6,407 @@
 from random import Random
 
 import pytest
-from conftest import LOOKUP, Driver, engine_id, make_settings, one_class
+from conftest import SHORT_CLASS, Driver, engine_id, make_settings, one_class
 
 from saffronlane import interface as api
 from saffronlane.interface import DeduplicationScope, EndpointListMode, EngineState, Idempotency, Outcome
 
 
-def entry(index: int, state: EngineState = EngineState.READY, **fields: object) -> api.EngineEntry:
+def make_entry(index: int, state: EngineState = EngineState.READY, **fields: object) -> api.EngineEntry:
     return api.EngineEntry(engine_id(index), state, **fields)
 
 
-# --- 1: no request is lost ---
+# --- Rule 1: every request gets exactly one final answer, in time ---
 
 
-def test_unanswered_request_ends_once_and_in_time(driver: Driver) -> None:
-    request = driver.ask(remaining=2.0)
-    driver.pass_time(101.5)
-    assert driver.answers(request) == []
-    driver.pass_time(102.0)
-    assert len(driver.answers(request)) == 1
+def test_request_without_an_outcome_gets_one_final_answer_before_its_timeout(driver: Driver) -> None:
+    request = driver.submit(timeout=2.0)
+    driver.run_until(101.5)
+    assert driver.final_answers(request) == []
+    driver.run_until(102.0)
+    assert len(driver.final_answers(request)) == 1
 
 
-def test_attempt_time_out_fits_inside_the_clients_time(driver: Driver) -> None:
-    request = driver.ask(remaining=2.0)
-    assert 0.0 < driver.sends(request)[0].timeout < 2.0
+def test_attempt_timeout_is_shorter_than_the_client_timeout(driver: Driver) -> None:
+    request = driver.submit(timeout=2.0)
+    assert 0.0 < driver.dispatches(request)[0].timeout < 2.0
 
 
-def test_requests_without_engines_are_queued_and_then_rejected() -> None:
+def test_request_is_queued_and_then_rejected_if_there_is_no_engine() -> None:
     driver = Driver(make_settings(), engines=0)
-    request = driver.ask(remaining=1.0)
-    assert driver.sends() == [] and driver.answers(request) == []
-    driver.pass_time(101.0)
-    assert len(driver.of_kind(api.Reject, request)) == 1
+    request = driver.submit(timeout=1.0)
+    assert driver.dispatches() == [] and driver.final_answers(request) == []
+    driver.run_until(101.0)
+    assert len(driver.actions_of_type(api.Reject, request)) == 1
 
 
-def test_late_events_on_ended_requests_change_nothing(driver: Driver) -> None:
-    request = driver.ask()
-    driver.end(request, Outcome.OK)
-    before = len(driver.actions)
-    driver.end(request, Outcome.ERROR)
+def test_late_events_of_an_ended_request_are_ignored(driver: Driver) -> None:
+    request = driver.submit()
+    driver.end_attempt(request, Outcome.OK)
+    previous_count = len(driver.actions)
+    driver.end_attempt(request, Outcome.ERROR)
     driver.step(api.ClientDisconnected(request), api.ClientDisconnected(999))
     driver.step(
         api.ProgressReport(request, 0, engine_id(0), api.ProgressKind.PROGRESS, 0.5), api.TimerFired(12345)
     )
-    assert driver.actions[before:] == []
+    assert driver.actions[previous_count:] == []
 
 
-# --- 2: no effect happens twice ---
+# --- Rule 2: no request takes effect twice ---
 
 
-def test_unsafe_request_that_may_have_run_fails_and_is_not_repeated() -> None:
+def test_unsafe_request_fails_and_is_not_retried_after_a_reset() -> None:
     driver = Driver(make_settings(classes=one_class(idempotency=Idempotency.UNSAFE, idempotency_ttl=5.0)))
-    request = driver.ask()
-    driver.end(request, Outcome.RESET)
-    assert len(driver.sends(request)) == 1
-    assert driver.answers(request) == [api.Fail(request)]
+    request = driver.submit()
+    driver.end_attempt(request, Outcome.RESET)
+    assert len(driver.dispatches(request)) == 1
+    assert driver.final_answers(request) == [api.Fail(request)]
 
 
 @pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT])
-def test_unsafe_request_that_never_ran_is_repeated_at_once(outcome: Outcome) -> None:
+def test_unsafe_request_that_never_ran_is_retried_immediately(outcome: Outcome) -> None:
     driver = Driver(make_settings(classes=one_class(idempotency=Idempotency.UNSAFE)))
-    request = driver.ask()
-    driver.end(request, outcome)
-    assert len(driver.sends(request)) == 2
-    assert driver.sends(request)[0].engine != driver.sends(request)[1].engine
+    request = driver.submit()
+    driver.end_attempt(request, outcome)
+    assert len(driver.dispatches(request)) == 2
+    assert driver.dispatches(request)[0].engine != driver.dispatches(request)[1].engine
 
 
-def test_keyed_request_is_repeated_only_in_its_zone() -> None:
+def test_keyed_request_is_retried_only_in_the_zone_of_its_first_attempt() -> None:
     classes = one_class(
         idempotency=Idempotency.KEYED, deduplication_scope=DeduplicationScope.ZONE, idempotency_ttl=30.0
     )
     driver = Driver(make_settings(classes=classes), engines=0)
-    driver.list([entry(i, zone=i % 3) for i in range(9)])
-    request = driver.ask()
-    driver.end(request, Outcome.RESET)
-    zones = [send.engine[3] % 3 for send in driver.sends(request)]
+    driver.update_endpoints([make_entry(i, zone=i % 3) for i in range(9)])
+    request = driver.submit()
+    driver.end_attempt(request, Outcome.RESET)
+    zones = [send.engine[3] % 3 for send in driver.dispatches(request)]
     assert len(zones) == 2 and zones[0] == zones[1]
 
 
-def test_keyed_request_is_not_repeated_after_its_window() -> None:
+def test_keyed_request_is_not_retried_after_its_key_has_expired() -> None:
     driver = Driver(make_settings(classes=one_class(idempotency=Idempotency.KEYED, idempotency_ttl=2.0)))
-    request = driver.ask()
+    request = driver.submit()
     driver.now += 2.0
-    driver.end(request, Outcome.RESET)
-    assert len(driver.sends(request)) == 1
-    assert driver.answers(request) == [api.Fail(request)]
+    driver.end_attempt(request, Outcome.RESET)
+    assert len(driver.dispatches(request)) == 1
+    assert driver.final_answers(request) == [api.Fail(request)]
 
 
-def test_keyed_window_counts_from_the_first_attempt_that_may_have_run() -> None:
+def test_key_ttl_starts_at_the_first_attempt_that_may_have_run() -> None:
     driver = Driver(
         make_settings(
             classes=one_class(idempotency=Idempotency.KEYED, idempotency_ttl=2.0, late_priority_weight=0.5)
         )
     )
-    request = driver.ask()
+    request = driver.submit()
     driver.now += 1.5
-    driver.end(request, Outcome.REJECTED)
+    driver.end_attempt(request, Outcome.REJECTED)
     driver.now += 1.5
-    driver.end(request, Outcome.RESET, attempt=1)
-    assert len(driver.sends(request)) == 3
+    driver.end_attempt(request, Outcome.RESET, attempt=1)
+    assert len(driver.dispatches(request)) == 3
 
 
-@pytest.mark.parametrize(("connect", "sent"), [(0.1, 2), (0.25, 2), (0.4, 1), (1.0, 1)])
-def test_a_repeat_that_may_wait_for_its_connection_arrives_within_its_keys_time(
-    connect: float, sent: int
+@pytest.mark.parametrize(("connect_timeout", "attempt_count"), [(0.1, 2), (0.25, 2), (0.4, 1), (1.0, 1)])
+def test_retry_is_dispatched_only_if_it_arrives_before_its_key_expires(
+    connect_timeout: float, attempt_count: int
 ) -> None:
-    """The margin was a constant: where connections may take longer, a repeat arrived after the key's time."""
+    """Guards against a constant margin: with a long connect timeout, retries arrived too late."""
     settings = make_settings(
         classes=one_class(idempotency=Idempotency.KEYED, idempotency_ttl=2.0, late_priority_weight=0.5)
     )
-    limits = replace(settings.limits, connect_timeout=connect)
+    limits = replace(settings.limits, connect_timeout=connect_timeout)
     driver = Driver(replace(settings, limits=limits))
-    request = driver.ask()
-    driver.now += 1.7  # 0.3 s are left
-    driver.end(request, Outcome.RESET)
-    assert len(driver.sends(request)) == sent
+    request = driver.submit()
+    driver.now += 1.7  # 0.3 s before the key expires
+    driver.end_attempt(request, Outcome.RESET)
+    assert len(driver.dispatches(request)) == attempt_count
 
 
-def test_queued_retry_does_not_leave_between_two_expiry_checks() -> None:
-    """It is held for want of an engine when its key's time is up to its margin; one comes 20 ms later."""
+def test_queued_retry_is_not_dispatched_if_its_key_expires_between_expiry_checks() -> None:
+    """The retry waits for an engine; one is ready 20 ms later, when the key is about to expire."""
     classes = one_class(idempotency=Idempotency.KEYED, idempotency_ttl=2.0, late_priority_weight=0.5)
     driver = Driver(make_settings(classes=classes), engines=1)
-    request = driver.ask()
+    request = driver.submit()
     driver.now += 1.74
-    driver.list([entry(0, EngineState.DRAINING)])
-    driver.end(request, Outcome.RESET)
-    assert len(driver.sends(request)) == 1
+    driver.update_endpoints([make_entry(0, EngineState.DRAINING)])
+    driver.end_attempt(request, Outcome.RESET)
+    assert len(driver.dispatches(request)) == 1
     driver.now += 0.02
-    driver.list([entry(0, EngineState.DRAINING), entry(1)])
-    assert len(driver.sends(request)) == 1
+    driver.update_endpoints([make_entry(0, EngineState.DRAINING), make_entry(1)])
+    assert len(driver.dispatches(request)) == 1
 
 
-def test_next_send_waits_for_the_outcome_of_a_cancel() -> None:
+def test_next_attempt_waits_for_the_outcome_of_the_cancelled_attempt() -> None:
     driver = Driver(make_settings(progress_interval=1.0))
     for _ in range(6):
-        driver.end(driver.ask(), Outcome.OK, work=0.1)
-    request = driver.ask()
-    engine = driver.sends(request)[0].engine
+        driver.end_attempt(driver.submit(), Outcome.OK, work=0.1)
+    request = driver.submit()
+    engine = driver.dispatches(request)[0].engine
     driver.now += 1.0
     driver.step(api.ProgressReport(request, 0, engine, api.ProgressKind.PROGRESS, 0.01))
-    assert driver.of_kind(api.Cancel, request) == [api.Cancel(request, 0)]
-    assert len(driver.sends(request)) == 1
-    driver.end(request, Outcome.CANCELLED, elapsed=1.0)
-    assert len(driver.sends(request)) == 2
+    assert driver.actions_of_type(api.Cancel, request) == [api.Cancel(request, 0)]
+    assert len(driver.dispatches(request)) == 1
+    driver.end_attempt(request, Outcome.CANCELLED, elapsed=1.0)
+    assert len(driver.dispatches(request)) == 2
 
 
-# --- 3: drains are kept ---
+# --- Rule 3: draining and removed engines get no attempts ---
 
 
 @pytest.mark.parametrize("state", [EngineState.DRAINING, EngineState.REMOVED])
 def test_nothing_is_dispatched_to_a_draining_or_removed_engine(state: EngineState) -> None:
     driver = Driver(make_settings(), engines=2)
-    driver.list([entry(0, state)], EndpointListMode.DELTA)
-    requests = [driver.ask(table_group=float(i)) for i in range(12)]
-    assert {driver.sends(r)[0].engine for r in requests} == {engine_id(1)}
+    driver.update_endpoints([make_entry(0, state)], EndpointListMode.DELTA)
+    requests = [driver.submit(table_group=float(i)) for i in range(12)]
+    assert {driver.dispatches(r)[0].engine for r in requests} == {engine_id(1)}
 
 
-def test_engine_absent_from_a_full_list_is_removed() -> None:
+def test_nothing_is_dispatched_to_an_engine_absent_from_a_full_list() -> None:
     driver = Driver(make_settings(), engines=2)
-    driver.list([entry(1)])
-    requests = [driver.ask(table_group=float(i)) for i in range(12)]
-    assert {driver.sends(r)[0].engine for r in requests} == {engine_id(1)}
+    driver.update_endpoints([make_entry(1)])
+    requests = [driver.submit(table_group=float(i)) for i in range(12)]
+    assert {driver.dispatches(r)[0].engine for r in requests} == {engine_id(1)}
 
 
-# --- 4: a cold engine is not pushed over ---
+# --- Rule 4: an engine in slow start is not overloaded ---
 
-COLD = api.Guarantees(
+SLOW_START = api.Guarantees(
     slow_start_overload_factor=3.0,
     slow_start_overload_window=1.5,
     slow_start_initial_ratio=0.35,
     slow_start_duration=14.0,
 )
-COLD_BUDGET = 3.0 * 0.35 * 8.0 * 1.5  # work in any window that the engine survives, from all gateways
+SLOW_START_BUDGET = (
+    3.0 * 0.35 * 8.0 * 1.5
+)  # thread seconds of all gateways in any window that the engine survives
 
 
-def burst(driver: Driver, count: int) -> float:
-    """Send many requests of a known work at once; returns the work that left."""
-    before = len(driver.sends())
-    driver.step(*(driver.arrival() for _ in range(count)))
-    return 0.5 * (len(driver.sends()) - before)
+def dispatch_burst(driver: Driver, count: int) -> float:
+    """Submit many requests of 0.5 thread seconds in one step and return the dispatched work."""
+    previous_count = len(driver.dispatches())
+    driver.step(*(driver.make_arrival() for _ in range(count)))
+    return 0.5 * (len(driver.dispatches()) - previous_count)
 
 
-@pytest.mark.parametrize("gateways", [1, 3])
-def test_engine_warming_up_gets_at_most_its_budget(gateways: int) -> None:
-    driver = Driver(make_settings(guarantees=COLD, gateway_count=gateways), engines=1)
+@pytest.mark.parametrize("gateway_count", [1, 3])
+def test_engine_in_slow_start_gets_at_most_its_budget(gateway_count: int) -> None:
+    driver = Driver(make_settings(guarantees=SLOW_START, gateway_count=gateway_count), engines=1)
     for _ in range(60):
-        driver.end(driver.ask(), Outcome.OK, work=0.5, elapsed=0.5)
-    driver.list([entry(0, started_at=driver.now)], EndpointListMode.DELTA)
-    assert 0.0 < burst(driver, 100) <= COLD_BUDGET / gateways
+        driver.end_attempt(driver.submit(), Outcome.OK, work=0.5, elapsed=0.5)
+    driver.update_endpoints([make_entry(0, started_at=driver.now)], EndpointListMode.DELTA)
+    assert 0.0 < dispatch_burst(driver, 100) <= SLOW_START_BUDGET / gateway_count
     driver.now += 20.0
-    driver.list([entry(0, started_at=100.0)], EndpointListMode.DELTA)
-    assert burst(driver, 100) > COLD_BUDGET / gateways
+    driver.update_endpoints([make_entry(0, started_at=100.0)], EndpointListMode.DELTA)
+    assert dispatch_burst(driver, 100) > SLOW_START_BUDGET / gateway_count
 
 
-def test_rejected_and_cancelled_work_counts_against_the_slow_start_budget() -> None:
-    driver = Driver(make_settings(guarantees=COLD), engines=1)
-    driver.list([entry(0, started_at=driver.now)], EndpointListMode.DELTA)
-    sent = 0.0
+def test_rejected_work_counts_against_the_slow_start_budget() -> None:
+    driver = Driver(make_settings(guarantees=SLOW_START), engines=1)
+    driver.update_endpoints([make_entry(0, started_at=driver.now)], EndpointListMode.DELTA)
+    dispatched_work = 0.0
     for _ in range(100):
-        request = driver.ask()
-        if driver.sends(request):
-            sent += 1.0  # the seed of a query's work: the class's aim on one thread
-            driver.end(request, Outcome.REJECTED)
-    assert sent <= COLD_BUDGET
+        request = driver.submit()
+        if driver.dispatches(request):
+            dispatched_work += 1.0  # initial estimate: the class's latency objective on one thread
+            driver.end_attempt(request, Outcome.REJECTED)
+    assert dispatched_work <= SLOW_START_BUDGET
 
 
-def test_engine_that_may_have_restarted_unseen_is_warming_up() -> None:
-    driver = Driver(make_settings(guarantees=COLD), engines=1)
+def test_engine_is_in_slow_start_after_an_inferred_restart() -> None:
+    driver = Driver(make_settings(guarantees=SLOW_START), engines=1)
     for _ in range(60):
-        driver.end(driver.ask(), Outcome.OK, work=0.5, elapsed=0.5)
-    broken = driver.ask()
-    driver.end(broken, Outcome.RESET)
-    driver.end(broken, Outcome.CONNECT_FAILED, attempt=1)
+        driver.end_attempt(driver.submit(), Outcome.OK, work=0.5, elapsed=0.5)
+    request = driver.submit()
+    driver.end_attempt(request, Outcome.RESET)
+    driver.end_attempt(request, Outcome.CONNECT_FAILED, attempt=1)
     driver.now += 3.0
-    driver.pass_time(driver.now)
-    driver.end(broken, Outcome.OK, attempt=2, work=0.5, elapsed=0.5)
-    assert burst(driver, 100) <= COLD_BUDGET
+    driver.run_until(driver.now)
+    driver.end_attempt(request, Outcome.OK, attempt=2, work=0.5, elapsed=0.5)
+    assert dispatch_burst(driver, 100) <= SLOW_START_BUDGET
 
 
-# --- 5: order is kept ---
+# --- Rule 5: requests with the same ordering key run one at a time, in order ---
 
 
-def ordered_driver(settle: float = 0.0) -> Driver:
-    guarantees = api.Guarantees(ordering_cooldown=settle)
+def ordered_driver(cooldown: float = 0.0) -> Driver:
+    guarantees = api.Guarantees(ordering_cooldown=cooldown)
     return Driver(
         make_settings(classes=one_class(is_ordered=True, late_priority_weight=0.5), guarantees=guarantees)
     )
 
 
-def test_requests_of_one_key_run_one_after_another() -> None:
+def test_requests_of_one_ordering_key_run_one_at_a_time() -> None:
     driver = ordered_driver()
-    first, second, other = driver.ask(ordering_key=5), driver.ask(ordering_key=5), driver.ask(ordering_key=6)
-    assert driver.sends(first) and not driver.sends(second) and driver.sends(other)
-    driver.end(first, Outcome.OK)
-    assert driver.sends(second)
+    first, second, other = (
+        driver.submit(ordering_key=5),
+        driver.submit(ordering_key=5),
+        driver.submit(ordering_key=6),
+    )
+    assert driver.dispatches(first) and not driver.dispatches(second) and driver.dispatches(other)
+    driver.end_attempt(first, Outcome.OK)
+    assert driver.dispatches(second)
 
 
-def test_key_waits_for_the_outcome_of_an_attempt_of_an_ended_request() -> None:
+def test_ordering_key_is_blocked_until_the_attempt_of_an_ended_request_has_an_outcome() -> None:
     driver = ordered_driver()
-    first, second = driver.ask(ordering_key=5), driver.ask(ordering_key=5)
+    first, second = driver.submit(ordering_key=5), driver.submit(ordering_key=5)
     driver.step(api.ClientDisconnected(first))
-    assert not driver.sends(second)
-    driver.end(first, Outcome.CANCELLED)
-    assert driver.sends(second)
+    assert not driver.dispatches(second)
+    driver.end_attempt(first, Outcome.CANCELLED)
+    assert driver.dispatches(second)
 
 
-def test_ordering_key_has_a_cooldown_after_a_reset() -> None:
-    driver = ordered_driver(settle=1.0)
-    first, second = driver.ask(ordering_key=5, remaining=0.5), driver.ask(ordering_key=5)
-    driver.pass_time(100.5)
-    driver.end(first, Outcome.CANCELLED)
-    driver.pass_time(101.4)
-    assert not driver.sends(second)
-    driver.pass_time(101.7)
-    assert driver.sends(second)
+def test_ordering_key_has_a_cooldown_after_a_cancelled_attempt() -> None:
+    driver = ordered_driver(cooldown=1.0)
+    first, second = driver.submit(ordering_key=5, timeout=0.5), driver.submit(ordering_key=5)
+    driver.run_until(100.5)
+    driver.end_attempt(first, Outcome.CANCELLED)
+    driver.run_until(101.4)
+    assert not driver.dispatches(second)
+    driver.run_until(101.7)
+    assert driver.dispatches(second)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED])
-def test_unsafe_load_in_order_ends_with_fail_and_the_next_of_its_key_waits(outcome: Outcome) -> None:
-    """A lost load may still run: no repeat, no word that a repeat is safe, and the key waits for its end."""
+def test_unsafe_ordered_bulk_load_fails_and_blocks_its_ordering_key_until_its_outcome(
+    outcome: Outcome,
+) -> None:
+    """Guards against a second effect of a bulk load that may still run.
+
+    It is neither retried nor rejected, since a rejection tells the client that a retry is safe, and its
+    ordering key stays blocked until the attempt has ended.
+    """
     classes = one_class(
         idempotency=Idempotency.UNSAFE, is_ordered=True, is_bulk_load=True, late_priority_weight=0.5
     )
     driver = Driver(make_settings(classes=classes, progress_interval=0.5))
-    first, second = driver.ask(ordering_key=5, remaining=4.0), driver.ask(ordering_key=5)
-    driver.pass_time(103.0)
-    assert len(driver.sends(first)) == 1 and not driver.sends(second)
-    assert not driver.of_kind(api.Cancel, first)
-    driver.end(first, outcome)
-    assert driver.answers(first) == [api.Fail(first)] and len(driver.sends(first)) == 1
-    assert len(driver.sends(second)) == 1
+    first, second = driver.submit(ordering_key=5, timeout=4.0), driver.submit(ordering_key=5)
+    driver.run_until(103.0)
+    assert len(driver.dispatches(first)) == 1 and not driver.dispatches(second)
+    assert not driver.actions_of_type(api.Cancel, first)
+    driver.end_attempt(first, outcome)
+    assert driver.final_answers(first) == [api.Fail(first)] and len(driver.dispatches(first)) == 1
+    assert len(driver.dispatches(second)) == 1
 
 
-def test_unsafe_load_is_never_the_probe_request_of_an_ejected_engine() -> None:
-    classes = (LOOKUP, replace(LOOKUP, idempotency=Idempotency.UNSAFE))
+def test_unsafe_request_is_never_a_probe_request_to_an_ejected_engine() -> None:
+    classes = (SHORT_CLASS, replace(SHORT_CLASS, idempotency=Idempotency.UNSAFE))
     driver = Driver(make_settings(classes=classes), engines=3)
     driver.gateway.outlier_detector.eject(driver.gateway.engine_registry.engines[engine_id(0)], "failing")
-    used: dict[int, set[bytes]] = {0: set(), 1: set()}
+    used_engines: dict[int, set[bytes]] = {0: set(), 1: set()}
     for i in range(60):
         driver.now += 1.0
-        for cls in (1, 0):
-            request = driver.ask(cls, table_group=float(i))
-            engine = driver.sends(request)[0].engine
-            used[cls].add(engine)
-            driver.end(request, Outcome.ERROR if engine == engine_id(0) else Outcome.OK, is_final=True)
-    assert used[1] == {engine_id(1), engine_id(2)}
-    assert engine_id(0) in used[0]
+        for class_index in (1, 0):
+            request = driver.submit(class_index, table_group=float(i))
+            engine = driver.dispatches(request)[0].engine
+            used_engines[class_index].add(engine)
+            driver.end_attempt(
+                request, Outcome.ERROR if engine == engine_id(0) else Outcome.OK, is_final=True
+            )
+    assert used_engines[1] == {engine_id(1), engine_id(2)}
+    assert engine_id(0) in used_engines[0]
 
 
-# --- 6: placement is kept ---
+# --- Rule 6: requests run only in allowed zones and on allowed machine types ---
 
 
-def test_class_bound_to_zones_waits_and_never_leaves_them() -> None:
+def test_request_runs_only_in_its_allowed_zones_and_waits_if_they_have_no_engine() -> None:
     classes = one_class(allowed_zones=(1,), allowed_machine_types=(0,))
     driver = Driver(make_settings(classes=classes), engines=0)
-    driver.list([entry(i, zone=i % 2) for i in range(6)])
-    request = driver.ask()
-    assert driver.sends(request)[0].engine[3] % 2 == 1
-    driver.list([entry(i, EngineState.REMOVED, zone=i % 2) for i in (1, 3, 5)], EndpointListMode.DELTA)
-    waiting = driver.ask(remaining=0.5)
-    driver.pass_time(100.5)
-    assert not driver.sends(waiting) and len(driver.answers(waiting)) == 1
+    driver.update_endpoints([make_entry(i, zone=i % 2) for i in range(6)])
+    request = driver.submit()
+    assert driver.dispatches(request)[0].engine[3] % 2 == 1
+    driver.update_endpoints(
+        [make_entry(i, EngineState.REMOVED, zone=i % 2) for i in (1, 3, 5)], EndpointListMode.DELTA
+    )
+    waiting = driver.submit(timeout=0.5)
+    driver.run_until(100.5)
+    assert not driver.dispatches(waiting) and len(driver.final_answers(waiting)) == 1
 
 
-# --- 7: further attempts stay within a budget ---
+# --- Rule 7: retries stay within the retry budget ---
 
 
-def test_further_attempts_stay_within_the_sliding_window() -> None:
+def test_retries_stay_within_the_retry_budget() -> None:
     guarantees = api.Guarantees(retry_budget_base=3.0, retry_budget_ratio=0.2, retry_budget_window=10.0)
     limits = api.Limits(can_cancel=True, max_attempts=3, max_retry_after=1.0)
     driver = Driver(make_settings(guarantees=guarantees, limits=limits), engines=6)
     driver.now += 10.1
-    requests = [driver.ask() for _ in range(20)]
+    requests = [driver.submit() for _ in range(20)]
     for request in requests:
-        driver.end(request, Outcome.ERROR)
-    extra = len(driver.sends()) - len(requests)
-    assert 0 < extra <= 3 + 0.2 * len(requests)
+        driver.end_attempt(request, Outcome.ERROR)
+    retry_count = len(driver.dispatches()) - len(requests)
+    assert 0 < retry_count <= 3 + 0.2 * len(requests)
 
 
-def test_restart_without_state_gives_no_base_budget_for_one_window() -> None:
-    """Guards against a gateway that is killed and used what came free before and after, within one window."""
+def test_restarted_gateway_has_no_base_retry_budget_for_one_window() -> None:
+    """Guards against a killed gateway that uses the base both before and after its restart in one window."""
     guarantees = api.Guarantees(retry_budget_base=3.0, retry_budget_ratio=0.2, retry_budget_window=10.0)
     driver = Driver(make_settings(guarantees=guarantees), engines=6)
-    for after, extras in ((1.0, 0), (10.0, 3)):
-        driver.now += after
-        requests = [driver.ask() for _ in range(9)]
+    for elapsed, retry_count in ((1.0, 0), (10.0, 3)):
+        driver.now += elapsed
+        requests = [driver.submit() for _ in range(9)]
         for request in requests:
-            driver.end(request, Outcome.ERROR)
-        assert sum(len(driver.sends(request)) - 1 for request in requests) == extras
+            driver.end_attempt(request, Outcome.ERROR)
+        assert sum(len(driver.dispatches(request)) - 1 for request in requests) == retry_count
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_retry_budget_holds_at_any_time_for_any_client(seed: int) -> None:
-    """The rule counts attempts as they arrive at engines, against what usual clients asked.
+def test_retry_budget_holds_in_every_window_despite_failing_clients(seed: int) -> None:
+    """The rule compares the retries that arrive at engines with the requests of regular clients.
 
-    Guards against requests of bad clients, which parse, fail on every engine and were counted as taken: they
-    widened the ration that their own repeats then used.
+    Guards against requests of faulty clients, which parse but fail on every engine. They were counted as
+    served and so increased the budget that their own retries used.
     """
-    random, wait = Random(seed), 0.25
+    random, connect_timeout = Random(seed), 0.25
     guarantees = api.Guarantees(retry_budget_base=3.0, retry_budget_ratio=0.2, retry_budget_window=10.0)
-    limits = api.Limits(can_cancel=True, hedged_requests_enabled=True, max_attempts=3, connect_timeout=wait)
+    limits = api.Limits(
+        can_cancel=True, hedged_requests_enabled=True, max_attempts=3, connect_timeout=connect_timeout
+    )
     driver = Driver(make_settings(guarantees=guarantees, limits=limits), engines=12, seed=seed)
-    usual: list[float] = []
-    extras: list[float] = []
-    out: list[tuple[float, int, int, bool]] = []  # end, request, attempt, of a bad client
-    bad: set[int] = set()
-    tries: dict[int, int] = {}
+    regular_arrivals: list[float] = []
+    retry_arrivals: list[float] = []
+    # End, request, attempt, and whether the client is faulty.
+    running: list[tuple[float, int, int, bool]] = []
+    faulty_requests: set[int] = set()
+    attempt_indices: dict[int, int] = {}
     while driver.now < 140.0:
-        flood, before = random.random() < 0.05, len(driver.actions)
-        driver.pass_time(driver.now + random.expovariate(12.0))
-        for _ in range(random.randrange(10, 60) if flood else 1):
-            request = driver.ask(table_group=float(random.randrange(9)))
-            if flood:
-                bad.add(request)
+        is_faulty_client, previous_count = random.random() < 0.05, len(driver.actions)
+        driver.run_until(driver.now + random.expovariate(12.0))
+        for _ in range(random.randrange(10, 60) if is_faulty_client else 1):
+            request = driver.submit(table_group=float(random.randrange(9)))
+            if is_faulty_client:
+                faulty_requests.add(request)
             else:
-                usual.append(driver.now)
+                regular_arrivals.append(driver.now)
             if random.random() < 0.1:
                 driver.step(api.ClientDisconnected(request))
-        for end, request, attempt, is_bad in sorted(out):
-            if end <= driver.now:
-                out.remove((end, request, attempt, is_bad))
-                fails = is_bad or random.random() < 0.2
-                driver.end(request, Outcome.ERROR if fails else Outcome.OK, attempt, work=0.1)
-        for send in (action for action in driver.actions[before:] if isinstance(action, api.Dispatch)):
-            attempt = tries[send.request] = tries.get(send.request, -1) + 1
-            arrived = driver.now + random.choice((0.0, random.uniform(0.0, wait)))
-            out.append((arrived + random.uniform(0.01, 0.4), send.request, attempt, send.request in bad))
+        for ends_at, request, attempt, is_faulty in sorted(running):
+            if ends_at <= driver.now:
+                running.remove((ends_at, request, attempt, is_faulty))
+                fails = is_faulty or random.random() < 0.2
+                driver.end_attempt(request, Outcome.ERROR if fails else Outcome.OK, attempt, work=0.1)
+        for dispatch in (a for a in driver.actions[previous_count:] if isinstance(a, api.Dispatch)):
+            attempt = attempt_indices[dispatch.request] = attempt_indices.get(dispatch.request, -1) + 1
+            arrives_at = driver.now + random.choice((0.0, random.uniform(0.0, connect_timeout)))
+            running.append(
+                (
+                    arrives_at + random.uniform(0.01, 0.4),
+                    dispatch.request,
+                    attempt,
+                    dispatch.request in faulty_requests,
+                )
+            )
             if attempt:
-                extras.append(arrived)
-    assert len(extras) > 30
-    for at in extras:
-        sent = sum(at - 10.0 < other <= at for other in extras)
-        assert sent <= 3 + 0.2 * sum(at - 10.0 < asked <= at for asked in usual)
+                retry_arrivals.append(arrives_at)
+    assert len(retry_arrivals) > 30
+    for now in retry_arrivals:
+        retry_count = sum(now - 10.0 < retry <= now for retry in retry_arrivals)
+        assert retry_count <= 3 + 0.2 * sum(now - 10.0 < arrival <= now for arrival in regular_arrivals)
 
 
-# --- settings that make no sense ---
+# --- Invalid settings ---
 
 
 @pytest.mark.parametrize(
@@ -389,7 +415,7 @@
         {"classes": ()},
         {"machine_types": ()},
         {"machine_types": (api.MachineType("kind", 0.0),)},
-        {"classes": (replace(LOOKUP, threads=0),)},
+        {"classes": (replace(SHORT_CLASS, threads=0),)},
         {"gateway_count": 0},
     ],
 )
