--- a/tests/test_many_gateways.py
+++ b/tests/test_many_gateways.py
@@ -150,7 +150,7 @@
         driver.end_attempt(driver.submit(), Outcome.OK, work=0.1, elapsed=0.1)
     request = driver.submit()
     driver.run_until(driver.now + 1.0)
-    assert len({send.engine for send in driver.dispatches(request)}) == 2
+    assert len({dispatch.engine for dispatch in driver.dispatches(request)}) == 2
     assert not driver.actions_of_type(api.Cancel, request)
     driver.end_attempt(request, Outcome.OK, attempt=1)
     assert driver.actions_of_type(api.Cancel, request) == [api.Cancel(request, 0)]
--- a/tests/test_rules_kept.py
+++ b/tests/test_rules_kept.py
@@ -80,7 +80,7 @@
     driver.update_endpoints([make_entry(i, zone=i % 3) for i in range(9)])
     request = driver.submit()
     driver.end_attempt(request, Outcome.RESET)
-    zones = [send.engine[3] % 3 for send in driver.dispatches(request)]
+    zones = [dispatch.engine[3] % 3 for dispatch in driver.dispatches(request)]
     assert len(zones) == 2 and zones[0] == zones[1]
 
 
