--- a/saffronlane/http2/__init__.py
+++ b/saffronlane/http2/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/2 (RFC 9113): frames, streams and flow control without I/O, and one binding to IOStream."""
+"""HTTP/2 (RFC 9113): frames, streams and flow control without I/O, and a transport on an IOStream."""
 
 from .connection import Connection, ConnectionLimits
 from .errors import ErrorCode, ProtocolError, StreamError
--- a/saffronlane/http2/errors.py
+++ b/saffronlane/http2/errors.py
@@ -1,4 +1,4 @@
-"""Error codes (RFC 9113 section 7) and the two ways in which a peer can be wrong (section 5.4)."""
+"""Error codes (RFC 9113 section 7), connection errors and stream errors (section 5.4)."""
 
 from __future__ import annotations
 
@@ -8,6 +8,8 @@
 
 
 class ErrorCode(IntEnum):
+    """Error codes of RST_STREAM and GOAWAY (RFC 9113 section 7)."""
+
     NO_ERROR = 0x0
     PROTOCOL_ERROR = 0x1
     INTERNAL_ERROR = 0x2
@@ -25,9 +27,13 @@
 
 
 class ProtocolError(SaffronlaneError):
-    """The connection cannot go on: it is told why by GOAWAY and closed."""
+    """A connection error: the connection is closed with GOAWAY, which names the reason.
+
+    Attributes:
+        code: The error code of GOAWAY.
+    """
 
-    remedy = "See what the peer is and have it keep to HTTP/2; its connection was closed."
+    remedy = "Find out what software the peer runs and correct its use of HTTP/2; its connection was closed."
 
     def __init__(self, text: str, code: ErrorCode = ErrorCode.PROTOCOL_ERROR) -> None:
         super().__init__(text)
@@ -35,9 +41,14 @@
 
 
 class StreamError(SaffronlaneError):
-    """One stream is at fault: it is reset, the connection goes on."""
+    """A stream error: the stream is reset, and the connection stays open.
+
+    Attributes:
+        stream_id: The stream.
+        code: The error code of RST_STREAM.
+    """
 
-    remedy = "Have the client correct the one call; its connection goes on."
+    remedy = "Correct the one call of the client; its other calls on the connection are not affected."
 
     def __init__(self, stream_id: int, text: str, code: ErrorCode = ErrorCode.PROTOCOL_ERROR) -> None:
         super().__init__(text)
--- a/saffronlane/http2/events.py
+++ b/saffronlane/http2/events.py
@@ -1,4 +1,4 @@
-"""What a peer did, as `Connection.receive` tells it."""
+"""Events that `Connection.receive` returns."""
 
 from __future__ import annotations
 
@@ -10,17 +10,33 @@
 
 @dataclass(frozen=True, slots=True)
 class HeadersReceived:
-    """A request, a response, or trailers (then `end_stream` holds)."""
+    """The peer sent a header block: a request, a response, or trailers.
+
+    Attributes:
+        stream_id: The stream.
+        headers: The decoded header list.
+        end_stream: Whether the peer has half-closed the stream, which is always true for trailers.
+        is_first_block: Whether this is the first header block of the stream, which means that it holds no
+            trailers.
+    """
 
     stream_id: int
     headers: Headers
     end_stream: bool
-    opens: bool  # the first header block that the peer sent on the stream
+    is_first_block: bool
 
 
 @dataclass(frozen=True, slots=True)
 class DataReceived:
-    """Part of a body. `credit` bytes are owed to the peer's windows by `Connection.consumed`."""
+    """The peer sent a part of a body.
+
+    Attributes:
+        stream_id: The stream.
+        data: The bytes without padding.
+        credit: The number of bytes to return to the peer's flow-control windows by
+            `Connection.acknowledge_data`.
+        end_stream: Whether the peer has half-closed the stream.
+    """
 
     stream_id: int
     data: bytes
@@ -30,20 +46,33 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamClosed:
-    """The stream ended before its time: reset by the peer, by us, or lost with the connection.
-
-    `unprocessed` holds only where the peer certainly did nothing with it: REFUSED_STREAM, a GOAWAY with a
-    lower last stream id (RFC 9113 sections 6.8 and 8.7), or HEADERS that never left this side.
+    """A stream was reset by either side, or was lost with its connection.
+
+    Attributes:
+        stream_id: The stream.
+        code: The error code.
+        unprocessed: Whether the peer certainly has not processed the stream: the code is REFUSED_STREAM, the
+            peer sent GOAWAY with a lower last stream identifier (RFC 9113 sections 6.8 and 8.7), or the
+            HEADERS of the stream were never sent.
+        by_peer: Whether the peer closed the stream, by RST_STREAM or GOAWAY.
     """
 
     stream_id: int
     code: int
     unprocessed: bool
-    remote: bool  # by the peer's word
+    by_peer: bool
 
 
 @dataclass(frozen=True, slots=True)
 class GoAwayReceived:
+    """The peer sent GOAWAY and accepts no further streams.
+
+    Attributes:
+        last_stream_id: The last stream that the peer may have processed.
+        code: The error code; NO_ERROR for a graceful shutdown.
+        text: The debug data.
+    """
+
     last_stream_id: int
     code: int
     text: str
@@ -51,12 +80,19 @@
 
 @dataclass(frozen=True, slots=True)
 class PingAcked:
+    """The peer acknowledged a PING that was sent by `Connection.ping`."""
+
     payload: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionClosed:
-    """Nothing more will come or go; `code` tells why, `text` names what was wrong."""
+    """The connection is closed; no further event follows.
+
+    Attributes:
+        code: The error code; NO_ERROR if the transport was lost or the peer did not respond.
+        text: The reason.
+    """
 
     code: int
     text: str
--- a/saffronlane/http2/transport.py
+++ b/saffronlane/http2/transport.py
@@ -1,4 +1,4 @@
-"""The one place where HTTP/2 meets a socket: Tornado's IOStream, its loop and its clock."""
+"""Runs a Connection on a Tornado IOStream, with the event loop and its clock."""
 
 from __future__ import annotations
 
@@ -11,119 +11,146 @@
 from .connection import Connection, ConnectionLimits
 from .events import Event
 
-CHUNK = 65_536
-HIGH_WATER = 262_144  # bytes in the socket's own buffer past which nothing more is framed
-CHECK_EVERY = 1.0
+CHUNK_SIZE = 65_536
+WRITE_HIGH_WATER = (
+    262_144  # bytes in the IOStream's write buffer above which no further frames are write_future
+)
+CHECK_INTERVAL = 1.0  # seconds
 
 
 class Transport:
-    """Moves bytes between an IOStream and a Connection, and hands its events to a listener in order."""
+    """Moves bytes between an IOStream and a Connection, and reports events in order.
+
+    Args:
+        stream: The connected stream.
+        is_client: Whether this side is the client.
+        on_events: Called with the events of each received chunk, of a failed timeout check, or of the loss of
+            the connection.
+        on_writable: Called with the identifier of a stream whose send queue has fallen to the low-water mark.
+        limits: The limits that are imposed on the peer.
+
+    Attributes:
+        http: The state of the HTTP/2 connection.
+    """
 
     def __init__(
         self,
         stream: IOStream,
-        client: bool,
-        listener: Callable[[list[Event]], None],
+        is_client: bool,
+        on_events: Callable[[list[Event]], None],
         on_writable: Callable[[int], None],
         limits: ConnectionLimits | None = None,
     ) -> None:
         self._loop = asyncio.get_running_loop()
         self._stream = stream
-        self._listener = listener
+        self._on_events = on_events
         self._on_writable = on_writable
-        self._flushing = self._blocked = False
-        self.http = Connection(client, limits, self._loop.time())
-        self._check = self._loop.call_later(CHECK_EVERY, self._on_time)
+        self._is_flush_scheduled = self._is_write_blocked = False
+        self.http = Connection(is_client, limits, self._loop.time())
+        self._check_timer = self._loop.call_later(CHECK_INTERVAL, self._check_timeouts)
         stream.set_close_callback(self._on_close)
         stream.set_nodelay(True)
-        self._reader = self._loop.create_task(self._read())
+        self._read_task = self._loop.create_task(self._read())
         self.flush()
 
     @property
     def peer(self) -> str:
+        """The address of the peer, or "?" if it is unknown."""
         try:
-            name = self._stream.socket.getpeername()
+            address = self._stream.socket.getpeername()
         except (OSError, AttributeError):
             return "?"
-        return f"{name[0]}:{name[1]}" if isinstance(name, tuple) else str(name)
+        return f"{address[0]}:{address[1]}" if isinstance(address, tuple) else str(address)
 
     def flush(self) -> None:
-        """Write what waits at the end of this turn of the loop, so that small frames share one write."""
-        if not self._flushing:
-            self._flushing = True
+        """Schedule a write of the queued frames for the next iteration of the event loop.
+
+        Small frames that are queued until then share one write.
+        """
+        if not self._is_flush_scheduled:
+            self._is_flush_scheduled = True
             self._loop.call_soon(self._flush)
 
     def _flush(self) -> None:
-        self._flushing = False
-        if self._blocked or self._stream.closed():
+        self._is_flush_scheduled = False
+        if self._is_write_blocked or self._stream.closed():
             return
-        while data := self.http.output(CHUNK):
+        while data := self.http.output(CHUNK_SIZE):
             try:
-                written = self._stream.write(data)
+                write_future = self._stream.write(data)
             except StreamClosedError:
                 return
-            written.add_done_callback(_seen)
-            if self._stream._write_buffer and len(self._stream._write_buffer) > HIGH_WATER:
-                self._blocked = True
-                written.add_done_callback(self._unblock)
+            write_future.add_done_callback(_consume_write_error)
+            if self._stream._write_buffer and len(self._stream._write_buffer) > WRITE_HIGH_WATER:
+                self._is_write_blocked = True
+                write_future.add_done_callback(self._unblock)
                 break
-        if self.http.writable:
-            ready, self.http.writable = self.http.writable, []
-            for stream_id in ready:
+        if self.http.writable_streams:
+            writable_streams, self.http.writable_streams = self.http.writable_streams, []
+            for stream_id in writable_streams:
                 self._on_writable(stream_id)
-        if self.http.closed and not self._blocked:
+        if self.http.closed and not self._is_write_blocked:
             self._loop.call_soon(self._stream.close)
 
     def _unblock(self, _: object) -> None:
-        self._blocked = False
+        self._is_write_blocked = False
         self.flush()
 
     async def _read(self) -> None:
         try:
             while not self.http.closed:
-                data = await self._stream.read_bytes(CHUNK, partial=True)
+                data = await self._stream.read_bytes(CHUNK_SIZE, partial=True)
                 events = self.http.receive(data, self._loop.time())
                 if events:
-                    self._listener(events)
+                    self._on_events(events)
                 self.flush()
         except StreamClosedError:
             pass
         self._on_close()
 
-    def _on_time(self) -> None:
-        events = self.http.on_time(self._loop.time())
+    def _check_timeouts(self) -> None:
+        events = self.http.check_timeouts(self._loop.time())
         if events:
-            self._listener(events)
+            self._on_events(events)
         self.flush()
         if not self.http.closed:
-            self._check = self._loop.call_later(CHECK_EVERY, self._on_time)
-        else:  # whatever the last words are, a peer that does not read them is not waited for
-            self._loop.call_later(CHECK_EVERY, self._stream.close)
+            self._check_timer = self._loop.call_later(CHECK_INTERVAL, self._check_timeouts)
+        else:  # a peer that does not read the final GOAWAY must not keep the connection open
+            self._loop.call_later(CHECK_INTERVAL, self._stream.close)
 
     def _on_close(self) -> None:
-        self._check.cancel()
+        self._check_timer.cancel()
         if self.http.closed:
             self.flush()
-            self._loop.call_later(CHECK_EVERY, self._stream.close)
-        events = self.http.lost("the connection broke")
+            self._loop.call_later(CHECK_INTERVAL, self._stream.close)
+        events = self.http.connection_lost("the connection broke")
         if events:
-            self._listener(events)
+            self._on_events(events)
 
     def close(self) -> None:
-        """Close at once; open streams are lost."""
-        self._check.cancel()
+        """Close the connection immediately. Open streams are lost."""
+        self._check_timer.cancel()
         self._stream.close()
-        self._reader.cancel()
+        self._read_task.cancel()
 
 
-def _seen(future: asyncio.Future[None]) -> None:
-    """The reader learns of a broken connection; a write's own error is not told twice."""
+def _consume_write_error(future: asyncio.Future[None]) -> None:
+    """Retrieve the error of a write, so that asyncio does not log it.
+
+    The read task reports the lost connection.
+    """
     if not future.cancelled():
         future.exception()
 
 
-def local_sockets(host: str, port: int, share: bool = False) -> list[socket.socket]:
-    """Listening sockets; `share` lets several processes listen on one port."""
+def local_sockets(host: str, port: int, reuse_port: bool = False) -> list[socket.socket]:
+    """Open listening sockets.
+
+    Args:
+        host: The address to bind to.
+        port: The port to bind to; 0 selects a free port.
+        reuse_port: Whether several processes may listen on the port.
+    """
     from tornado.netutil import bind_sockets
 
-    return bind_sockets(port, host, reuse_port=share)
+    return bind_sockets(port, host, reuse_port=reuse_port)
--- a/saffronlane/rpc/call.py
+++ b/saffronlane/rpc/call.py
@@ -36,7 +36,7 @@
 
     def _settle(self) -> None:
         if self._owed and self._unread <= UNREAD_MOST:
-            self._transport.http.consumed(self._stream_id, self._owed)
+            self._transport.http.acknowledge_data(self._stream_id, self._owed)
             self._owed = 0
             self._transport.flush()
 
@@ -84,7 +84,7 @@
 
     @property
     def open(self) -> bool:
-        return self._http.queued(self._stream_id) <= self._http.limits.send_low_water
+        return self._http.queued_bytes(self._stream_id) <= self._http.limits.send_low_water
 
     def wake(self) -> None:
         if self._waiter is not None and not self._waiter.done():
--- a/saffronlane/rpc/client.py
+++ b/saffronlane/rpc/client.py
@@ -62,7 +62,7 @@
         """Give the call up; whether the peer may have learnt of it at all (else it certainly never ran)."""
         if self.ending is not None:
             return True
-        sent = self._transport.http.headers_left(self.stream_id)
+        sent = self._transport.http.are_headers_sent(self.stream_id)
         self._channel.calls.pop(self.stream_id, None)
         self._transport.http.reset(self.stream_id, ErrorCode.CANCEL)
         self._transport.flush()
@@ -96,12 +96,12 @@
 
     @property
     def usable(self) -> bool:
-        return self._transport is not None and not self.closed and self._transport.http.can_open
+        return self._transport is not None and not self.closed and self._transport.http.can_open_stream
 
     @property
     def going(self) -> bool:
         """The peer has said GOAWAY, or the connection is over: no new call will be taken."""
-        return self.closed or self._transport is None or self._transport.http.peer_going
+        return self.closed or self._transport is None or self._transport.http.is_peer_draining
 
     def start(
         self,
@@ -210,7 +210,7 @@
         except ValueError as error:
             self._end(call, Status(Code.INTERNAL, str(error)), Ending.RESET)
             return
-        if event.opens:
+        if event.is_first_block:
             call.headers = metadata
             call.inbox.reader.gzip = metadata.text("grpc-encoding") == "gzip"
             http_status = dict(event.headers)[b":status"].decode("latin-1")
@@ -228,7 +228,7 @@
         call = self.calls.get(event.stream_id)
         if call is None or self._transport is None:
             if self._transport is not None:
-                self._transport.http.consumed(event.stream_id, event.credit)
+                self._transport.http.acknowledge_data(event.stream_id, event.credit)
             return
         try:
             call.inbox.feed(event.data, event.credit)
@@ -253,7 +253,7 @@
             return
         if event.unprocessed:
             call.end(Status(Code.UNAVAILABLE, "never handled by the peer"), Ending.UNPROCESSED)
-        elif event.remote:
+        elif event.by_peer:
             call.end(Status(Code.UNAVAILABLE, f"reset by the peer with code {event.code}"), Ending.RESET)
         else:
             call.end(Status(Code.UNAVAILABLE, "the connection was lost"), Ending.LOST)
--- a/saffronlane/rpc/errors.py
+++ b/saffronlane/rpc/errors.py
@@ -1,4 +1,4 @@
-"""Errors of gRPC."""
+"""The error that ends a gRPC call."""
 
 from __future__ import annotations
 
@@ -11,11 +11,15 @@
 
 
 class RpcError(SaffronlaneError):
-    """Ends a call with a status other than OK."""
+    """A call has ended, or is to end, with a status other than OK.
+
+    Attributes:
+        status: The status of the call.
+    """
 
     remedy = (
-        "Act by the status and its reason: UNAVAILABLE may be tried again after RetryInfo, "
-        "others name what to correct."
+        "Check the status code and its reason: retry UNAVAILABLE after the delay in RetryInfo; "
+        "the message of any other status names what to correct."
     )
 
     def __init__(self, status: Status) -> None:
--- a/saffronlane/rpc/server.py
+++ b/saffronlane/rpc/server.py
@@ -118,7 +118,7 @@
         self._release()
 
     def _let_go(self) -> None:
-        if not self._transport.http.queued(self._stream_id):
+        if not self._transport.http.queued_bytes(self._stream_id):
             self._transport.http.reset(self._stream_id, ErrorCode.NO_ERROR)
             self._transport.flush()
 
@@ -145,7 +145,7 @@
 
     def _release(self) -> None:
         """Let the timer go, unless the answer still waits for a client that does not read."""
-        if self.timer is not None and not self._transport.http.queued(self._stream_id):
+        if self.timer is not None and not self._transport.http.queued_bytes(self._stream_id):
             self.timer.cancel()
 
     def expire(self) -> None:
@@ -174,7 +174,7 @@
     def on_events(self, events: list[Event]) -> None:
         for event in events:
             if isinstance(event, HeadersReceived):
-                if event.opens:
+                if event.is_first_block:
                     self.begin(event)
                 elif event.end_stream and event.stream_id in self.calls:
                     self.calls[event.stream_id].inbox.end()
@@ -192,7 +192,7 @@
     def on_data(self, event: DataReceived) -> None:
         call = self.calls.get(event.stream_id)
         if call is None or call.inbox.ended:
-            self.transport.http.consumed(event.stream_id, event.credit)
+            self.transport.http.acknowledge_data(event.stream_id, event.credit)
             return
         try:
             call.inbox.feed(event.data, event.credit)
--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -407,7 +407,7 @@
         time.sleep(0.5)
         (connection,) = built.daemon.server.connections
         http = connection.transport.http
-        kept = sum(http.queued(stream) for stream in list(http.streams))
+        kept = sum(http.queued_bytes(stream) for stream in list(http.streams))
         assert kept < 4_000_000
         assert not built.seen("answered")  # the engine waits
         size = len(first) + sum(len(m) for m in call)
--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -58,7 +58,7 @@
 
 def raw_server(limits: ConnectionLimits | None = None) -> Connection:
     """A server that has had preface and SETTINGS of a hand-made client."""
-    server = Connection(client=False, limits=limits)
+    server = Connection(is_client=False, limits=limits)
     assert server.receive(frames.PREFACE + frames.settings({}), 0.0) == []
     server.output()
     return server
@@ -79,13 +79,13 @@
 
 
 def test_a_request_of_h2_is_answered_with_body_and_trailers() -> None:
-    ours, peer = Connection(client=False), h2_client()
+    ours, peer = Connection(is_client=False), h2_client()
     swap(ours, peer)
     peer.send_headers(1, REQUEST)
     peer.send_data(1, b"question", end_stream=True)
     events, _ = swap(ours, peer)
     assert [type(e) for e in events] == [HeadersReceived, DataReceived]
-    ours.consumed(1, 8)
+    ours.acknowledge_data(1, 8)
     ours.send_headers(1, RESPONSE)
     ours.send_data(1, b"answer")
     ours.send_headers(1, [(b"grpc-status", b"0")], end_stream=True)
@@ -101,7 +101,7 @@
 
 
 def test_as_a_client_of_h2_with_long_header_blocks() -> None:
-    ours, peer = Connection(client=True), h2_server()
+    ours, peer = Connection(is_client=True), h2_server()
     swap(ours, peer)
     long = (b"x-long", b"v" * 30_000)  # passes one frame: CONTINUATION both ways
     stream_id = ours.open_stream([*REQUEST, long], end_stream=True)
@@ -119,7 +119,7 @@
 
 def test_windows_hold_back_a_sender_until_the_reader_consumes() -> None:
     limits = ConnectionLimits(stream_window=65_535, connection_window=65_535)
-    ours, peer = Connection(client=False, limits=limits), h2_client()
+    ours, peer = Connection(is_client=False, limits=limits), h2_client()
     swap(ours, peer)
     peer.send_headers(1, REQUEST)
     sent = 0
@@ -133,32 +133,32 @@
     assert sent == 65_535  # no more until something is consumed
     data = [e for e in events if isinstance(e, DataReceived)]
     for event in data[:3]:
-        ours.consumed(1, event.credit)
+        ours.acknowledge_data(1, event.credit)
     swap(ours, peer)
     assert peer.local_flow_control_window(1) > 0
 
 
 def test_what_a_slow_peer_does_not_read_stays_queued() -> None:
-    ours, peer = Connection(client=False), h2_client()
+    ours, peer = Connection(is_client=False), h2_client()
     swap(ours, peer)
     peer.send_headers(1, REQUEST, end_stream=True)
     swap(ours, peer)
     ours.send_headers(1, RESPONSE)
     ours.send_data(1, b"x" * 200_000)
     swap(ours, peer)
-    assert ours.queued(1) == 200_000 - 65_535  # h2's window
+    assert ours.queued_bytes(1) == 200_000 - 65_535  # h2's window
     peer.acknowledge_received_data(65_535, 1)
     swap(ours, peer)
-    assert ours.queued(1) == 200_000 - 2 * 65_535
-    assert ours.writable == []  # still above the low-water mark
+    assert ours.queued_bytes(1) == 200_000 - 2 * 65_535
+    assert ours.writable_streams == []  # still above the low-water mark
     for _ in range(2):
         peer.acknowledge_received_data(65_535, 1)
         swap(ours, peer)
-    assert ours.queued(1) == 0 and ours.writable == [1]
+    assert ours.queued_bytes(1) == 0 and ours.writable_streams == [1]
 
 
 def test_streams_take_turns() -> None:
-    ours, peer = Connection(client=False), h2_client()
+    ours, peer = Connection(is_client=False), h2_client()
     swap(ours, peer)
     for stream_id in (1, 3):
         peer.send_headers(stream_id, REQUEST, end_stream=True)
@@ -168,12 +168,12 @@
         ours.send_data(stream_id, b"x" * 30_000, end_stream=True)
     order = []
     while data := ours.output(1):
-        order += [f.stream_id for f in frames.FrameReader().feed(data) if f.kind == FrameType.DATA]
+        order += [f.stream_id for f in frames.FrameReader().feed(data) if f.frame_type == FrameType.DATA]
     assert order[:4] == [1, 3, 1, 3]
 
 
 def test_padding_is_stripped_and_its_credit_given_back() -> None:
-    ours, peer = Connection(client=False), h2_client()
+    ours, peer = Connection(is_client=False), h2_client()
     swap(ours, peer)
     peer.send_headers(1, REQUEST)
     peer.send_data(1, b"abc", pad_length=200, end_stream=True)
@@ -183,32 +183,32 @@
 
 def test_a_reset_is_told_as_refused_only_by_its_code() -> None:
     for code, unprocessed in ((ErrorCode.REFUSED_STREAM, True), (ErrorCode.CANCEL, False)):
-        ours, peer = Connection(client=True), h2_server()
+        ours, peer = Connection(is_client=True), h2_server()
         swap(ours, peer)
         stream_id = ours.open_stream(REQUEST)
         swap(ours, peer)
         peer.reset_stream(stream_id, code)
         events, _ = swap(ours, peer)
-        assert events == [StreamClosed(stream_id, code, unprocessed, remote=True)]
+        assert events == [StreamClosed(stream_id, code, unprocessed, by_peer=True)]
 
 
 def test_goaway_ends_the_streams_above_its_last_id_as_unprocessed() -> None:
-    ours, peer = Connection(client=True), h2_server()
+    ours, peer = Connection(is_client=True), h2_server()
     swap(ours, peer)
     first, second = ours.open_stream(REQUEST), ours.open_stream(REQUEST)
     swap(ours, peer)
     events = ours.receive(frames.goaway(first, 0), 0.0)
     assert [e for e in events if isinstance(e, StreamClosed)] == [StreamClosed(second, 0, True, True)]
-    assert not ours.can_open and first in ours.streams
+    assert not ours.can_open_stream and first in ours.streams
 
 
 def test_a_stream_whose_headers_never_left_is_unprocessed_when_the_connection_breaks() -> None:
-    ours = Connection(client=True)
+    ours = Connection(is_client=True)
     ours.receive(frames.settings({}), 0.0)
     sent = ours.open_stream(REQUEST)
     ours.output()
     unsent = ours.open_stream(REQUEST)
-    events = ours.lost("broken")
+    events = ours.connection_lost("broken")
     assert [(e.stream_id, e.unprocessed) for e in events if isinstance(e, StreamClosed)] == [
         (sent, False),
         (unsent, True),
@@ -216,13 +216,13 @@
 
 
 def test_our_goaway_names_the_last_stream_and_later_ones_are_not_taken() -> None:
-    ours, peer = Connection(client=False), h2_client()
+    ours, peer = Connection(is_client=False), h2_client()
     swap(ours, peer)
     peer.send_headers(1, REQUEST)
     swap(ours, peer)
     ours.drain()
     out = ours.output()
-    (goaway,) = [f for f in frames.FrameReader().feed(out) if f.kind == FrameType.GOAWAY]
+    (goaway,) = [f for f in frames.FrameReader().feed(out) if f.frame_type == FrameType.GOAWAY]
     assert frames.read_goaway(goaway.payload)[:2] == (1, 0)
     peer.send_headers(3, REQUEST, end_stream=True)
     assert ours.receive(peer.data_to_send(), 0.0) == []
@@ -236,14 +236,14 @@
     server.send_headers(1, RESPONSE)
     server.send_data(1, b"x" * 70_000)
     server.output(10**6)
-    assert server.queued(1) == 70_000 - 65_535
+    assert server.queued_bytes(1) == 70_000 - 65_535
     server.receive(frames.settings({4: 65_535 + 2_000}) + frames.window_update(0, 10_000), 0.0)
     server.output()
-    assert server.queued(1) == 70_000 - 67_535
+    assert server.queued_bytes(1) == 70_000 - 67_535
 
 
 def test_a_ping_is_acknowledged_and_ours_is_told() -> None:
-    ours, peer = Connection(client=False), h2_client()
+    ours, peer = Connection(is_client=False), h2_client()
     swap(ours, peer)
     ours.ping(b"12345678")
     events, _ = swap(ours, peer)
@@ -254,25 +254,25 @@
 
 
 def test_streams_beyond_the_limit_are_refused_and_the_rest_live() -> None:
-    ours, peer = Connection(client=False, limits=ConnectionLimits(max_streams=2)), h2_client()
+    ours, peer = Connection(is_client=False, limits=ConnectionLimits(max_streams=2)), h2_client()
     peer.receive_data(ours.output())
     ours.receive(peer.data_to_send(), 0.0)
     events = ours.receive(b"".join(open_stream(n) for n in (1, 3, 5)), 0.0)
     assert [e.stream_id for e in events if isinstance(e, HeadersReceived)] == [1, 3]
-    refused = [f for f in frames.FrameReader().feed(ours.output()) if f.kind == FrameType.RST_STREAM]
-    assert [(f.stream_id, frames.read_long(f.payload, "")) for f in refused] == [
+    refused = [f for f in frames.FrameReader().feed(ours.output()) if f.frame_type == FrameType.RST_STREAM]
+    assert [(f.stream_id, frames.read_uint32(f.payload, "")) for f in refused] == [
         (5, ErrorCode.REFUSED_STREAM)
     ]
 
 
 def test_a_frame_that_is_too_large() -> None:
     server = raw_server()
-    events = server.receive(frames.head(FrameType.DATA, 0, 1, 16_385), 0.0)
+    events = server.receive(frames.frame_header(FrameType.DATA, 0, 1, 16_385), 0.0)
     assert closed_with(events) == ErrorCode.FRAME_SIZE_ERROR
 
 
 def test_a_header_list_that_is_too_large() -> None:
-    server = raw_server(ConnectionLimits(max_header_list=1_000))
+    server = raw_server(ConnectionLimits(max_header_list_size=1_000))
     bomb = block(*REQUEST, *[(b"x-a", b"v" * 100)] * 40)  # small on the wire, large when decoded
     assert len(bomb) < 1_000
     events = server.receive(frames.frame(FrameType.HEADERS, frames.END_HEADERS, 1, bomb), 0.0)
@@ -344,32 +344,32 @@
 
 
 def test_replies_that_are_not_read_are_bounded() -> None:
-    server = raw_server(ConnectionLimits(idle_depth=1e9, max_reply_queue=1_000))
+    server = raw_server(ConnectionLimits(overhead_frame_depth=1e9, max_queued_reply_bytes=1_000))
     events = server.receive(frames.ping(b"\0" * 8) * 100, 0.0)
     assert closed_with(events) == ErrorCode.ENHANCE_YOUR_CALM
     assert len(server.output()) < 2_000
 
 
 def test_a_silent_peer_is_asked_and_then_given_up() -> None:
-    server = raw_server(ConnectionLimits(keepalive_after=20.0, keepalive_time=10.0))
-    assert server.on_time(19.0) == [] and server.output() == b""
-    assert server.on_time(21.0) == []
-    assert FrameType.PING in [f.kind for f in frames.FrameReader().feed(server.output())]
-    assert server.on_time(30.0) == []
-    assert closed_with(server.on_time(32.0)) == ErrorCode.NO_ERROR
+    server = raw_server(ConnectionLimits(keepalive_after=20.0, keepalive_timeout=10.0))
+    assert server.check_timeouts(19.0) == [] and server.output() == b""
+    assert server.check_timeouts(21.0) == []
+    assert FrameType.PING in [f.frame_type for f in frames.FrameReader().feed(server.output())]
+    assert server.check_timeouts(30.0) == []
+    assert closed_with(server.check_timeouts(32.0)) == ErrorCode.NO_ERROR
 
 
 def test_any_byte_proves_a_peer_alive() -> None:
     server = raw_server()
-    server.on_time(21.0)
+    server.check_timeouts(21.0)
     server.receive(b"\0", 25.0)
-    assert server.on_time(44.0) == []
+    assert server.check_timeouts(44.0) == []
 
 
 def test_a_peer_that_never_says_settings() -> None:
-    server = Connection(client=False)
+    server = Connection(is_client=False)
     server.receive(frames.PREFACE, 5.0)
-    assert closed_with(server.on_time(11.0)) == ErrorCode.SETTINGS_TIMEOUT
+    assert closed_with(server.check_timeouts(11.0)) == ErrorCode.SETTINGS_TIMEOUT
 
 
 @pytest.mark.parametrize(
@@ -397,7 +397,7 @@
     server = raw_server()
     assert closed_with(server.receive(data, 0.0)) == code
     sent = list(frames.FrameReader().feed(server.output()))
-    assert sent[-1].kind == FrameType.GOAWAY and frames.read_goaway(sent[-1].payload)[1] == code
+    assert sent[-1].frame_type == FrameType.GOAWAY and frames.read_goaway(sent[-1].payload)[1] == code
     assert server.receive(b"anything", 0.0) == []
 
 
@@ -460,9 +460,9 @@
 @settings(max_examples=80, deadline=None)
 def test_chunk_boundaries_make_no_difference(cuts: list[int]) -> None:
     data = conversation()
-    whole = Connection(client=False)
+    whole = Connection(is_client=False)
     expected, out = whole.receive(data, 0.0), whole.output(10**6)
-    parted, events, at = Connection(client=False), [], 0
+    parted, events, at = Connection(is_client=False), [], 0
     for size in [*cuts, len(data)]:
         events += parted.receive(data[at : at + size], 0.0)
         at += size
@@ -474,10 +474,10 @@
 @settings(max_examples=300, deadline=None)
 def test_garbage_never_raises_and_memory_stays_bounded(junk: bytes, at: int) -> None:
     data = conversation()
-    ours = Connection(client=False)
+    ours = Connection(is_client=False)
     ours.receive(data[:at] + junk + data[at + len(junk) :], 0.0)
     assert len(ours.output(10**6)) < 200_000
-    assert len(ours._reader._held) <= len(data) + len(junk)
+    assert len(ours._frame_reader._buffer) <= len(data) + len(junk)
 
 
 FRAMES = st.tuples(st.integers(0, 11), st.integers(0, 255), st.integers(0, 7), st.binary(max_size=40))
@@ -486,7 +486,7 @@
 @given(st.lists(FRAMES, max_size=30), st.booleans())
 @settings(max_examples=300, deadline=None)
 def test_any_frames_in_any_order(parts: list[tuple[int, int, int, bytes]], client: bool) -> None:
-    ours = Connection(client=client)
+    ours = Connection(is_client=client)
     ours.receive((b"" if client else frames.PREFACE) + frames.settings({}), 0.0)
     if client:
         ours.open_stream(REQUEST)
@@ -497,9 +497,9 @@
                 ours.send_headers(event.stream_id, RESPONSE)
                 ours.send_data(event.stream_id, b"x" * 10, end_stream=True)
             elif isinstance(event, DataReceived):
-                ours.consumed(event.stream_id, event.credit)
+                ours.acknowledge_data(event.stream_id, event.credit)
         ours.output()
-    assert all(0 <= s.queued < 100 for s in ours.streams.values())
+    assert all(0 <= s.queued_bytes < 100 for s in ours.streams.values())
 
 
 def test_a_length_field_cannot_make_us_wait_for_gigabytes() -> None:
@@ -516,11 +516,11 @@
     """Blocks made without state; a name whose static entry has an empty value was cut short once."""
     import hpack
 
-    from saffronlane.http2.connection import headers_block
+    from saffronlane.http2.connection import encode_headers
 
     decoder = hpack.Decoder()
     for _ in range(2):
-        found = decoder.decode(headers_block(headers), raw=True)
+        found = decoder.decode(encode_headers(headers), raw=True)
         assert [(bytes(n), bytes(v)) for n, v in found] == headers
     assert decoder.header_table.maxsize and not decoder.header_table.dynamic_entries
 
@@ -543,7 +543,7 @@
     for headers in [*blocks, *blocks]:
         data = encoder.encode([*REQUEST, *headers])
         expected = (*REQUEST, *headers)
-        assert ours._decode(1, bytes(data)) == expected
+        assert ours._decode_header_block(1, bytes(data)) == expected
 
 
 def test_an_entry_that_replaces_the_only_one_is_seen() -> None:
@@ -555,4 +555,4 @@
     for n in range(200):
         headers = (*REQUEST, (b"a", b"%d" % (n % 3)))
         for _ in range(2):
-            assert ours._decode(1, bytes(encoder.encode(list(headers)))) == headers
+            assert ours._decode_header_block(1, bytes(encoder.encode(list(headers)))) == headers
--- a/tests/test_rpc.py
+++ b/tests/test_rpc.py
@@ -289,7 +289,7 @@
         for _ in range(5):
             await channel.ping(2.0)
         (connection,) = server.connections
-        assert connection.transport.http.queued(call.stream_id) > 0
+        assert connection.transport.http.queued_bytes(call.stream_id) > 0
         while connection.transport.http.streams:
             await asyncio.sleep(0.02)
         server.close()
