--- a/saffronlane/daemon.py
+++ b/saffronlane/daemon.py
@@ -133,7 +133,7 @@
             async with asyncio.timeout(LAST_WORDS):
                 await self._nothing_owed()
                 self.server.drain()
-                while self.server.open_calls:
+                while self.server.open_call_count:
                     await asyncio.sleep(0.01)
         await asyncio.sleep(0.05)  # the last frames leave in the turns after they were queued
         self._close()
--- a/saffronlane/engines/flight.py
+++ b/saffronlane/engines/flight.py
@@ -24,7 +24,7 @@
 from ..proto import flight_sql_pb2 as sql
 from ..proto.commands import SERVICE, descriptor, packed
 from ..rpc import Channel, ClientCall, Code, Ending, RpcError, Status
-from ..rpc.status import detailed
+from ..rpc.status import detailed_status
 from . import orca
 from .errors import ConnectFailed
 from .executor import Executor
@@ -230,12 +230,14 @@
         """Answer that the request did not run and may be retried after `retry_after` seconds."""
         message = reason + (f" ({request.last_error})" if request.last_error else "")
         metadata = {"request": str(request.id)}
-        self._answer(request, detailed(Code.UNAVAILABLE, message, "REFUSED", retry_after, metadata))
+        self._answer(request, detailed_status(Code.UNAVAILABLE, message, "REFUSED", retry_after, metadata))
 
     def fail(self, request: Request, reason: str) -> None:
         """Answer that the request failed and may have run."""
         message = reason + (f" ({request.last_error})" if request.last_error else "")
-        self._answer(request, detailed(Code.ABORTED, message, "FAILED", None, {"request": str(request.id)}))
+        self._answer(
+            request, detailed_status(Code.ABORTED, message, "FAILED", None, {"request": str(request.id)})
+        )
 
     def _answer(self, request: Request, status: Status) -> None:
         log_event = log.info if status.code is Code.ABORTED else log.debug
--- a/saffronlane/engines/pool.py
+++ b/saffronlane/engines/pool.py
@@ -88,7 +88,7 @@
         # forever.
         try:
             channel = Channel(self.host, self.port)
-            channel.on_closed = self._stream_available.set
+            channel.on_unavailable = self._stream_available.set
             await channel.connect(self._limits.connect_timeout, self._http_limits)
             self._channels.append(channel)
         finally:
@@ -100,7 +100,7 @@
             self._stream_available.set()
 
     def _prune(self) -> None:
-        for channel in [c for c in self._channels if c.closed or (c.going and not c.calls)]:
+        for channel in [c for c in self._channels if c.closed or (c.is_draining and not c.calls)]:
             self._channels.remove(channel)
             channel.close()
 
--- a/saffronlane/flight/service.py
+++ b/saffronlane/flight/service.py
@@ -164,7 +164,7 @@
     async def get_flight_info(self, call: ServerCall) -> None:
         """Make a ticket. Nothing runs before its DoGet, which is when the request arrives."""
         descriptor = _parse(
-            flight.FlightDescriptor, await call.read_only("GetFlightInfo"), "FlightDescriptor"
+            flight.FlightDescriptor, await call.read_single("GetFlightInfo"), "FlightDescriptor"
         )
         command = _command(descriptor.cmd, "FlightDescriptor.cmd")
         if _name(command) == "CommandGetSqlInfo":
@@ -176,7 +176,7 @@
 
     async def do_get(self, call: ServerCall) -> None:
         """Run the statement of a ticket and pass its result on."""
-        ticket = _parse(flight.Ticket, await call.read_only("DoGet"), "Ticket")
+        ticket = _parse(flight.Ticket, await call.read_single("DoGet"), "Ticket")
         command = _command(ticket.ticket, "Ticket.ticket")
         name = _name(command)
         if name == "CommandGetSqlInfo":
@@ -190,7 +190,7 @@
         if poll is not None:
             if poll.sink.taken:
                 raise error(Code.FAILED_PRECONDITION, "the result of this query has been taken", "TAKEN")
-            call.on_gone = lambda: self._end_poll(handle.nonce)
+            call.on_abandoned = lambda: self._end_poll(handle.nonce)
             call.finish(await poll.sink.pour(call))
             self._end_poll(handle.nonce)
             return
@@ -248,7 +248,7 @@
     ) -> None:
         sink = CallSink(call)
         number = self._submit(call, handle, (statement, identity), sink)
-        call.on_gone = lambda: self._executor.disconnect_client(number)
+        call.on_abandoned = lambda: self._executor.disconnect_client(number)
         log.debug("request", request=number, session=session.short if session else "", cls=identity.cls)
         self._running.setdefault(handle.nonce, set()).add(number)
         try:
@@ -264,7 +264,7 @@
     async def poll_flight_info(self, call: ServerCall) -> None:
         """Start a query with the first poll; later polls tell its progress, and when there is a result."""
         descriptor = _parse(
-            flight.FlightDescriptor, await call.read_only("PollFlightInfo"), "FlightDescriptor"
+            flight.FlightDescriptor, await call.read_single("PollFlightInfo"), "FlightDescriptor"
         )
         command = _command(descriptor.cmd, "FlightDescriptor.cmd")
         if _name(command) == "TicketStatementQuery":  # a descriptor that an earlier poll gave
@@ -325,7 +325,7 @@
     # --- updates and bound parameters ---
 
     async def do_put(self, call: ServerCall) -> None:
-        first = _parse(flight.FlightData, await call.read_only("DoPut"), "FlightData")
+        first = _parse(flight.FlightData, await call.read_single("DoPut"), "FlightData")
         command = _command(first.flight_descriptor.cmd, "FlightData.flight_descriptor.cmd")
         name = _name(command)
         batches = await self._batches(call, first)
@@ -376,7 +376,7 @@
             await call.write(flight.ActionType(type=name, description=text).SerializeToString())
 
     async def do_action(self, call: ServerCall) -> None:
-        action = _parse(flight.Action, await call.read_only("DoAction"), "Action")
+        action = _parse(flight.Action, await call.read_single("DoAction"), "Action")
         doer = self._actions.get(action.type)
         if doer is None:
             raise error(Code.UNIMPLEMENTED, f"action {action.type!r} is not served", "ACTION")
--- a/saffronlane/lab/engine.py
+++ b/saffronlane/lab/engine.py
@@ -26,7 +26,7 @@
 from ..proto.commands import SERVICE, packed
 from ..proto.orca_pb2 import OrcaLoadReport
 from ..rpc import Code, RpcError, Server, ServerCall, Status
-from ..rpc.status import detailed
+from ..rpc.status import detailed_status
 from .model import EngineShape, Machine, Run
 
 _HINT = re.compile(r"/\*\s*lab\s+([^*]*)\*/")
@@ -156,7 +156,7 @@
 
     async def _get_flight_info(self, call: ServerCall) -> None:
         await self._still(call)
-        descriptor = flight.FlightDescriptor.FromString(await call.read_only("GetFlightInfo"))
+        descriptor = flight.FlightDescriptor.FromString(await call.read_single("GetFlightInfo"))
         command = AnyMessage.FromString(descriptor.cmd)
         if _is(command, sql.CommandStatementQuery):
             text = sql.CommandStatementQuery.FromString(command.value).query
@@ -178,7 +178,7 @@
 
     async def _do_get(self, call: ServerCall) -> None:
         await self._still(call)
-        ticket = flight.Ticket.FromString(await call.read_only("DoGet"))
+        ticket = flight.Ticket.FromString(await call.read_single("DoGet"))
         box = AnyMessage.FromString(ticket.ticket)
         text = sql.TicketStatementQuery.FromString(box.value).statement_handle.decode()
         hints = Hints.of(text)
@@ -186,7 +186,7 @@
 
     async def _do_put(self, call: ServerCall) -> None:
         await self._still(call)
-        first = flight.FlightData.FromString(await call.read_only("DoPut"))
+        first = flight.FlightData.FromString(await call.read_single("DoPut"))
         command = AnyMessage.FromString(first.flight_descriptor.cmd)
         rows = 0
         while await call.read() is not None:
@@ -208,7 +208,7 @@
 
     async def _do_action(self, call: ServerCall) -> None:
         await self._still(call)
-        action = flight.Action.FromString(await call.read_only("DoAction"))
+        action = flight.Action.FromString(await call.read_single("DoAction"))
         if action.type != "CreatePreparedStatement":
             raise RpcError(Status(Code.UNIMPLEMENTED, f"action {action.type!r}"))
         box = AnyMessage.FromString(action.body)
@@ -246,7 +246,7 @@
         faults = self.faults
         if self._drawn(faults.refuse):
             self._tell("refused", told)
-            raise RpcError(detailed(Code.UNAVAILABLE, "turned away", NEVER_RAN_REASON, None))
+            raise RpcError(detailed_status(Code.UNAVAILABLE, "turned away", NEVER_RAN_REASON, None))
         if self._drawn(faults.error):
             self._tell("error", told)
             raise RpcError(Status(Code.INTERNAL, "a fault of the engine"))
--- a/saffronlane/rpc/call.py
+++ b/saffronlane/rpc/call.py
@@ -1,4 +1,4 @@
-"""What both sides of a call share: messages that wait to be read, and writing without filling memory."""
+"""Flow control of one call, for both sides: the queue of received messages, and the pacing of writes."""
 
 from __future__ import annotations
 
@@ -9,60 +9,83 @@
 from ..http2.transport import Transport
 from . import framing
 
-UNREAD_MOST = 262_144  # bytes of whole messages that wait; past it the peer's window stays shut
+MAX_UNREAD_BYTES = 262_144  # size of the unread messages above which no flow-control credit is returned
 
 
-class Mailbox:
-    """Messages of one direction of a call. Credit goes back to the peer as the reader takes them."""
+class ReceiveQueue:
+    """The received messages of a call.
 
-    def __init__(self, transport: Transport, stream_id: int, most: int) -> None:
-        self.reader = framing.MessageReader(most)
-        self.ended = False
+    Flow-control credit is returned to the peer as the reader takes the messages.
+
+    Args:
+        transport: The transport of the connection.
+        stream_id: The stream of the call.
+        max_message_bytes: The largest accepted message.
+
+    Attributes:
+        message_reader: Splits the received data into messages.
+        is_ended: Whether no further message will arrive.
+    """
+
+    def __init__(self, transport: Transport, stream_id: int, max_message_bytes: int) -> None:
+        self.message_reader = framing.MessageReader(max_message_bytes)
+        self.is_ended = False
         self._transport = transport
         self._stream_id = stream_id
         self._messages: deque[bytes] = deque()
-        self._unread = self._owed = 0
+        self._unread_bytes = self._pending_credit = 0
         self._waiter: asyncio.Future[None] | None = None
 
     def feed(self, data: bytes, credit: int) -> None:
-        """RpcError where the bytes are no messages."""
-        self._owed += credit
-        for message in self.reader.feed(data):
+        """Add received data.
+
+        Args:
+            data: The data of a DATA frame.
+            credit: The flow-control credit of the frame.
+
+        Raises:
+            RpcError: The data contains an invalid message.
+        """
+        self._pending_credit += credit
+        for message in self.message_reader.feed(data):
             self._messages.append(message)
-            self._unread += len(message) + framing.HEAD.size
-        self._settle()
+            self._unread_bytes += len(message) + framing.MESSAGE_PREFIX.size
+        self._return_credit()
         if self._messages:
             self.wake()
 
-    def _settle(self) -> None:
-        if self._owed and self._unread <= UNREAD_MOST:
-            self._transport.http.acknowledge_data(self._stream_id, self._owed)
-            self._owed = 0
+    def _return_credit(self) -> None:
+        if self._pending_credit and self._unread_bytes <= MAX_UNREAD_BYTES:
+            self._transport.http.acknowledge_data(self._stream_id, self._pending_credit)
+            self._pending_credit = 0
             self._transport.flush()
 
     def end(self) -> None:
-        self.ended = True
+        """Mark the end of the messages and wake the reader."""
+        self.is_ended = True
         self.wake()
 
-    def drop(self) -> None:
-        """Nobody will read what waits."""
+    def discard(self) -> None:
+        """Drop the unread messages and end the queue."""
         self._messages.clear()
-        self._unread = 0
-        self._settle()
+        self._unread_bytes = 0
+        self._return_credit()
         self.end()
 
     def wake(self) -> None:
+        """Wake the waiting reader."""
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
     @property
-    def waiting(self) -> int:
+    def unread_count(self) -> int:
+        """The number of unread messages."""
         return len(self._messages)
 
-    async def take(self) -> bytes | None:
-        """The next message; None at the end."""
+    async def get(self) -> bytes | None:
+        """Wait for the next message and return it, or None at the end of the messages."""
         while not self._messages:
-            if self.ended:
+            if self.is_ended:
                 return None
             self._waiter = asyncio.get_running_loop().create_future()
             try:
@@ -70,28 +93,40 @@
             finally:
                 self._waiter = None
         message = self._messages.popleft()
-        self._unread -= len(message) + framing.HEAD.size
-        self._settle()
+        self._unread_bytes -= len(message) + framing.MESSAGE_PREFIX.size
+        self._return_credit()
         return message
 
 
-class Gate:
-    """Lets a writer on while its stream's queue is short."""
+class WriteThrottle:
+    """Blocks a writer while the send queue of its stream is above the low-water mark.
+
+    Args:
+        http: The connection.
+        stream_id: The stream of the call.
+    """
 
     def __init__(self, http: Connection, stream_id: int) -> None:
         self._http, self._stream_id = http, stream_id
         self._waiter: asyncio.Future[None] | None = None
 
     @property
-    def open(self) -> bool:
+    def can_write(self) -> bool:
+        """Whether the send queue is at or below the low-water mark."""
         return self._http.queued_bytes(self._stream_id) <= self._http.limits.send_low_water
 
     def wake(self) -> None:
+        """Let the waiting writer check the send queue again."""
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
-    async def passed(self) -> None:
-        while not self.open:  # a closed stream has nothing queued, and lets its writer find out
+    async def wait_writable(self) -> None:
+        """Wait until the send queue is at or below the low-water mark.
+
+        The queue of a closed stream is empty, so that its writer is not blocked and notices the end of the
+        stream.
+        """
+        while not self.can_write:
             self._waiter = asyncio.get_running_loop().create_future()
             try:
                 await self._waiter
--- a/saffronlane/rpc/framing.py
+++ b/saffronlane/rpc/framing.py
@@ -1,4 +1,4 @@
-"""Length-prefixed messages (gRPC over HTTP/2, "Length-Prefixed-Message"), plain or gzip, cut anywhere."""
+"""Parsing and encoding of length-prefixed messages, plain or gzip ("Length-Prefixed-Message" of gRPC)."""
 
 from __future__ import annotations
 
@@ -8,82 +8,106 @@
 
 from .status import Code, error
 
-HEAD = struct.Struct(">BL")
-DEFAULT_MOST = 64 * 1024 * 1024  # bytes of one message; a batch of Arrow data is commonly a few MB
+MESSAGE_PREFIX = struct.Struct(">BL")
+DEFAULT_MAX_MESSAGE_BYTES = 64 * 1024 * 1024  # a batch of Arrow data commonly has a few MB
 
 
 class MessageReader:
-    """Collects messages. Holds at most one unfinished message, never more than `most` bytes."""
+    """Splits a byte stream into messages.
 
-    def __init__(self, most: int = DEFAULT_MOST) -> None:
-        self.most = most
-        self.gzip = False  # the peer said grpc-encoding: gzip
+    It buffers at most one incomplete message.
+
+    Args:
+        max_message_bytes: The largest accepted message, before and after decompression.
+
+    Attributes:
+        max_message_bytes: The largest accepted message, before and after decompression.
+        is_gzip: Whether the peer has sent `grpc-encoding: gzip`, which allows compressed messages.
+    """
+
+    def __init__(self, max_message_bytes: int = DEFAULT_MAX_MESSAGE_BYTES) -> None:
+        self.max_message_bytes = max_message_bytes
+        self.is_gzip = False
         self._parts: list[bytes] = []
-        self._size = 0
+        self._buffered_bytes = 0
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The messages that end in this chunk; RpcError where one is too large or does not decode."""
+        """Return the messages that this chunk completes.
+
+        Args:
+            data: The next chunk. Messages may be split at any position.
+
+        Raises:
+            RpcError: A message is too large or cannot be decoded.
+        """
         if not data:
             return []
         self._parts.append(data)
-        self._size += len(data)
+        self._buffered_bytes += len(data)
         messages: list[bytes] = []
-        if self._size < HEAD.size or (len(self._parts) > 1 and self._size < self._needed()):
+        if self._buffered_bytes < MESSAGE_PREFIX.size or (
+            len(self._parts) > 1 and self._buffered_bytes < self._needed_bytes()
+        ):
             return messages
-        whole = self._parts[0] if len(self._parts) == 1 else b"".join(self._parts)
-        at = 0
-        while len(whole) - at >= HEAD.size:
-            flag, length = HEAD.unpack_from(whole, at)
-            self._check(flag, length)
-            stop = at + HEAD.size + length
-            if stop > len(whole):
+        buffered = self._parts[0] if len(self._parts) == 1 else b"".join(self._parts)
+        offset = 0
+        while len(buffered) - offset >= MESSAGE_PREFIX.size:
+            flag, length = MESSAGE_PREFIX.unpack_from(buffered, offset)
+            self._check_prefix(flag, length)
+            stop = offset + MESSAGE_PREFIX.size + length
+            if stop > len(buffered):
                 break
-            body = whole[at + HEAD.size : stop]
+            body = buffered[offset + MESSAGE_PREFIX.size : stop]
             messages.append(self._inflate(body) if flag else body)
-            at = stop
-        rest = whole[at:] if at else whole
-        self._parts = [rest] if rest else []
-        self._size = len(rest)
+            offset = stop
+        remaining = buffered[offset:] if offset else buffered
+        self._parts = [remaining] if remaining else []
+        self._buffered_bytes = len(remaining)
         return messages
 
-    def _needed(self) -> int:
-        if len(self._parts[0]) < HEAD.size:
+    def _needed_bytes(self) -> int:
+        if len(self._parts[0]) < MESSAGE_PREFIX.size:
             self._parts = [b"".join(self._parts)]
-        flag, length = HEAD.unpack_from(self._parts[0])
-        self._check(flag, length)
-        return int(HEAD.size + length)
+        flag, length = MESSAGE_PREFIX.unpack_from(self._parts[0])
+        self._check_prefix(flag, length)
+        return int(MESSAGE_PREFIX.size + length)
 
-    def _check(self, flag: int, length: int) -> None:
+    def _check_prefix(self, flag: int, length: int) -> None:
         if flag > 1:
-            raise error(Code.INTERNAL, f"message with compression flag {flag}")
-        if flag and not self.gzip:
-            raise error(Code.INTERNAL, "compressed message without grpc-encoding: gzip")
-        if length > self.most:
-            raise error(Code.RESOURCE_EXHAUSTED, f"message of {length} bytes, more than {self.most}")
+            raise error(Code.INTERNAL, f"message has an invalid compression flag {flag}")
+        if flag and not self.is_gzip:
+            raise error(Code.INTERNAL, "compressed message without header grpc-encoding: gzip")
+        if length > self.max_message_bytes:
+            raise error(
+                Code.RESOURCE_EXHAUSTED, f"message of {length} bytes, more than {self.max_message_bytes}"
+            )
 
     def _inflate(self, body: bytes) -> bytes:
-        decoder = zlib.decompressobj(wbits=31)
+        decompressor = zlib.decompressobj(wbits=31)
         try:
-            data = decoder.decompress(body, self.most + 1)
+            data = decompressor.decompress(body, self.max_message_bytes + 1)
         except zlib.error as fault:
-            raise error(Code.INTERNAL, f"message is not gzip: {fault}") from None
-        if len(data) > self.most:  # a small message must not unpack to what memory does not hold
-            raise error(Code.RESOURCE_EXHAUSTED, f"message unpacks to more than {self.most} bytes")
-        if not decoder.eof:
-            raise error(Code.INTERNAL, "gzip message ends early")
+            raise error(Code.INTERNAL, f"message cannot be decompressed: {fault}") from None
+        if len(data) > self.max_message_bytes:  # a small message may decompress to more than memory holds
+            raise error(
+                Code.RESOURCE_EXHAUSTED, f"message unpacks to more than {self.max_message_bytes} bytes"
+            )
+        if not decompressor.eof:
+            raise error(Code.INTERNAL, "compressed message is truncated")
         return data
 
     @property
-    def unfinished(self) -> int:
-        """Bytes held of a message that has not ended."""
-        return self._size
+    def buffered_bytes(self) -> int:
+        """The number of buffered bytes of an incomplete message."""
+        return self._buffered_bytes
 
 
-def prefix(message: bytes) -> bytes:
-    return HEAD.pack(0, len(message))
+def message_prefix(message: bytes) -> bytes:
+    """Return the prefix of an uncompressed message."""
+    return MESSAGE_PREFIX.pack(0, len(message))
 
 
-def compressed(message: bytes) -> bytes:
-    """A whole gzip message with its prefix."""
+def compressed_message(message: bytes) -> bytes:
+    """Compress a message with gzip and return it with its prefix."""
     body = gzip.compress(message, compresslevel=1, mtime=0)
-    return HEAD.pack(1, len(body)) + body
+    return MESSAGE_PREFIX.pack(1, len(body)) + body
--- a/saffronlane/rpc/status.py
+++ b/saffronlane/rpc/status.py
@@ -1,4 +1,4 @@
-"""gRPC status codes and the details that go with them (google.rpc.Status, RetryInfo, ErrorInfo)."""
+"""gRPC status codes and status details (google.rpc.Status, RetryInfo, ErrorInfo)."""
 
 from __future__ import annotations
 
@@ -14,6 +14,8 @@
 
 
 class Code(IntEnum):
+    """gRPC status codes."""
+
     OK = 0
     CANCELLED = 1
     UNKNOWN = 2
@@ -34,18 +36,24 @@
 
 
 class Ending(Enum):
-    """What is known of a call that is over."""
+    """How a call ended, as seen by the client."""
 
-    STATUS = "status"  # the peer's own word
-    UNPROCESSED = "unprocessed"  # certainly never handled by the peer
-    RESET = "reset"  # its stream was reset, or the answer was none
-    LOST = "lost"  # its connection broke
-    CANCELLED = "cancelled"  # by us
+    STATUS = "status"  # the peer sent a status
+    UNPROCESSED = "unprocessed"  # the peer certainly did not process the call
+    RESET = "reset"  # the peer reset the stream, or its response was invalid
+    LOST = "lost"  # the connection was lost
+    CANCELLED = "cancelled"  # the client cancelled the call
 
 
 @dataclass(frozen=True, slots=True)
 class Status:
-    """How a call ended. `details` is a serialized google.rpc.Status, or empty."""
+    """The status of a call.
+
+    Attributes:
+        code: The status code.
+        message: The status message.
+        details: The status details, a serialized `google.rpc.Status`. Empty without details.
+    """
 
     code: Code
     message: str = ""
@@ -53,10 +61,11 @@
 
     @property
     def ok(self) -> bool:
+        """Whether the code is OK."""
         return self.code is Code.OK
 
     def retry_after(self) -> float | None:
-        """Seconds of the RetryInfo, if there is one."""
+        """Return the retry delay of the RetryInfo in seconds, or None without RetryInfo."""
         for detail in self._details():
             info = error_details_pb2.RetryInfo()
             if detail.Is(info.DESCRIPTOR) and detail.Unpack(info):
@@ -64,7 +73,7 @@
         return None
 
     def reason(self) -> str:
-        """The reason of the ErrorInfo; empty: none."""
+        """Return the reason of the ErrorInfo, or an empty string without ErrorInfo."""
         for detail in self._details():
             info = error_details_pb2.ErrorInfo()
             if detail.Is(info.DESCRIPTOR) and detail.Unpack(info):
@@ -81,21 +90,36 @@
 OK = Status(Code.OK)
 
 
-def error(code: Code, message: str, reason: str = "", **about: str) -> RpcError:
-    """An error with a reason that programs can read (google.rpc.ErrorInfo)."""
-    return RpcError(detailed(code, message, reason, None, about))
+def error(code: Code, message: str, reason: str = "", **metadata: str) -> RpcError:
+    """Create an error with a machine-readable reason (google.rpc.ErrorInfo).
+
+    Args:
+        code: The status code.
+        message: The status message.
+        reason: The reason of the ErrorInfo. If it is empty, there is no ErrorInfo.
+        **metadata: The metadata of the ErrorInfo.
+    """
+    return RpcError(detailed_status(code, message, reason, None, metadata))
 
 
-def detailed(
-    code: Code, message: str, reason: str, retry_after: float | None, about: dict[str, str] | None = None
+def detailed_status(
+    code: Code, message: str, reason: str, retry_after: float | None, metadata: dict[str, str] | None = None
 ) -> Status:
-    """A status with ErrorInfo, and RetryInfo where it is safe to try again after so many seconds."""
-    whole = status_pb2.Status(code=int(code), message=message)
+    """Create a status with ErrorInfo and RetryInfo.
+
+    Args:
+        code: The status code.
+        message: The status message.
+        reason: The reason of the ErrorInfo. If it is empty, there is no ErrorInfo.
+        retry_after: The seconds after which the client may retry safely. None for no RetryInfo.
+        metadata: The metadata of the ErrorInfo.
+    """
+    status = status_pb2.Status(code=int(code), message=message)
     if reason:
-        info = error_details_pb2.ErrorInfo(reason=reason, domain=DOMAIN, metadata=about or {})
-        whole.details.add().Pack(info)
+        error_info = error_details_pb2.ErrorInfo(reason=reason, domain=DOMAIN, metadata=metadata or {})
+        status.details.add().Pack(error_info)
     if retry_after is not None:
-        retry = error_details_pb2.RetryInfo()
-        retry.retry_delay.FromNanoseconds(max(0, int(retry_after * 1e9)))
-        whole.details.add().Pack(retry)
-    return Status(code, message, whole.SerializeToString())
+        retry_info = error_details_pb2.RetryInfo()
+        retry_info.retry_delay.FromNanoseconds(max(0, int(retry_after * 1e9)))
+        status.details.add().Pack(retry_info)
+    return Status(code, message, status.SerializeToString())
--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -24,7 +24,7 @@
 from saffronlane.proto import flight_pb2 as flight
 from saffronlane.proto import flight_sql_pb2 as sql
 from saffronlane.rpc import Code, Metadata, RpcError, ServerCall, Status
-from saffronlane.rpc.status import detailed
+from saffronlane.rpc.status import detailed_status
 
 SERVICE = "/arrow.flight.protocol.FlightService/"
 
@@ -490,7 +490,7 @@
         words = "wrong " * 2_000
 
         async def wrong(*_: object) -> None:
-            raise RpcError(detailed(Code.INVALID_ARGUMENT, words, "WRONG", None))
+            raise RpcError(detailed_status(Code.INVALID_ARGUMENT, words, "WRONG", None))
 
         def install() -> None:
             server = built.engines["e0"]._server
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -20,7 +20,7 @@
 from saffronlane.proto import flight_pb2 as flight
 from saffronlane.proto.orca_pb2 import OrcaLoadReport
 from saffronlane.rpc import Code, Ending, Metadata, RpcError, Server, ServerCall, Status
-from saffronlane.rpc.status import detailed
+from saffronlane.rpc.status import detailed_status
 
 SERVICE = "/arrow.flight.protocol.FlightService/"
 INFO = flight.FlightInfo(endpoint=[flight.FlightEndpoint(ticket=flight.Ticket(ticket=b"t"))])
@@ -45,11 +45,11 @@
         (Ending.STATUS, Status(Code.NOT_FOUND), False, Verdict(Outcome.ERROR, is_query_fault=True)),
         (
             Ending.STATUS,
-            detailed(Code.UNAVAILABLE, "no", NEVER_RAN_REASON, None),
+            detailed_status(Code.UNAVAILABLE, "no", NEVER_RAN_REASON, None),
             True,
             Verdict(Outcome.REJECTED),
         ),
-        (Ending.STATUS, detailed(Code.UNAVAILABLE, "no", "OTHER", 1.0), False, Verdict(Outcome.ERROR)),
+        (Ending.STATUS, detailed_status(Code.UNAVAILABLE, "no", "OTHER", 1.0), False, Verdict(Outcome.ERROR)),
     ],
 )
 def test_the_table(ending: Ending, status: Status, heard: bool, expected: Verdict) -> None:
@@ -214,7 +214,7 @@
 
 def test_the_engines_explicit_word() -> None:
     assert (
-        outcome_of(ends_with(detailed(Code.UNAVAILABLE, "full", NEVER_RAN_REASON, 1.0))).outcome
+        outcome_of(ends_with(detailed_status(Code.UNAVAILABLE, "full", NEVER_RAN_REASON, 1.0))).outcome
         is Outcome.REJECTED
     )
 
@@ -271,7 +271,7 @@
         entry = api.EngineEntry(b"engine", api.EngineState.DRAINING)
         peer.executor.feed(api.EndpointListUpdate(api.EndpointListMode.FULL, 2, (entry,)))
         assert (await peer.end()).outcome is Outcome.NOT_SENT
-        assert peer.server is not None and peer.server.open_calls == 0
+        assert peer.server is not None and peer.server.open_call_count == 0
         peer.executor.disconnect_client(number)
         peer.close()
 
@@ -309,7 +309,7 @@
         loop = asyncio.get_running_loop()
 
         async def waits(call: ServerCall) -> None:
-            call.on_gone = lambda: gone.append(loop.time())
+            call.on_abandoned = lambda: gone.append(loop.time())
             inside.set()
             await asyncio.sleep(60.0)
 
--- a/tests/test_rpc.py
+++ b/tests/test_rpc.py
@@ -16,9 +16,9 @@
 
 from saffronlane.http2.transport import local_sockets
 from saffronlane.rpc import Channel, Code, Ending, Metadata, RpcError, Server, ServerCall, Status
-from saffronlane.rpc.framing import MessageReader, compressed, prefix
-from saffronlane.rpc.metadata import read_timeout, status_headers, to_headers, write_timeout
-from saffronlane.rpc.status import detailed
+from saffronlane.rpc.framing import MessageReader, compressed_message, message_prefix
+from saffronlane.rpc.metadata import format_timeout, parse_timeout, status_headers, to_headers
+from saffronlane.rpc.status import detailed_status
 
 
 def run(work: Callable[[], Awaitable[None]]) -> None:
@@ -35,7 +35,7 @@
 
 async def refuse(call: ServerCall) -> None:
     await call.read()
-    raise RpcError(detailed(Code.UNAVAILABLE, "später: 100% voll", "FULL", 1.5, {"a": "b"}))
+    raise RpcError(detailed_status(Code.UNAVAILABLE, "später: 100% voll", "FULL", 1.5, {"a": "b"}))
 
 
 async def broken(call: ServerCall) -> None:
@@ -194,7 +194,7 @@
         gone: list[str] = []
 
         async def wait(call: ServerCall) -> None:
-            call.on_gone = lambda: gone.append("gone")
+            call.on_abandoned = lambda: gone.append("gone")
             await asyncio.sleep(30.0)
 
         server = Server({"/t/wait": wait})
@@ -300,7 +300,7 @@
 @pytest.mark.parametrize("text", ["5", "S", "-1S", "123456789S", "1e3S", "5x", "٣S", " 5S"])
 def test_absurd_timeouts_name_the_header(text: str) -> None:
     with pytest.raises(ValueError, match="grpc-timeout"):
-        read_timeout(text)
+        parse_timeout(text)
 
 
 def test_an_absurd_timeout_ends_the_call_with_a_clear_status() -> None:
@@ -319,7 +319,7 @@
 
 @given(st.floats(1e-6, 1e7))
 def test_timeouts_survive_the_way_there(seconds: float) -> None:
-    back = read_timeout(write_timeout(seconds).decode())
+    back = parse_timeout(format_timeout(seconds).decode())
     assert back is not None and abs(back - seconds) <= max(1e-6, seconds * 1e-3)
 
 
@@ -346,31 +346,31 @@
 def test_messages_come_out_whole_wherever_they_were_cut(
     messages: list[bytes], cuts: list[int], packed: bool
 ) -> None:
-    data = b"".join(compressed(m) if packed else prefix(m) + m for m in messages)
+    data = b"".join(compressed_message(m) if packed else message_prefix(m) + m for m in messages)
     reader, got, at = MessageReader(), [], 0
-    reader.gzip = packed
+    reader.is_gzip = packed
     for size in [*cuts, len(data) + 1]:
         got += reader.feed(data[at : at + size])
         at += size
-    assert got == messages and reader.unfinished == 0
+    assert got == messages and reader.buffered_bytes == 0
 
 
 @given(st.binary(max_size=200))
 def test_garbage_is_an_rpc_error_at_most(data: bytes) -> None:
     reader = MessageReader(1_000)
-    reader.gzip = True
+    reader.is_gzip = True
     try:
         reader.feed(data)
     except RpcError:
         return
-    assert reader.unfinished <= len(data)
+    assert reader.buffered_bytes <= len(data)
 
 
 def test_messages_that_are_too_large_or_unpack_to_too_much() -> None:
     with pytest.raises(RpcError, match="more than 1000"):
         MessageReader(1_000).feed(struct.pack(">BL", 0, 1_001))
     reader = MessageReader(1_000)
-    reader.gzip = True
+    reader.is_gzip = True
     bomb = gzip.compress(b"\0" * 100_000)
     with pytest.raises(RpcError, match="unpacks"):
         reader.feed(struct.pack(">BL", 1, len(bomb)) + bomb)
