--- a/saffronlane/rpc/framing.py
+++ b/saffronlane/rpc/framing.py
@@ -90,7 +90,7 @@
             raise error(Code.INTERNAL, f"message cannot be decompressed: {fault}") from None
         if len(data) > self.max_message_bytes:  # a small message may decompress to more than memory holds
             raise error(
-                Code.RESOURCE_EXHAUSTED, f"message unpacks to more than {self.max_message_bytes} bytes"
+                Code.RESOURCE_EXHAUSTED, f"message decompresses to more than {self.max_message_bytes} bytes"
             )
         if not decompressor.eof:
             raise error(Code.INTERNAL, "compressed message is truncated")
