--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -24,7 +24,7 @@
 from saffronlane.proto import flight_pb2 as flight
 from saffronlane.proto.orca_pb2 import OrcaLoadReport
 from saffronlane.rpc import Code, Ending, Metadata, RpcError, Server, ServerCall, Status
-from saffronlane.rpc.status import detailed
+from saffronlane.rpc.status import detailed_status
 
 SERVICE = "/arrow.flight.protocol.FlightService/"
 FLIGHT_INFO = flight.FlightInfo(endpoint=[flight.FlightEndpoint(ticket=flight.Ticket(ticket=b"t"))])
@@ -49,11 +49,11 @@
         (Ending.STATUS, Status(Code.NOT_FOUND), False, Verdict(Outcome.ERROR, is_query_fault=True)),
         (
             Ending.STATUS,
-            detailed(Code.UNAVAILABLE, "no", NEVER_RAN_REASON, None),
+            detailed_status(Code.UNAVAILABLE, "no", NEVER_RAN_REASON, None),
             True,
             Verdict(Outcome.REJECTED),
         ),
-        (Ending.STATUS, detailed(Code.UNAVAILABLE, "no", "OTHER", 1.0), False, Verdict(Outcome.ERROR)),
+        (Ending.STATUS, detailed_status(Code.UNAVAILABLE, "no", "OTHER", 1.0), False, Verdict(Outcome.ERROR)),
     ],
 )
 def test_call_end_is_classified(
@@ -229,7 +229,7 @@
 
 def test_status_with_never_ran_reason_is_classified_as_rejected() -> None:
     assert (
-        run_attempt(fail_with(detailed(Code.UNAVAILABLE, "full", NEVER_RAN_REASON, 1.0))).outcome
+        run_attempt(fail_with(detailed_status(Code.UNAVAILABLE, "full", NEVER_RAN_REASON, 1.0))).outcome
         is Outcome.REJECTED
     )
 
@@ -288,7 +288,7 @@
         entry = api.EngineEntry(b"engine", api.EngineState.DRAINING)
         harness.executor.feed(api.EndpointListUpdate(api.EndpointListMode.FULL, 2, (entry,)))
         assert (await harness.first_attempt_end()).outcome is Outcome.NOT_SENT
-        assert harness.server is not None and harness.server.open_calls == 0
+        assert harness.server is not None and harness.server.open_call_count == 0
         harness.executor.disconnect_client(number)
         harness.close()
 
@@ -326,7 +326,7 @@
         loop = asyncio.get_running_loop()
 
         async def hold_call(call: ServerCall) -> None:
-            call.on_gone = lambda: cancel_times.append(loop.time())
+            call.on_abandoned = lambda: cancel_times.append(loop.time())
             call_received.set()
             await asyncio.sleep(60.0)
 
