--- a/saffronlane/http2/connection.py
+++ b/saffronlane/http2/connection.py
@@ -732,9 +732,9 @@
             return []
         self._events, limits = [], self.limits
         if not self._is_settings_received and now - self._created_at > limits.handshake_timeout:
-            self.fail(ErrorCode.SETTINGS_TIMEOUT, "no SETTINGS came in time")
+            self.fail(ErrorCode.SETTINGS_TIMEOUT, "the peer sent no SETTINGS within the handshake timeout")
         elif self._keepalive_sent_at is not None and now - self._keepalive_sent_at > limits.keepalive_timeout:
-            self.fail(ErrorCode.NO_ERROR, "no sign of life")
+            self.fail(ErrorCode.NO_ERROR, "the peer did not respond to a keep-alive PING")
         elif self._keepalive_sent_at is None and now - self._last_received_at > limits.keepalive_after:
             self._keepalive_sent_at = now
             self._enqueue(frames.ping(KEEPALIVE_PAYLOAD))
--- a/saffronlane/http2/transport.py
+++ b/saffronlane/http2/transport.py
@@ -123,7 +123,7 @@
         if self.http.closed:
             self.flush()
             self._loop.call_later(CHECK_INTERVAL, self._stream.close)
-        events = self.http.connection_lost("the connection broke")
+        events = self.http.connection_lost("the connection was lost")
         if events:
             self._on_events(events)
 
--- a/saffronlane/rpc/client.py
+++ b/saffronlane/rpc/client.py
@@ -93,7 +93,8 @@
         self._transport.http.reset(self.stream_id, ErrorCode.CANCEL)
         self._transport.flush()
         self.end(
-            Status(Code.CANCELLED, "given up"), Ending.CANCELLED if may_be_received else Ending.UNPROCESSED
+            Status(Code.CANCELLED, "the client cancelled the call"),
+            Ending.CANCELLED if may_be_received else Ending.UNPROCESSED,
         )
         return may_be_received
 
@@ -303,7 +304,7 @@
             if metadata.text("grpc-status"):
                 self._end(call, parse_status(metadata), Ending.STATUS)
             else:
-                self._end(call, Status(Code.INTERNAL, "the answer has no status"), Ending.RESET)
+                self._end(call, Status(Code.INTERNAL, "the trailers have no grpc-status"), Ending.RESET)
 
     def _on_data(self, event: DataReceived) -> None:
         call = self.calls.get(event.stream_id)
@@ -317,7 +318,7 @@
             self._end(call, error.status, Ending.RESET)
             return
         if event.end_stream:
-            self._end(call, Status(Code.INTERNAL, "the answer ended without a status"), Ending.RESET)
+            self._end(call, Status(Code.INTERNAL, "the response ended without trailers"), Ending.RESET)
 
     def _end(self, call: ClientCall, status: Status, ending: Ending) -> None:
         self.calls.pop(call.stream_id, None)
@@ -325,7 +326,7 @@
             self._transport.http.reset(call.stream_id, ErrorCode.CANCEL)
             self._transport.flush()
         if ending is Ending.STATUS and status.ok and call.receive_queue.message_reader.buffered_bytes:
-            status, ending = Status(Code.INTERNAL, "the answer ends inside a message"), Ending.RESET
+            status, ending = Status(Code.INTERNAL, "the response ends inside a message"), Ending.RESET
         call.end(status, ending)
 
     def _on_stream_closed(self, event: StreamClosed) -> None:
@@ -333,8 +334,11 @@
         if call is None:
             return
         if event.unprocessed:
-            call.end(Status(Code.UNAVAILABLE, "never handled by the peer"), Ending.UNPROCESSED)
+            call.end(Status(Code.UNAVAILABLE, "the peer did not process the call"), Ending.UNPROCESSED)
         elif event.by_peer:
-            call.end(Status(Code.UNAVAILABLE, f"reset by the peer with code {event.code}"), Ending.RESET)
+            call.end(
+                Status(Code.UNAVAILABLE, f"the peer reset the stream with error code {event.code}"),
+                Ending.RESET,
+            )
         else:
             call.end(Status(Code.UNAVAILABLE, "the connection was lost"), Ending.LOST)
--- a/saffronlane/rpc/metadata.py
+++ b/saffronlane/rpc/metadata.py
@@ -169,4 +169,4 @@
     codes = {"400": Code.INTERNAL, "401": Code.UNAUTHENTICATED, "403": Code.PERMISSION_DENIED}
     codes |= {"404": Code.UNIMPLEMENTED, "429": Code.UNAVAILABLE, "502": Code.UNAVAILABLE}
     codes |= {"503": Code.UNAVAILABLE, "504": Code.UNAVAILABLE}
-    return Status(codes.get(code, Code.UNKNOWN), f"peer answered with HTTP status {code}")
+    return Status(codes.get(code, Code.UNKNOWN), f"the peer responded with HTTP status {code}")
--- a/saffronlane/rpc/server.py
+++ b/saffronlane/rpc/server.py
@@ -196,7 +196,7 @@
         else:
             if self.on_abandoned is not None:
                 self.on_abandoned()
-            self.finish(Status(Code.DEADLINE_EXCEEDED, "the call's time is over"))
+            self.finish(Status(Code.DEADLINE_EXCEEDED, "the deadline of the call has passed"))
             if self.task is not None:
                 self.task.cancel()
 
@@ -269,10 +269,10 @@
         encoding = call.metadata.text("grpc-encoding", "identity")
         handler = self.server.handlers.get(path)
         if encoding not in ("identity", "gzip"):
-            text = f"header grpc-encoding {encoding!r} is not known, only identity and gzip"
+            text = f"header grpc-encoding: expected identity or gzip, got {encoding!r}"
             self.reject_call(stream_id, call, Status(Code.UNIMPLEMENTED, text))
         elif handler is None:
-            self.reject_call(stream_id, call, Status(Code.UNIMPLEMENTED, f"no method {path}"))
+            self.reject_call(stream_id, call, Status(Code.UNIMPLEMENTED, f"unknown method {path}"))
         else:
             call.receive_queue.message_reader.is_gzip = encoding == "gzip"
             loop = asyncio.get_running_loop()
@@ -292,7 +292,7 @@
         except RpcError as error:
             call.finish(error.status)
         except asyncio.CancelledError:
-            call.finish(Status(Code.CANCELLED, "the call was given up"))
+            call.finish(Status(Code.CANCELLED, "the call was cancelled"))
         except Exception:
             log.exception("RPC handler failed", path=call.path, peer=call.peer)
             call.finish(Status(Code.INTERNAL, "internal error"))
