--- a/saffronlane/cli/learned_state.py
+++ b/saffronlane/cli/learned_state.py
@@ -138,9 +138,9 @@
             age = heartbeat_age + (
                 run.monotonic_s - record.updated_at if isinstance(run, records.RunRecord) else 0.0
             )
-            click.echo(f"{records.name_of(key)}: {_describe_class(record, age)}")
+            click.echo(f"{records.printable_key(key)}: {_describe_class(record, age)}")
         elif isinstance(record, records.EngineRecord):
-            click.echo(f"{records.name_of(key)}: {_describe_engine(record)}")
+            click.echo(f"{records.printable_key(key)}: {_describe_engine(record)}")
 
 
 def _describe_class(record: records.ClassRecord, age: float) -> str:
@@ -209,7 +209,9 @@
     decoded, _ = _decode(_read(folder))
     for key, record in decoded.items():
         click.echo(
-            json.dumps({"key": records.name_of(key)} | records.exported_fields(record), default=_as_text)
+            json.dumps(
+                {"key": records.printable_key(key)} | records.exported_fields(record), default=_as_text
+            )
         )
 
 
--- a/saffronlane/dispatch/policy_host.py
+++ b/saffronlane/dispatch/policy_host.py
@@ -172,7 +172,7 @@
 
     def take_unpersisted_changes(self) -> list[Change]:
         """Return all changes of the learned state that have not been emitted yet."""
-        return self.checkpointer.changes(self.gateway)
+        return self.checkpointer.collect_changes(self.gateway)
 
     def attach(self, persisted_state: PersistedState) -> None:
         """Start storing learned state, beginning with everything restored and learned so far."""
--- a/saffronlane/learned_state/checkpointer.py
+++ b/saffronlane/learned_state/checkpointer.py
@@ -25,7 +25,7 @@
 
 CHECKPOINT_INTERVAL = 0.5  # seconds
 DURABILITY_TIMEOUT = 0.25  # seconds that an attempt waits for a slow disk before it is dispatched anyway
-IN_PROCESS_RESTART_ID = "here"  # boot and directory id of a snapshot for a restart in the process
+IN_PROCESS_RESTART_ID = "here"  # boot id and directory id in a snapshot for the next gateway of this process
 
 
 class Checkpointer:
@@ -34,11 +34,11 @@
     Args:
         settings: The gateway's settings.
         state: The state that an earlier run persisted, or None.
-        is_enabled: Whether changes are persisted at all.
+        is_enabled: Whether changes are persisted. If not, state is only restored.
 
     Attributes:
         ledger: The idempotency ledger of this gateway.
-        summary: What was restored.
+        summary: Counts and ages of the restored state.
         validator: Tests restored estimates against the first answers.
     """
 
@@ -85,7 +85,7 @@
 
     @property
     def restored_description(self) -> str:
-        """A log line that describes what was restored; empty if nothing was restored."""
+        """A log line that describes the restored engines and classes; empty if there are none."""
         summary = self.summary
         if not (summary.classes or summary.engines):
             return ""
@@ -117,7 +117,7 @@
         return self._update_written({**restorer.rebased_records, **self._current_records(gateway)})
 
     def _begin_validation(self, restorer: StateRestorer) -> None:
-        for index, samples in restorer.sample_sizes.items():
+        for index, samples in restorer.restored_samples.items():
             record = restorer.class_record(self.settings.classes[index].name)
             assert record is not None
             self.validator.begin(index, record, samples)
@@ -125,13 +125,13 @@
     # --- purge and restart ---
 
     def purge(self, gateway: Gateway, categories: Collection[PurgeCategory]) -> None:
-        """Reset these categories in the gateway, and remove their records with the next checkpoint."""
+        """Reset these categories in the gateway. The next checkpoint removes or overwrites their records."""
         purge_gateway(gateway, categories)
         if PurgeCategory.CLASSES in categories:
             self.validator = EstimateValidator()
             self._collector.reset_classes()
             if self._restorer is not None:
-                self._restorer.sample_sizes.clear()
+                self._restorer.restored_samples.clear()
             self._purged_keys = self._written_entries.keys_of(records.CLASS)
         self.mark_changed()
 
@@ -151,7 +151,7 @@
         return PersistedState(entries, Timestamp(now, 0.0, IN_PROCESS_RESTART_ID, IN_PROCESS_RESTART_ID))
 
     def take_over(self, predecessor: Checkpointer) -> None:
-        """Replace another checkpointer: changes are computed against the entries that it wrote."""
+        """Replace another checkpointer. Changes are computed against the entries that the other one wrote."""
         self._written_entries = predecessor._written_entries
 
     # --- requests ---
@@ -189,13 +189,13 @@
         estimator = gateway.workload_estimates.estimators[class_index]
         message = self.validator.record_answer(class_index, estimator, cost or 1.0, elapsed, work)
         if message and self._restorer is not None:
-            self._restorer.sample_sizes.pop(class_index, None)
+            self._restorer.restored_samples.pop(class_index, None)
         return message
 
     def write_ahead_keys(
         self, gateway: Gateway, request_id: int, attempt_number: int, idempotency_key: bytes
     ) -> list[bytes]:
-        """Record an attempt in the ledger, and return the keys to make durable before its dispatch."""
+        """Record an attempt in the ledger, and return the keys of records to write before its dispatch."""
         attempt = gateway.in_flight.attempts.get((request_id, attempt_number))
         if attempt is None:
             return []
@@ -230,11 +230,11 @@
 
     @property
     def next_checkpoint_at(self) -> float:
-        """Time in seconds at which `changes` is due; infinite while nothing has changed."""
+        """Time in seconds at which `collect_changes` is due; infinite while nothing has changed."""
         return self._next_checkpoint_at if self._has_changes else math.inf
 
     def initial_changes(self, gateway: Gateway) -> list[Change]:
-        """Return the changes of the first commit: all restored records, with times of this run's clock."""
+        """Return the changes of the first commit: all restored records, with times on this run's clock."""
         values: dict[bytes, records.Record | None] = {}
         if self._restorer is not None:
             values.update(self._restorer.rebased_records)
@@ -242,7 +242,7 @@
             values[key] = self.ledger.get(records.key_suffix(key))
         return self._update_written(values | {records.FLEET: export.fleet_record(gateway)})
 
-    def changes(self, gateway: Gateway) -> list[Change]:
+    def collect_changes(self, gateway: Gateway) -> list[Change]:
         """Return all changes since the last checkpoint."""
         self._next_checkpoint_at = gateway.step_context.now + CHECKPOINT_INTERVAL
         self._has_changes = False
@@ -271,9 +271,9 @@
         return current_records | dict.fromkeys(self._obsolete_keys(current_records))
 
     def _obsolete_keys(self, current_records: dict[bytes, records.Record | None]) -> list[bytes]:
-        """Return the written transient keys that have no current record any more.
+        """Return the keys of written transient entries that no longer have a current record.
 
-        Engine records are retained until the first endpoint list.
+        Engine records are retained until the first endpoint list, because no engine is known before it.
         """
         return [
             key
--- a/saffronlane/learned_state/clock.py
+++ b/saffronlane/learned_state/clock.py
@@ -22,7 +22,7 @@
         monotonic_s: Monotonic time in seconds.
         wall_s: Wall-clock time in seconds since 1970.
         boot_id: Identifier of the machine's current boot; empty if unknown.
-        directory_id: Identifier of the state directory, which a copy does not share; empty if unknown.
+        directory_id: Identifier of the state directory, which differs in a copy; empty if unknown.
     """
 
     monotonic_s: float
@@ -38,8 +38,8 @@
     Attributes:
         min_seconds: Lower bound of the gap.
         max_seconds: Upper bound of the gap; infinite if it is unbounded.
-        clock_offset: Seconds to add to a persisted time to get the latest time that it may stand for on
-            this run's clock.
+        clock_offset: Seconds to add to a persisted time. The sum is the latest time on this run's clock that
+            the persisted time may correspond to.
         is_same_boot: Whether both runs share one boot, so that persisted times are exact.
         is_same_directory: Whether the directory is the one that the earlier run wrote, rather than a copy
             or a restored backup.
--- a/saffronlane/learned_state/confidence.py
+++ b/saffronlane/learned_state/confidence.py
@@ -17,23 +17,25 @@
 from .clock import Gap
 
 DRIFT_TIME = 28_800.0  # seconds in which a class's speed drifts by the standard deviation of one answer
-MAX_EFFECTIVE_SAMPLES = 16.0  # answers; as many new answers outweigh a wrong estimate
+MAX_EFFECTIVE_SAMPLES = 16.0  # answers; the same number of new answers outweighs a wrong estimate
 MAX_CLASS_MIX_COUNT = 200  # answers; upper bound of the restored answer counts of all classes together
-SAME_MACHINE_TYPES_WEIGHT = 0.5  # weight if no engine is known but all are of known machine types
+SAME_MACHINE_TYPES_WEIGHT = 0.5  # weight if all engines are new but have core counts that were known
 COPIED_DIRECTORY_WEIGHT = 0.5  # weight of a state directory that was copied or restored from a backup
-MAX_EXACT_GAP = 3.0  # seconds after a crash within which ledgers count as complete; heartbeats are 1 s apart
+# Seconds after a crash within which the ledgers count as complete. Heartbeats are 1 s apart.
+MAX_EXACT_GAP = 3.0
 MAX_HEALTH_AGE = 60.0  # seconds
 HEALTH_DECAY_TIME_RATIO = 6.0  # decay time of a restored failure ratio over that of the outlier detector
 MAX_CONCURRENCY_LIMIT_AGE = 60.0  # seconds
 CONCURRENCY_LIMIT_GROWTH_TIME = 10.0  # seconds in which an unused limit grows by a factor of e
 MAX_UNLISTED_ENGINE_AGE = 3600.0  # seconds
 MAX_UNLISTED_ENGINES = 4096  # engines
-MAX_MEAN_LOG_RATIO = math.log(3.0)  # tolerated mean logarithm of the ratio of answers to the estimate
+MAX_MEAN_LOG_RATIO = math.log(3.0)  # largest tolerated mean log ratio of measured to estimated time
 MIN_VALIDATION_SAMPLES = 4  # answers
 DEFAULT_LOG_DEVIATION = 1.0  # standard deviation of one answer's log ratio if none was measured
-MAX_EXECUTION_DEADLINE_RATIO = 0.5  # a longer estimate could reject every request of the class indefinitely
+# Multiple of the deadline. A longer estimate could cause every request of its class to be rejected forever.
+MAX_EXECUTION_DEADLINE_RATIO = 0.5
 UNCONFIRMED_TIMEOUT_DEADLINES = 2.0  # multiples of the class's deadline
-CLIENT_RETRY_DEADLINES = 3.0  # multiples of the deadline; client retry time beyond the idempotency TTL
+CLIENT_RETRY_DEADLINES = 3.0  # multiples of the deadline; how long clients may still retry after the TTL
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +46,7 @@
         weight: Factor on the effective samples of class estimates.
         has_complete_ledgers: Whether the ledgers contain every dispatch, so that guarantees can rely on
             them alone.
-        age: Seconds to add to the age of each record when it is discounted.
+        age: Upper bound of the seconds since the last heartbeat; infinite if it is unbounded.
     """
 
     weight: float
@@ -124,15 +126,15 @@
 
 
 def new_effective_samples(answer_count: int) -> float:
-    """Return the effective samples of a number of new answers, of which each decays those before it."""
+    """Return the effective samples of new answers, each of which decays the weight of those before it."""
     return (1.0 - DECAY**answer_count) / (1.0 - DECAY)
 
 
 def may_reject(exec_time: float, deadline: float) -> bool:
     """Return whether a restored estimate may cause rejections before an answer confirms it.
 
-    An estimate that no query of the class can meet its deadline would cause all of them to be rejected, and
-    thereby prevent the answers that could disprove it.
+    If the estimate predicts that every query of the class misses its deadline, all of them are rejected,
+    and no answer can disprove the estimate.
     """
     return exec_time <= MAX_EXECUTION_DEADLINE_RATIO * deadline
 
--- a/saffronlane/learned_state/export.py
+++ b/saffronlane/learned_state/export.py
@@ -53,7 +53,7 @@
 def _class_record(
     gateway: Gateway, estimator: RunTimeEstimator, restored_samples: float, log_deviation: float
 ) -> ClassRecord | None:
-    """Return one class's record without the share of the seed answers, or None without enough answers."""
+    """Return one class's record, without the share of the seed answers; None if there are too few answers."""
     new_answer_count = estimator.answer_count - estimator.restored_answer_count
     seed_weight = confidence.remaining_weight(1.0, new_answer_count)
     seed_costs, seed_latency, seed_work, seed_uncontended_work = estimator.prior
--- a/saffronlane/learned_state/ledger.py
+++ b/saffronlane/learned_state/ledger.py
@@ -1,4 +1,4 @@
-"""The idempotency ledger: requests with an idempotency key of which an attempt may have run.
+"""The idempotency ledger: requests with an idempotency key for which an attempt may have run.
 
 A client repeats a request after it lost the connection to its gateway or the response. The repeat is handled
 as a new request with an earlier attempt of unknown outcome, so the rules of retry safety apply to it.
@@ -56,13 +56,13 @@
         return list(self._entries)
 
     def restore(self, idempotency_key: bytes, record: IdempotencyRecord) -> None:
-        """Add a record of an earlier run, with times of this run's clock."""
+        """Add a record of an earlier run, with times on this run's clock."""
         self.changed_keys[idempotency_key] = None
         entry = self._entries.get(idempotency_key)
         if entry is None:
             self._add(idempotency_key, _LedgerEntry(record))
             return
-        # This gateway has received a repeat in the meantime: the earlier of the two attempts is recorded.
+        # This gateway has already recorded an attempt with the same key. The earlier of the two is retained.
         entry.never_ran = False
         if record.attempted_at < entry.record.attempted_at:
             entry.record = record
@@ -80,7 +80,7 @@
     def record_attempt(
         self, idempotency_key: bytes, class_settings: api.ClassSettings, now: float, endpoint: api.EngineEntry
     ) -> None:
-        """Record an attempt that is dispatched now. The record describes the first that may have run."""
+        """Record an attempt that is dispatched now. An existing record of the key is retained."""
         entry = self._entries.get(idempotency_key)
         if entry is None:
             retry_time = confidence.CLIENT_RETRY_DEADLINES * class_settings.deadline
--- a/saffronlane/learned_state/persisted_state.py
+++ b/saffronlane/learned_state/persisted_state.py
@@ -1,4 +1,4 @@
-"""The decoded content of a state directory, with times of this run's clock and its overall confidence."""
+"""The decoded content of a state directory, with times on this run's clock and its overall confidence."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
         has_complete_ledgers: Whether the ledgers contain every dispatch of the previous run.
         classes: Effective samples of each restored class, by class name.
         engines: Number of restored engines.
-        requests: Number of restored requests with an idempotency key.
+        idempotency_keys: Number of restored idempotency keys.
         ordering_keys: Number of restored ordering keys.
         notes: Log lines on what was not restored, or what limits confidence in it, and why.
     """
@@ -39,13 +39,13 @@
     has_complete_ledgers: bool = False
     classes: dict[str, float] = field(default_factory=dict)
     engines: int = 0
-    requests: int = 0
+    idempotency_keys: int = 0
     ordering_keys: int = 0
     notes: list[str] = field(default_factory=list)
 
 
 class RestoredRecords:
-    """The records of a state directory, by kind, with times of this run's clock.
+    """The records of a state directory, by kind, with times on this run's clock.
 
     Args:
         settings: Settings of the gateway that reads the records.
@@ -86,7 +86,7 @@
             self._add(key, record)
 
     def age(self, time: float) -> float:
-        """Return the most seconds that may have passed since a restored time; infinite for NEVER."""
+        """Return the maximum seconds that may have passed since a restored time; infinite for NEVER."""
         return max(0.0, self.now - time) if time > records.NEVER / 2.0 else math.inf
 
     def past_time(self, time: float) -> float:
@@ -143,5 +143,5 @@
             )
         if not self.gap.max_seconds < math.inf:
             notes.append(
-                "record ages are unknown: the wall clock is before the last heartbeat or too far after it"
+                "record ages are unknown: the wall clock is before the last heartbeat or implausibly late"
             )
--- a/saffronlane/learned_state/record_collector.py
+++ b/saffronlane/learned_state/record_collector.py
@@ -16,7 +16,9 @@
 
 
 class RecordCollector:
-    """Exports a gateway's state, its ledger, and the deviation of answers, which the gateway does not track.
+    """Collects the records of a gateway's state and of its ledger.
+
+    It also measures the log deviation of each class's answers, which the gateway itself does not track.
 
     Args:
         settings: The gateway's settings.
@@ -27,7 +29,7 @@
         self._settings = settings
         self._ledger = ledger
         self._log_deviations = [LogDeviation() for _ in settings.classes]
-        self._collected_answer_counts: dict[str, int] = {}  # by settings digest
+        self._collected_answer_counts: dict[str, int] = {}  # answer counts by settings digest
 
     def record_answer(self, class_index: int, cost: float, elapsed: float, work: float) -> None:
         """Add one answer to the log deviation of its class. Arguments as in `Checkpointer.record_answer`."""
@@ -41,7 +43,7 @@
     def collect(
         self, gateway: Gateway, restorer: StateRestorer | None, with_unchanged_classes: bool = False
     ) -> dict[bytes, records.Record | None]:
-        """Return the records that may have changed since the last call, by key; None marks one to remove.
+        """Return the records that may have changed since the last call, by key; None marks one for removal.
 
         Args:
             gateway: The gateway whose state is exported.
@@ -78,7 +80,7 @@
     def _class_records(
         self, gateway: Gateway, restorer: StateRestorer | None, with_unchanged: bool
     ) -> dict[bytes, records.ClassRecord]:
-        restored_samples = restorer.sample_sizes if restorer is not None else {}
+        restored_samples = restorer.restored_samples if restorer is not None else {}
         class_records = {}
         for name, record in export.class_records(
             gateway, restored_samples, self._deviations(restorer)
@@ -106,7 +108,7 @@
         return engine_records
 
     def _deviations(self, restorer: StateRestorer | None) -> list[float]:
-        """Return the log deviation of each class; the restored one until enough answers were measured."""
+        """Return the measured log deviation of each class, or the restored one after too few answers."""
         deviations = []
         for class_settings, tracker in zip(self._settings.classes, self._log_deviations, strict=True):
             record = restorer.class_record(class_settings.name) if restorer is not None else None
--- a/saffronlane/learned_state/records/__init__.py
+++ b/saffronlane/learned_state/records/__init__.py
@@ -12,7 +12,7 @@
     RUN,
     key_suffix,
     kind_of,
-    name_of,
+    printable_key,
 )
 from .ledger_records import IdempotencyRecord, OrderingRecord, RetryBudgetRecord
 from .settings_digest import class_settings_digest
@@ -56,5 +56,5 @@
     "key_suffix",
     "kind_of",
     "make_change",
-    "name_of",
+    "printable_key",
 ]
--- a/saffronlane/learned_state/records/codec.py
+++ b/saffronlane/learned_state/records/codec.py
@@ -19,7 +19,7 @@
     RETRY_BUDGET,
     RUN,
     kind_of,
-    name_of,
+    printable_key,
 )
 from .ledger_records import IdempotencyRecord, OrderingRecord, RetryBudgetRecord
 from .state_records import ClassRecord, EngineRecord, FleetRecord, PeerLoadRecord, RunRecord
@@ -81,10 +81,12 @@
     """
     kind = kind_of(key)
     if kind is None:
-        raise NewerVersionError(f"record {name_of(key)}: its kind is unknown to this version of the program")
+        raise NewerVersionError(
+            f"record {printable_key(key)}: its kind is unknown to this version of the program"
+        )
     if entry.version > VERSIONS[kind]:
         raise NewerVersionError(
-            f"record {name_of(key)}: format version {entry.version} is newer than "
+            f"record {printable_key(key)}: format version {entry.version} is newer than "
             f"the supported version {VERSIONS[kind]}"
         )
     try:
@@ -93,7 +95,7 @@
             fields = MIGRATIONS[kind, version](fields)
         return msgspec.convert(fields, _TYPES[kind])
     except (msgspec.MsgspecError, KeyError, IndexError, TypeError, ValueError) as error:
-        raise UnreadableRecordError(f"record {name_of(key)}: cannot be decoded: {error}") from error
+        raise UnreadableRecordError(f"record {printable_key(key)}: cannot be decoded: {error}") from error
 
 
 def decode_all(
--- a/saffronlane/learned_state/records/keys.py
+++ b/saffronlane/learned_state/records/keys.py
@@ -20,7 +20,7 @@
 
 
 def kind_of(key: bytes) -> bytes | None:
-    """Return the kind of the record under a key, as its whole key or its prefix; None if it is unknown."""
+    """Return the constant (a complete key or a prefix) that stands for a key's kind of record, or None."""
     if key in _SINGLE_KEYS:
         return key
     prefix = key[:_PREFIX_LENGTH]
@@ -32,7 +32,7 @@
     return key[_PREFIX_LENGTH:]
 
 
-def name_of(key: bytes) -> str:
+def printable_key(key: bytes) -> str:
     """Return a printable form of a key, with binary suffixes in hexadecimal."""
     prefix = key[:_PREFIX_LENGTH]
     if prefix in (CLASS, ENGINE):
--- a/saffronlane/learned_state/records/ledger_records.py
+++ b/saffronlane/learned_state/records/ledger_records.py
@@ -25,12 +25,12 @@
     frozen=True,
     rename={"query_class": "cls", "attempted_at": "at", "machine_type": "kind", "expires_at": "until"},
 ):
-    """The first attempt that may have run, of a request with an idempotency key.
+    """A request with an idempotency key, described by its first attempt that may have run.
 
     Attributes:
         query_class: Name of the request's query class.
         attempted_at: Time at which the attempt was dispatched.
-        engine: Id of the engine that received it.
+        engine: Id of the engine that received the attempt; zone, machine_type and cell are its own.
         expires_at: Time after which clients no longer repeat the request.
     """
 
--- a/saffronlane/learned_state/records/state_records.py
+++ b/saffronlane/learned_state/records/state_records.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-NEVER = -1e12  # seconds; represents minus infinity, which the stored form does not use
+NEVER = -1e12  # seconds; stored in place of minus infinity; any time below half of it is read as NEVER
 
 
 class RunRecord(
@@ -34,7 +34,7 @@
         monotonic_s: Monotonic time of the heartbeat in seconds.
         wall_s: Wall-clock time of the heartbeat in seconds since 1970.
         boot_id: Identifier of the machine's boot; empty if unknown.
-        directory_id: Identifier of the state directory, which a copy does not share.
+        directory_id: Identifier of the state directory, which differs in a copy.
         program: Version of the program.
         gateway_index: Index of the gateway among all gateways.
         gateway_count: Number of gateways.
@@ -73,15 +73,15 @@
 
     Attributes:
         settings_digest: Digest of the settings under which the estimates were learned.
-        updated_at: Time of the last answer.
+        updated_at: Time at which the record was made.
         effective_samples: Number of answers that the estimates count as, without seed answers.
         answer_count: Number of answers.
         mean_estimated_cost: Mean estimated cost of a request.
         latency_per_cost: Seconds of latency per unit of estimated cost.
         work_per_cost: Thread seconds of work per unit of estimated cost.
-        uncontended_work_per_cost: The same work without contention.
-        baseline_inflation: Latency times threads over work without congestion, a low quantile.
-        memory_requirement: Memory used over memory estimated, a high quantile.
+        uncontended_work_per_cost: Thread seconds of work without contention, per unit of estimated cost.
+        baseline_inflation: Low quantile of latency times threads over work, which excludes congestion.
+        memory_requirement: High quantile of the ratio of used to estimated memory.
         log_deviation: Standard deviation of the logarithm of one answer; 0 if unknown.
     """
 
@@ -196,7 +196,7 @@
 
     Attributes:
         sender: Index of the peer.
-        number: Number that the peer gave the attempt.
+        number: Number by which the peer identifies the attempt.
         expires_at: Time until which the attempt counts unless its end is reported.
         engine: Id of the engine that executes the attempt.
         threads: Threads that the attempt occupies.
--- a/saffronlane/learned_state/restore.py
+++ b/saffronlane/learned_state/restore.py
@@ -14,7 +14,8 @@
 from .persisted_state import PersistedState, RestoredRecords
 from .restore_ledgers import restore_ledgers
 
-START_TIME_TOLERANCE = 2.0  # seconds; start times are listed in wall time, which two runs read slightly apart
+# Seconds. Endpoint lists give start times in wall-clock time, which two runs read with a slight difference.
+START_TIME_TOLERANCE = 2.0
 MIN_EFFECTIVE_SAMPLES = 0.5  # answers; estimates that count as fewer are not restored
 MAX_LATENCY_INFLATION = 100.0  # largest restored ratio of latency to latency without contention
 
@@ -30,11 +31,11 @@
         state: The content of the directory.
 
     Attributes:
-        summary: What was restored so far.
+        summary: Counts and ages of the state restored so far.
         confidence: How far the directory as a whole can be relied on.
         newer_version_keys: Keys of records that a newer version of the program wrote.
-        rebased_records: All records by key, with times of this run's clock.
-        sample_sizes: Effective samples of each class estimate when it was restored, by class index.
+        rebased_records: All records by key, with times on this run's clock.
+        restored_samples: Effective samples of each class estimate when it was restored, by class index.
     """
 
     def __init__(self, settings: api.Settings, state: PersistedState) -> None:
@@ -46,7 +47,7 @@
         self.confidence = self._records.confidence
         self.newer_version_keys = self._records.newer_version_keys
         self.rebased_records = self._records.rebased_records
-        self.sample_sizes: dict[int, float] = {}
+        self.restored_samples: dict[int, float] = {}
 
     def restore_at_start(self, gateway: Gateway, ledger: IdempotencyLedger) -> None:
         """Restore all state that does not depend on the endpoint list."""
@@ -102,7 +103,7 @@
         return self._records.classes.get(name)
 
     def unlisted_engines(self) -> dict[bytes, records.EngineRecord]:
-        """Return persisted engines that no endpoint list has contained yet, except the oldest of them."""
+        """Return recent records of engines that this run has not listed, the most recently listed first."""
         engines_by_age = sorted(self._unlisted_engines.items(), key=lambda item: -item[1].last_listed_at)
         recent_engines = [
             (engine_id, record)
@@ -144,22 +145,25 @@
         age = self._records.age(record.updated_at)
         samples = confidence.effective_samples(record.effective_samples, age, weight)
         if samples >= MIN_EFFECTIVE_SAMPLES and apply_restored_estimate(estimator, record, samples):
-            self.sample_sizes[index] = samples
+            self.restored_samples[index] = samples
             self.summary.classes[name] = round(samples, 2)
 
     def _restore_answer_counts(self, gateway: Gateway) -> None:
-        """Restore the mix of classes, scaled down so that new answers soon outweigh it."""
+        """Restore the answer counts of all classes, scaled down so that new answers soon outweigh them.
+
+        The count is 0 for an estimate that could cause every request of its class to be rejected.
+        """
         estimators = gateway.workload_estimates.estimators
         counts = {
             index: self._records.classes[estimators[index].class_settings.name].answer_count
-            for index in self.sample_sizes
+            for index in self.restored_samples
         }
         total = sum(counts.values())
         scale = min(1.0, confidence.MAX_CLASS_MIX_COUNT / max(1, total))
         for index, count in counts.items():
             estimator = estimators[index]
             estimator.answer_count = round(scale * count)
-            if self.sample_sizes[index] >= SEED_ANSWERS:
+            if self.restored_samples[index] >= SEED_ANSWERS:
                 estimator.answer_count = max(estimator.answer_count, int(SEED_ANSWERS))
             estimator.update_cost_rate()
             if not confidence.may_reject(estimator.exec_time(), estimator.class_settings.deadline):
--- a/saffronlane/learned_state/restore_ledgers.py
+++ b/saffronlane/learned_state/restore_ledgers.py
@@ -18,7 +18,7 @@
 def restore_ledgers(
     restored_records: RestoredRecords, settings: api.Settings, gateway: Gateway, ledger: IdempotencyLedger
 ) -> None:
-    """Restore the records that guarantees depend on, in addition to what the gateway itself has recorded."""
+    """Add the persisted records that guarantees depend on to those that the gateway has made itself."""
     _restore_retry_budget(restored_records, gateway)
     _restore_ordering(restored_records, gateway)
     _restore_idempotency(restored_records, settings, ledger)
@@ -66,7 +66,7 @@
         expires_at = min(record.expires_at, restored_records.now + retention)
         if expires_at > restored_records.now:
             ledger.restore(idempotency_key, replace(record, expires_at=expires_at))
-            restored_records.summary.requests += 1
+            restored_records.summary.idempotency_keys += 1
 
 
 def _retention(class_settings: api.ClassSettings) -> float:
--- a/saffronlane/learned_state/validation.py
+++ b/saffronlane/learned_state/validation.py
@@ -94,7 +94,7 @@
             validation.first_request_at = min(validation.first_request_at, now)
 
     def drop_unconfirmed(self, estimators: list[RunTimeEstimator], now: float) -> list[str]:
-        """Drop estimates that may be the reason why requests stay unanswered. Returns one log line each."""
+        """Drop estimates that may be the reason why requests stay unanswered. Returns a log line for each."""
         messages = []
         for index, validation in list(self._validations.items()):
             estimator = estimators[index]
--- a/saffronlane/purge_requests.py
+++ b/saffronlane/purge_requests.py
@@ -16,7 +16,7 @@
 
 
 def write_purge_request(directory: Path, categories: Iterable[PurgeCategory]) -> Path:
-    """Write a purge request to a state directory. Returns its path, which the gateway removes."""
+    """Write a purge request to a state directory. Returns the path of its file, which the gateway removes."""
     request_path = directory / PURGE_REQUEST_NAME
     temporary_path = directory / f"{PURGE_REQUEST_NAME}.new"
     temporary_path.write_text(json.dumps([category.value for category in categories]))
--- a/saffronlane/state_directory.py
+++ b/saffronlane/state_directory.py
@@ -198,7 +198,7 @@
                 "learned state restored",
                 age_s=round(summary.age, 3),
                 exact=summary.has_complete_ledgers,
-                requests=summary.requests,
+                requests=summary.idempotency_keys,
                 orders=summary.ordering_keys,
             )
         for note in summary.notes:
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -890,7 +890,7 @@
             and summary.has_complete_ledgers
             and summary.classes == {"short": weigh.MAX_EFFECTIVE_SAMPLES}
         )
-        assert (summary.engines, summary.requests, summary.ordering_keys) == (1, 1, 1)
+        assert (summary.engines, summary.idempotency_keys, summary.ordering_keys) == (1, 1, 1)
         gateway = life.core.gateway
         assert (
             gateway.engine_registry.engines[engine_id(0)].is_ejected
