--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -803,7 +803,7 @@
 
 
 def test_state_directory_never_contains_times_of_two_clocks():
-    """Guards against a crash after a reboot, before the first endpoint list, when no state is exported yet."""
+    """Guards against a crash after a reboot and before the first endpoint list, when nothing is exported."""
     run = run_with_learned_estimates()
     rebooted_run = run.restart_after_crash(gap=3600.0, boot_id="next", monotonic_s=20.0)
     record = records.decode(records.CLASS + b"short", rebooted_run.stored_entries[records.CLASS + b"short"])
@@ -853,7 +853,7 @@
                 fields.append(data.draw(strategies_by_type[field.type]))
             elif field.type is bytes:
                 fields.append(data.draw(st.binary(max_size=6)))
-            elif field.name == "extras":
+            elif field.name == "retries":
                 fields.append(data.draw(st.lists(NUMBERS, max_size=3)))
             elif field.name == "entries":
                 fields.append([(1, 2, data.draw(NUMBERS), engine_id(0), data.draw(NUMBERS), 1.0, None)])
