--- a/saffronlane/cli/learned_state.py
+++ b/saffronlane/cli/learned_state.py
@@ -1,4 +1,4 @@
-"""The commands `saffronlane knowledge`, which inspect a state directory and purge learned state."""
+"""The `saffronlane knowledge` commands, which inspect a state directory and purge learned state."""
 
 from __future__ import annotations
 
@@ -122,7 +122,7 @@
 @click.argument("folder", type=FOLDER)
 @click.option("--json", "as_json", is_flag=True, help="Print the summary as JSON.")
 def show(folder: Path, as_json: bool) -> None:
-    """Print a summary of the state directory. A gateway may be using it."""
+    """Print a summary of the state directory, also while a gateway uses it."""
     recovery = _read(folder)
     description = _describe(folder, recovery)
     if as_json:
@@ -144,7 +144,7 @@
 
 
 def _describe_class(record: records.ClassRecord, age: float) -> str:
-    """Return the line of `show` on a query class.
+    """Return the text that `show` prints about a query class.
 
     Args:
         record: The persisted record of the class.
@@ -159,7 +159,7 @@
 
 
 def _describe_engine(record: records.EngineRecord) -> str:
-    """Return the line of `show` on an engine."""
+    """Return the text that `show` prints about an engine."""
     state = "silent" if record.is_unresponsive else "ill" if record.is_ejected else "well"
     dispatches = len(record.recent_dispatches)
     return f"{state}, failures {record.failure_ratio:.2f}, {dispatches} slow-start dispatches"
@@ -171,8 +171,8 @@
 def check(folder: Path, settings: Path | None) -> None:
     """Check the state directory for damage. Exits with status 1 if some data cannot be read.
 
-    With the gateway's settings (--config), also print the weight that its learned state would have after a
-    restart now.
+    With the gateway's settings (--config), also print the weight that the gateway would give its learned
+    state if it restarted now.
     """
     recovery = _read(folder)
     _, problems = _decode(recovery)
@@ -266,14 +266,18 @@
         busy_message: The error message that names the process that uses the directory.
     """
     if PurgeCategory.ALL in categories:
-        click.echo(f"{busy_message}; its guarantees depend on the ledgers, so stop it first", err=True)
+        click.echo(
+            f"{busy_message}; stop that gateway first, because its guarantees depend on the ledgers", err=True
+        )
         sys.exit(2)
     request = write_purge_request(folder, categories)
     deadline = time.monotonic() + PURGE_TIMEOUT
     while request.exists():
         if time.monotonic() > deadline:
             request.unlink(missing_ok=True)
-            click.echo(f"{busy_message}; it did not accept the request within {PURGE_TIMEOUT:g} s", err=True)
+            click.echo(
+                f"{busy_message}; the gateway did not accept the request within {PURGE_TIMEOUT:g} s", err=True
+            )
             sys.exit(2)
         time.sleep(POLL_INTERVAL)
     click.echo("the running gateway has accepted the purge request")
--- a/saffronlane/cli/program.py
+++ b/saffronlane/cli/program.py
@@ -169,11 +169,12 @@
     type=click.Path(file_okay=False, path_type=Path),
     help="Write the record and the report to this directory.",
 )
-@click.option("--seed", type=int, help="Random seed, in place of the day's own.")
+@click.option("--seed", type=int, help="Random seed that replaces the one in the day file.")
 def day(day: Path, report: Path | None, seed: int | None) -> None:
-    """Play a scripted day of load and faults on real sockets. Exits with status 1 if a rule is breached.
+    """Play a scripted day of load and faults on real sockets.
 
-    DAY is a file or the name of a day that ships with the program.
+    Exits with status 1 if a rule is breached or a gateway ends with an error. DAY is a file
+    or the name of a day that ships with the program.
     """
     from ..lab.day import load_day, run_day, summary, table
     from ..lab.days import shipped
--- a/saffronlane/state_directory.py
+++ b/saffronlane/state_directory.py
@@ -57,7 +57,7 @@
     Attributes:
         path: The path of the directory.
         restored_state: The persisted state read when the directory was opened. None until then.
-        last_error: Why the last failed attempt to open the directory failed. Empty if no attempt failed.
+        last_error: The error of the last failed attempt to open the directory. Empty if none has failed.
         on_attach: Called with the restored state when the directory is opened after the gateway has started.
         unsaved_count: Returns the number of attempts sent before their write-ahead records were durable.
         on_purge: Called with the categories of learned state that an operator has requested to purge.
@@ -84,7 +84,7 @@
         self._try_open()
 
     def _try_open(self) -> None:
-        """Open the directory unless another process uses it."""
+        """Open the directory. An error is logged unless it equals the one of the previous attempt."""
         try:
             self.restored_state = PersistedState(self._open(), self._timestamp())
         except (OSError, DirectoryBusyError) as error:
@@ -186,8 +186,8 @@
     def start(self, dispatcher: Dispatcher) -> None:
         """Start the writer with one commit of the restored records and the first heartbeat.
 
-        The restored records have times of this run's clock. If the directory is not open, another attempt to
-        open it is scheduled instead.
+        The times in the restored records are converted to the clock of this run. If the directory is not
+        open, another attempt to open it is scheduled instead.
         """
         summary = dispatcher.checkpointer.summary
         if self.restored_state is None:
@@ -231,15 +231,15 @@
         )
 
     def persist(self, changes: tuple[Change, ...], is_write_ahead: bool) -> asyncio.Future[bool] | None:
-        """Queue changes for the writer, which this call starts if necessary.
+        """Queue changes for the writer. The first call starts the writer.
 
         Args:
             changes: The changes to write.
-            is_write_ahead: Whether to commit the changes at once.
+            is_write_ahead: Whether to commit the changes without a delay and return a future.
 
         Returns:
-            A future of whether the changes are durable if `is_write_ahead`. None otherwise, and if the
-            directory is not open.
+            A future that resolves to whether the changes are durable. None if `is_write_ahead` is False or
+            the directory is not open.
         """
         if self._writer is None:
             return None
--- a/saffronlane/storage/__init__.py
+++ b/saffronlane/storage/__init__.py
@@ -1,4 +1,4 @@
-"""A crash-safe map on disk, stored as a log of changes and snapshots. Keys and values are opaque bytes."""
+"""A crash-safe map on disk, stored as snapshots and a log of changes. Keys and values are opaque bytes."""
 
 from .errors import DirectoryBusyError, StoreFailedError
 from .files import DirectoryLock, Files, Handle, RealFiles
--- a/saffronlane/storage/errors.py
+++ b/saffronlane/storage/errors.py
@@ -6,7 +6,7 @@
 
 
 class DirectoryBusyError(SaffronlaneError):
-    """Another process has locked the directory. The message has its process id if the lock file names it."""
+    """Another process has locked the directory. The message contains its process id if the lock file does."""
 
     remedy = "Stop the process that uses the directory, or configure another directory for this gateway."
 
--- a/saffronlane/storage/files.py
+++ b/saffronlane/storage/files.py
@@ -70,7 +70,9 @@
 
 
 class RealFiles:
-    """A directory of the local file system, accessed by a descriptor that stays valid if it is moved.
+    """A directory of the local file system.
+
+    It is accessed by a descriptor, which stays valid if the directory is moved.
 
     Args:
         folder: The path of the directory.
@@ -90,7 +92,10 @@
         return os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
 
     def has_moved(self) -> bool:
-        """Return whether the path no longer refers to this directory. New files would then be lost."""
+        """Return whether the path no longer refers to this directory.
+
+        Files written to it would then not be found by the next start.
+        """
         try:
             return not os.path.samestat(os.stat(self.folder), os.fstat(self._fd))
         except FileNotFoundError:
@@ -149,7 +154,9 @@
 
 
 def directory_id_of(lock_status: os.stat_result) -> str:
-    """Return a directory's identity, derived from its lock file. A copied or restored directory differs.
+    """Return a directory's identity, derived from its lock file.
+
+    A copied or restored directory has a different identity.
 
     Args:
         lock_status: The status of the lock file.
--- a/saffronlane/storage/format.py
+++ b/saffronlane/storage/format.py
@@ -1,9 +1,9 @@
 """The encoding of a store's files, without I/O. docs/knowledge.md specifies the layout byte by byte.
 
 Integers are big-endian. A file consists of a header and records. The header and each record carry a CRC32C
-(RFC 3720, appendix B.4). A log file contains batches of changes with consecutive sequence numbers, called
-sequences. A snapshot contains all entries as of one sequence and ends with a record that has their count;
-without that record the snapshot is incomplete.
+(RFC 3720, appendix B.4). A log file contains batches of changes. Batches are numbered consecutively across
+log files, and the number of a batch is called its sequence. A snapshot contains all entries as of one
+sequence and ends with a record that has their count; without that record the snapshot is incomplete.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 END = 3
 
 MAX_PAYLOAD_BYTES = 16_777_216  # a greater length is treated as damage
-REMOVED_LENGTH = 0xFFFF_FFFF  # stands in place of a value's length if the key was removed
+REMOVED_LENGTH = 0xFFFF_FFFF  # written as the length of the value if the key was removed
 
 _HEADER = struct.Struct(">8sHHQI")  # magic, format version, kind, sequence, CRC of the preceding fields
 _RECORD_HEADER = struct.Struct(">IIQHH")  # length of the payload, CRC, sequence, type, version of the record
@@ -65,7 +65,7 @@
     Attributes:
         kind: LOG or SNAPSHOT.
         format_version: The version of the file format.
-        sequence: The first sequence of a log file, or the last one of a snapshot.
+        sequence: The sequence of the first batch of a log file, or of the last batch in a snapshot.
     """
 
     kind: int
@@ -110,10 +110,10 @@
     Attributes:
         format_version: The version of the file format.
         kind: LOG or SNAPSHOT.
-        sequence: The first sequence of a log file, or the last one of a snapshot.
+        sequence: The sequence of the first batch of a log file, or of the last batch in a snapshot.
         records: All records before the first damaged one.
         valid_bytes: The size of the header and these records.
-        problem: Why reading stopped before the end of the file. Empty if the file is undamaged.
+        problem: Why reading stopped before the end of the file. Empty if the whole file was read.
     """
 
     format_version: int
@@ -144,7 +144,10 @@
 
 
 def parse_file(data: bytes) -> ParsedFile:
-    """Parse a file up to the first damaged record. Raises DamagedFileError if the header is damaged."""
+    """Parse a file up to the first damaged record. Raises DamagedFileError if the header is damaged.
+
+    Only the header of a file of a newer format version is parsed.
+    """
     if len(data) < HEADER_SIZE:
         raise DamagedFileError(f"file of {len(data)} bytes is shorter than its header of {HEADER_SIZE} bytes")
     magic, format_version, kind, sequence, crc = _HEADER.unpack_from(data)
--- a/saffronlane/storage/recovery.py
+++ b/saffronlane/storage/recovery.py
@@ -14,7 +14,7 @@
 from .errors import DamagedFileError
 from .files import Files
 
-MAX_ATTEMPTS = 4  # a compaction may remove files of a directory in use while they are read
+MAX_ATTEMPTS = 4  # a concurrent compaction may remove a file after it was listed
 
 
 @dataclass(slots=True)
@@ -23,11 +23,11 @@
 
     Attributes:
         state: The map as of `sequence`, or an empty map if there is no complete snapshot.
-        sequence: The sequence of the last change in `state`, or 0 if there is none.
+        sequence: The sequence of the last batch that `state` includes, or 0 if there is none.
         highest_sequence: The greatest sequence in any file name, including files of a newer format version.
         problems: One message for each piece of data that was skipped, with the reason.
         newer_files: The names of the ignored files of a newer format version.
-        file_sizes: The size in bytes of each readable file of a known format version.
+        file_sizes: The size in bytes of each file that was read.
         has_snapshot: Whether a complete snapshot was found.
     """
 
@@ -159,7 +159,9 @@
         recovery = self._recovery
         for record in parsed.records if parsed is not None else ():
             if record.sequence != recovery.sequence + 1:
-                recovery.problems.append(f"{name}: sequence {record.sequence} follows {recovery.sequence}")
+                recovery.problems.append(
+                    f"{name}: sequence {record.sequence} does not follow sequence {recovery.sequence}"
+                )
                 return
             if record.type == fmt.BATCH:  # record types that a later version may add are skipped
                 try:
--- a/saffronlane/storage/snapshot.py
+++ b/saffronlane/storage/snapshot.py
@@ -19,7 +19,7 @@
     Args:
         files: The files of the directory.
         state: The map to write.
-        sequence: The sequence of the last change in `state`.
+        sequence: The sequence of the last batch that `state` includes.
         slice_bytes: The approximate number of bytes to write and sync at a time. One sync of the whole file
             would delay commits.
 
--- a/saffronlane/storage/store.py
+++ b/saffronlane/storage/store.py
@@ -1,9 +1,9 @@
 """A map whose committed changes survive a crash at any byte of a write.
 
-A commit appends one record to the log and syncs it. When the log has grown past a threshold, the map is
-written as a snapshot, in slices between commits. Once the snapshot is durable, older log files are removed.
-The second-newest snapshot and its log files are retained, so that one unreadable file does not lose the whole
-map. docs/knowledge.md explains the design.
+A commit appends one record to the current log file, the segment, and syncs it. When the log has grown past
+a threshold, the map is written as a snapshot, in slices between commits. Once the snapshot is durable, older
+log files are removed. The second-newest snapshot and the log files after it are retained, so that the map can
+be recovered if the newest snapshot is unreadable. docs/knowledge.md explains the design.
 
 The store is not thread-safe; one owner (`writer.Writer`) calls it.
 """
@@ -32,8 +32,8 @@
 
     Attributes:
         segment_bytes: The size of a log file at which the next log file is started.
-        log_bytes: The total size of the log files after the newest snapshot at which the next snapshot is
-            started.
+        log_bytes: The next snapshot is started when the log files after the newest snapshot reach this total
+            size, or the size of that snapshot if it is larger.
         slice_bytes: The approximate size of the part of a snapshot that is written and synced at a time.
         max_total_bytes: The total size of all files above which commits fail.
     """
@@ -57,7 +57,7 @@
 
     Attributes:
         state: The map with all changes, including those that are not durable.
-        sequence: The sequence of the last change.
+        sequence: The sequence of the last batch.
         has_failed: Whether commits fail. True until `begin` has succeeded, and again after each I/O error.
     """
 
@@ -76,7 +76,7 @@
 
     @property
     def bytes(self) -> int:
-        """The total size of all files in bytes."""
+        """The total size in bytes of the files that the store has read or written and not removed."""
         return sum(self._log_sizes.values()) + sum(self._snapshot_sizes.values())
 
     @property
@@ -98,10 +98,10 @@
         return recovery
 
     def begin(self) -> None:
-        """Prepare for commits, or repair a failed store: write a snapshot of the state and start a new log.
+        """Prepare for commits, or repair a failed store.
 
-        Recovered data may have been read from the page cache without being durable. It is therefore written
-        again before new changes depend on it.
+        Writes a snapshot of the state and starts a new log file. Recovered data may have been read from the
+        page cache without being durable. It is therefore written again before new changes depend on it.
 
         Raises:
             StoreFailedError: The files cannot be written.
@@ -163,7 +163,7 @@
         if self._compaction is None or self.has_failed:
             return False
         try:
-            if next(self._compaction, True):  # the generator yields None after a slice
+            if next(self._compaction, True):  # None after a slice, True when the generator has ended
                 self._compaction = None
                 self._remove_obsolete_files()
         except OSError as error:
--- a/saffronlane/storage/writer.py
+++ b/saffronlane/storage/writer.py
@@ -25,7 +25,7 @@
     """Intervals and sizes of a writer.
 
     Attributes:
-        max_delay: The seconds that a change without a callback may be pending.
+        max_delay: The seconds after which pending changes are committed even without a callback.
         min_repair_interval: The seconds from a failure to the first repair. The interval doubles after each
             failed repair.
         max_repair_interval: The maximum seconds between two repairs.
@@ -136,9 +136,9 @@
 
         Args:
             changes: The changes to commit.
-            on_complete: Called with whether the changes are durable. With this callback the commit starts at
-                once. It is called on the writer's thread, or on the caller's thread with False if the queue
-                is full.
+            on_complete: Called with whether the changes are durable. If a callback is given, the changes are
+                committed without a delay. It is called on the writer's thread, or on the caller's thread with
+                False if the queue is full.
         """
         lost_count = 0
         with self._condition:
--- a/tests/test_folder.py
+++ b/tests/test_folder.py
@@ -259,7 +259,7 @@
     ask(house, 20)
     house.until(lambda: k.CLASS + b"lookup" in dict(read(folder).state.items()))
     code, out = run("forget", folder, "all")
-    assert code == 2 and "stop it first" in out
+    assert code == 2 and "stop that gateway first" in out
     code, out = run("forget", folder, "classes", "engines")
     assert (code, out.strip()) == (0, "the running gateway has accepted the purge request")
     house.until(lambda: house.daemon.dispatcher.gateway.workload_estimates.estimators[0].answer_count == 0)
