--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,8 +1,8 @@
-"""Entries of KNOWN-RED.txt: tests that may fail because of a fault that is known and not yet fixed.
+"""KNOWN-RED.txt: the list of tests that may fail because of a known fault that is not yet fixed.
 
 An entry begins with the test's node id at the start of a line, `tests/test_x.py::test_y` or, for one case,
-`tests/test_x.py::test_y[case]`. What follows, indented, says with which command and seed it fails, what was
-seen and which issue it belongs to.
+`tests/test_x.py::test_y[case]`. Indented lines follow with the command and seed with which it fails, the
+observed failure and the issue.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 NODE_ID_START = "tests/"
 
 
-def known_red(text: str) -> list[str]:
-    """Return the node ids that a text lists."""
+def parse_node_ids(text: str) -> list[str]:
+    """Return the node ids of the entries in a text."""
     return [line.split()[0] for line in text.splitlines() if line.startswith(NODE_ID_START)]
 
 
 def read_known_red() -> list[str]:
-    """Return the node ids that KNOWN-RED.txt lists; none without the file."""
-    return known_red(FILE.read_text()) if FILE.exists() else []
+    """Return the node ids of the entries in KNOWN-RED.txt, or none if the file is missing."""
+    return parse_node_ids(FILE.read_text()) if FILE.exists() else []
 
 
-def is_listed(node_id: str, listed: Iterable[str]) -> bool:
-    """Whether an entry names this test, or the function of which it is a case."""
-    return node_id in listed or node_id.split("[", maxsplit=1)[0] in listed
+def is_listed(node_id: str, listed_ids: Iterable[str]) -> bool:
+    """Return whether an entry names this test, or the test function that it is a case of."""
+    return node_id in listed_ids or node_id.split("[", maxsplit=1)[0] in listed_ids
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Settings and engine lists: every error at once, each with its place; and what good ones turn into."""
+"""Settings files and engine lists: all errors are reported with their positions, valid values are parsed."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from saffronlane.config.check import read_json, schema
 from saffronlane.members import FileSource, View
 
-FULL: dict[str, Any] = {
+COMPLETE_SETTINGS: dict[str, Any] = {
     "listen": {"host": "127.0.0.1", "port": 0},
     "engines": {"file": "engines.json", "poll_s": 0.5},
     "gateway": {"count": 5, "position": 2, "zone": "b", "seed": 7, "workers": 2, "grace_s": 3},
@@ -77,7 +77,7 @@
     "front": {"max_streams": 50},
     "peers": {"listen": "127.0.0.1:0", "addresses": ["127.0.0.1:5", "[::1]:6"]},
 }
-LIST: dict[str, Any] = {
+ENGINE_LIST: dict[str, Any] = {
     "version": 3,
     "engines": [
         {
@@ -94,13 +94,13 @@
 }
 
 
-def full() -> Config:
-    return parse_config(FULL, "here", Path("/x"))
+def parse_complete_settings() -> Config:
+    return parse_config(COMPLETE_SETTINGS, "here", Path("/x"))
 
 
-def test_everything_maps_onto_the_settings_of_the_decisions() -> None:
-    """No field of interface.Settings stays at its default, or the map has a hole."""
-    settings = full().settings
+def test_every_setting_is_mapped_to_the_policy_settings() -> None:
+    """Guards against an unmapped setting: every value in COMPLETE_SETTINGS differs from the default."""
+    settings = parse_complete_settings().settings
     for part, default in (
         (settings, api.Settings(settings.classes, settings.machine_types)),
         (settings.classes[1], api.ClassSettings("", 0.0, 0.0)),
@@ -110,25 +110,26 @@
         (settings.machine_types[0], api.MachineType("", 0.0)),
     ):
         for name in part.__dataclass_fields__:
-            # The dispatcher steps at once, so there is no tick; a file is told unasked.
+            # The excluded fields are not configurable: the dispatcher steps without a minimum interval, and a
+            # list in a file needs no subscription.
             if name not in ("classes", "machine_types", "min_step_interval", "subscribes_to_endpoints"):
                 assert getattr(part, name) != getattr(default, name), name
     assert settings.classes[1].allowed_zones == (1,) and settings.classes[1].allowed_machine_types == (1,)
-    assert full().engine_file == Path("/x/engines.json")
+    assert parse_complete_settings().engine_file == Path("/x/engines.json")
 
 
-def set_at(value: Any, pointer: str, new: Any) -> Any:
+def with_value_at(value: Any, pointer: str, new: Any) -> Any:
     value = json.loads(json.dumps(value))
-    *path, last = pointer.strip("/").split("/")
-    at = value
-    for part in path:
-        at = at[int(part)] if isinstance(at, list) else at.setdefault(part, {})
-    at[int(last) if isinstance(at, list) else last] = new
+    *parents, last_key = pointer.strip("/").split("/")
+    node = value
+    for part in parents:
+        node = node[int(part)] if isinstance(node, list) else node.setdefault(part, {})
+    node[int(last_key) if isinstance(node, list) else last_key] = new
     return value
 
 
 @pytest.mark.parametrize(
-    ("pointer", "new", "named"),
+    ("pointer", "new", "expected_pointer"),
     [
         ("/listen/port", 99999, "/listen/port"),
         ("/listen/port", "80", "/listen/port"),
@@ -153,21 +154,21 @@
         ("/limits/max_attempts", 0, "/limits/max_attempts"),
     ],
 )
-def test_each_error_names_its_place(pointer: str, new: Any, named: str) -> None:
-    with pytest.raises(ConfigError) as caught:
-        parse_config(set_at(FULL, pointer, new), "here", Path())
-    assert named in [p.pointer for p in caught.value.problems]
+def test_each_error_reports_its_json_pointer(pointer: str, new: Any, expected_pointer: str) -> None:
+    with pytest.raises(ConfigError) as error_info:
+        parse_config(with_value_at(COMPLETE_SETTINGS, pointer, new), "here", Path())
+    assert expected_pointer in [p.pointer for p in error_info.value.problems]
 
 
-def test_all_errors_are_told_at_once() -> None:
-    wrong = set_at(set_at(FULL, "/listen/port", -1), "/kinds/1/cores", "many")
-    with pytest.raises(ConfigError) as caught:
+def test_all_errors_are_reported_together() -> None:
+    wrong = with_value_at(with_value_at(COMPLETE_SETTINGS, "/listen/port", -1), "/kinds/1/cores", "many")
+    with pytest.raises(ConfigError) as error_info:
         parse_config(wrong, "here", Path())
-    assert [p.pointer for p in caught.value.problems] == ["/kinds/1/cores", "/listen/port"]
+    assert [p.pointer for p in error_info.value.problems] == ["/kinds/1/cores", "/listen/port"]
 
 
 @pytest.mark.parametrize(
-    ("text", "what"),
+    ("text", "expected_message"),
     [
         ("", "line 1, column 1"),
         ('{"a": 1,}', "line 1"),
@@ -177,33 +178,33 @@
         ("\xff\xfe", "not JSON"),
     ],
 )
-def test_what_is_no_json(text: str, what: str) -> None:
-    with pytest.raises(ConfigError, match=what):
+def test_invalid_json_is_rejected(text: str, expected_message: str) -> None:
+    with pytest.raises(ConfigError, match=expected_message):
         read_json(text.encode("latin-1"), "here")
 
 
-def test_the_command_line_checks_a_file(tmp_path: Path) -> None:
-    good = write_config(tmp_path)
-    assert CliRunner().invoke(main, ["config", "check", str(good)]).exit_code == 0
+def test_config_check_reports_errors_in_settings_and_engine_list(tmp_path: Path) -> None:
+    valid = write_config(tmp_path)
+    assert CliRunner().invoke(main, ["config", "check", str(valid)]).exit_code == 0
     (tmp_path / "engines.json").write_text('{"engines": [{"id": "x"}]}')
-    result = CliRunner().invoke(main, ["config", "check", str(good)])
+    result = CliRunner().invoke(main, ["config", "check", str(valid)])
     assert result.exit_code == 2 and "/engines/0" in result.output
     (tmp_path / "engines.json").unlink()
-    bad = write_config(tmp_path, listen={"port": -1}, kinds=[])
-    result = CliRunner().invoke(main, ["config", "check", str(bad)])
+    invalid = write_config(tmp_path, listen={"port": -1}, kinds=[])
+    result = CliRunner().invoke(main, ["config", "check", str(invalid)])
     assert result.exit_code == 2
     assert "/listen/port" in result.output and "/kinds" in result.output
     result = CliRunner().invoke(main, ["serve", str(tmp_path / "missing.json")])
     assert result.exit_code == 2 and "cannot be read" in result.output
 
 
-def test_the_schema_is_printed_and_names_its_draft() -> None:
+def test_schema_command_prints_the_schema_with_its_draft() -> None:
     result = CliRunner().invoke(main, ["config", "schema"])
     assert json.loads(result.output) == schema("gateway")
     assert schema("gateway")["$schema"] == "https://json-schema.org/draft/2020-12/schema"
 
 
-def test_the_example_for_a_museum_fleet_is_good() -> None:
+def test_museum_example_is_valid() -> None:
     example = Path(__file__).parent.parent / "deploy" / "museum"
     config = load_config(example / "gateway.json")
     _, records = parse_engines(json.loads((example / "engines.json").read_text()), config, "here")
@@ -213,15 +214,15 @@
 # --- the engine list ---
 
 
-def test_a_list_is_typed() -> None:
-    version, (first, second) = parse_engines(LIST, full(), "here")
+def test_engine_list_is_parsed_into_typed_records() -> None:
+    version, (first, second) = parse_engines(ENGINE_LIST, parse_complete_settings(), "here")
     assert version == 3
     assert (first.host, first.port, first.kind, first.zone, first.cell) == ("127.0.0.1", 9, 1, 1, 2)
     assert (second.host, second.state) == ("::1", api.EngineState.DRAINING)
 
 
 @pytest.mark.parametrize(
-    ("pointer", "new", "named"),
+    ("pointer", "new", "expected_pointer"),
     [
         ("/engines/0/address", "nowhere", "/engines/0/address"),
         ("/engines/0/address", "x:0", "/engines/0/address"),
@@ -231,53 +232,65 @@
         ("/engines/0/started", -1, "/engines/0/started"),
     ],
 )
-def test_each_error_of_a_list_names_its_place(pointer: str, new: Any, named: str) -> None:
-    with pytest.raises(ConfigError) as caught:
-        parse_engines(set_at(LIST, pointer, new), full(), "here")
-    assert named in [p.pointer for p in caught.value.problems]
-
-
-def source(tmp_path: Path) -> tuple[FileSource, Path, list[tuple[int, int]]]:
-    told: list[tuple[int, int]] = []
-    config = parse_config(FULL, "here", tmp_path)
-    return FileSource(config, lambda v, r: told.append((v, len(r)))), tmp_path / "engines.json", told
-
-
-def test_a_list_that_cannot_be_read_changes_nothing(tmp_path: Path) -> None:
-    """Missing, empty, half written, wrong: the last good one stays, and the next good one counts."""
-    look, path, told = source(tmp_path)
-    assert not look.look()
-    path.write_text(json.dumps(LIST))
-    assert look.look() and not look.look()
-    for text in ("", json.dumps(LIST)[:40], '{"engines": 3}', "\0"):
+def test_each_engine_list_error_reports_its_json_pointer(
+    pointer: str, new: Any, expected_pointer: str
+) -> None:
+    with pytest.raises(ConfigError) as error_info:
+        parse_engines(with_value_at(ENGINE_LIST, pointer, new), parse_complete_settings(), "here")
+    assert expected_pointer in [p.pointer for p in error_info.value.problems]
+
+
+def make_source(tmp_path: Path) -> tuple[FileSource, Path, list[tuple[int, int]]]:
+    received_lists: list[tuple[int, int]] = []
+    config = parse_config(COMPLETE_SETTINGS, "here", tmp_path)
+    return (
+        FileSource(config, lambda version, records: received_lists.append((version, len(records)))),
+        tmp_path / "engines.json",
+        received_lists,
+    )
+
+
+def test_unreadable_or_invalid_engine_list_is_ignored(tmp_path: Path) -> None:
+    """While the file is missing, empty, truncated or invalid, the last valid list stays in use."""
+    file_source, path, received_lists = make_source(tmp_path)
+    assert not file_source.look()
+    path.write_text(json.dumps(ENGINE_LIST))
+    assert file_source.look() and not file_source.look()
+    for text in ("", json.dumps(ENGINE_LIST)[:40], '{"engines": 3}', "\0"):
         path.write_text(text)
-        assert not look.look()
+        assert not file_source.look()
     path.unlink()
-    assert not look.look()
-    path.write_text(json.dumps(LIST | {"version": 4, "engines": []}))
-    assert look.look()
-    assert told == [(3, 2), (4, 0)]
+    assert not file_source.look()
+    path.write_text(json.dumps(ENGINE_LIST | {"version": 4, "engines": []}))
+    assert file_source.look()
+    assert received_lists == [(3, 2), (4, 0)]
 
 
-def test_a_start_is_converted_once_so_that_a_step_of_the_clock_is_no_restart() -> None:
+def test_start_time_is_converted_once_so_that_a_clock_step_is_no_restart() -> None:
     clock, wall = [1000.0], [50_000.0]
     view = View(lambda: clock[0], lambda: wall[0])
-    _, records = parse_engines(set_at(LIST, "/engines/0/started", 49_990.0), full(), "here")
-    first = view.replace(1, records).entries[0]
-    assert first.started_at == 990.0
+    _, records = parse_engines(
+        with_value_at(ENGINE_LIST, "/engines/0/started", 49_990.0), parse_complete_settings(), "here"
+    )
+    first_entry = view.replace(1, records).entries[0]
+    assert first_entry.started_at == 990.0
     clock[0], wall[0] = 1001.0, 90_000.0
     assert view.replace(2, records).entries[0].started_at == 990.0
-    _, again = parse_engines(set_at(LIST, "/engines/0/started", 89_999.0), full(), "here")
-    assert view.replace(3, again).entries[0].started_at == 1000.0
-    _, future = parse_engines(set_at(LIST, "/engines/0/started", 99_999.0), full(), "here")
+    _, restarted = parse_engines(
+        with_value_at(ENGINE_LIST, "/engines/0/started", 89_999.0), parse_complete_settings(), "here"
+    )
+    assert view.replace(3, restarted).entries[0].started_at == 1000.0
+    _, future = parse_engines(
+        with_value_at(ENGINE_LIST, "/engines/0/started", 99_999.0), parse_complete_settings(), "here"
+    )
     assert view.replace(4, future).entries[0].started_at == 1001.0
 
 
-def test_a_snapshot_in_hand_does_not_change() -> None:
+def test_replaced_list_does_not_change_an_earlier_snapshot() -> None:
     view = View(lambda: 0.0, lambda: 0.0)
-    version, records = parse_engines(LIST, full(), "here")
+    version, records = parse_engines(ENGINE_LIST, parse_complete_settings(), "here")
     view.replace(version, records)
-    held = view.snapshot
+    snapshot = view.snapshot
     view.replace(version + 1, ())
-    assert set(held) == {b"x", b"y"} and not list(view.snapshot)
+    assert set(snapshot) == {b"x", b"y"} and not list(view.snapshot)
     assert view.address(b"x") is None
--- a/tests/test_folder.py
+++ b/tests/test_folder.py
@@ -1,4 +1,4 @@
-"""A daemon and its folder: whatever is wrong with the disk, every query is answered, and the log says so."""
+"""A daemon and its state directory: disk errors fail no query, and the daemon reports them."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 from saffronlane.cli import main
 from saffronlane.config import parse_config
 from saffronlane.daemon import Daemon
-from saffronlane.learned_state import records as k
+from saffronlane.learned_state import records
 from saffronlane.storage import RealFiles, Recovery, recover
 from saffronlane.storage import files as files_module
 
-KEPT = {"knowledge": {"folder": "kept"}}
+STATE_DIRECTORY_CONFIG = {"knowledge": {"folder": "kept"}}
 
 
 @pytest.fixture(autouse=True)
-def logs_apart() -> Iterator[None]:
-    """Logs of the gateway in this process go to a stream of their own, never into a command's output."""
+def separate_logs() -> Iterator[None]:
+    """Write the logs of the gateway in this process to stderr, not into the captured output of a command."""
     structlog.configure(logger_factory=structlog.PrintLoggerFactory(file=sys.__stderr__))
     yield
     structlog.reset_defaults()
@@ -43,30 +43,30 @@
 
 @pytest.fixture
 def house(tmp_path: Path) -> Iterator[House]:
-    house = House(tmp_path, 2, KEPT, 0.0)
+    house = House(tmp_path, 2, STATE_DIRECTORY_CONFIG, 0.0)
     yield house
     house.close()
 
 
-def read(folder: Path) -> Recovery:
+def read_directory(folder: Path) -> Recovery:
     return recover(RealFiles(folder, create_missing=False))
 
 
-def ask(house: House, count: int = 1) -> None:
+def run_queries(house: House, count: int = 1) -> None:
     with connect(house) as connection, connection.cursor() as cursor:
         for _ in range(count):
             cursor.execute("SELECT 1 /* lab work=0.01 */")
             assert cursor.fetchall()
 
 
-def change(house: House, key: str) -> None:
+def run_write(house: House, key: str) -> None:
     headers = {"saffronlane-class": "change", "saffronlane-key": key}
     with connect(house, **headers) as connection, connection.cursor() as cursor:
         cursor.adbc_statement.set_sql_query("INSERT INTO plays VALUES (1) /* lab work=0.01 */")
         assert cursor.adbc_statement.execute_update() == 1
 
 
-def begin(house: House) -> Daemon:
+def start_daemon(house: House) -> Daemon:
     def start() -> Daemon:
         daemon = Daemon(parse_config(house.raw, "test", house.folder))
         daemon.start()
@@ -75,111 +75,115 @@
     return house.call(start)
 
 
-def end(house: House) -> None:
+def stop_daemon(house: House) -> None:
     house.call(house.daemon.stop)
     house.wait(house.daemon.run())
 
 
-def working(house: House, yes: bool = True) -> None:
-    house.until(lambda: house.daemon.folder is not None and house.daemon.folder.status.is_working is yes)
+def wait_for_store(house: House, is_working: bool = True) -> None:
+    house.until(
+        lambda: house.daemon.folder is not None and house.daemon.folder.status.is_working is is_working
+    )
 
 
-def test_a_daemon_that_comes_back_knows_what_it_knew(house: House, folder: Path) -> None:
-    ask(house, 30)
-    end(house)
-    kept = k.decode(k.CLASS + b"lookup", read(folder).state[k.CLASS + b"lookup"])
-    assert isinstance(kept, k.ClassRecord) and kept.answer_count == 30
-    house.daemon = begin(house)
+def test_restarted_daemon_restores_its_learned_state(house: House, folder: Path) -> None:
+    run_queries(house, 30)
+    stop_daemon(house)
+    class_record = records.decode(
+        records.CLASS + b"lookup", read_directory(folder).state[records.CLASS + b"lookup"]
+    )
+    assert isinstance(class_record, records.ClassRecord) and class_record.answer_count == 30
+    house.daemon = start_daemon(house)
     summary = house.daemon.dispatcher.checkpointer.summary
     assert summary.has_complete_ledgers and summary.classes["lookup"] > 10.0 and summary.engines == 2
-    ask(house)
+    run_queries(house)
 
 
-def test_a_full_or_broken_disk_harms_no_query_and_is_left_when_it_is_well(
+def test_queries_succeed_during_disk_errors_and_the_store_is_repaired_afterwards(
     house: House, folder: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    working(house)
+    wait_for_store(house)
     for code in (errno.ENOSPC, errno.EIO):
 
-        def fails(self: object, data: bytes, code: int = code) -> None:
+        def fail_write(self: object, data: bytes, code: int = code) -> None:
             raise OSError(code, os.strerror(code))
 
-        with monkeypatch.context() as broken:
-            broken.setattr(files_module._RealHandle, "write", fails)
-            change(house, f"key {code}")
-            working(house, False)
-            ask(house, 3)
+        with monkeypatch.context() as patched:
+            patched.setattr(files_module._RealHandle, "write", fail_write)
+            run_write(house, f"key {code}")
+            wait_for_store(house, False)
+            run_queries(house, 3)
             assert (
                 house.daemon.folder is not None
                 and os.strerror(code) in house.daemon.folder.status.failure_reason
             )
-        working(house)
-    change(house, "after")
-    end(house)
-    # What nobody could write at the time was written once it could be.
-    assert sum(key.startswith(k.IDEMPOTENCY) for key in dict(read(folder).state.items())) == 3
-    house.daemon = begin(house)
+        wait_for_store(house)
+    run_write(house, "after")
+    stop_daemon(house)
+    # Changes that could not be written during the errors were written by the repair.
+    assert sum(key.startswith(records.IDEMPOTENCY) for key in dict(read_directory(folder).state.items())) == 3
+    house.daemon = start_daemon(house)
 
 
-def test_a_path_that_is_no_folder_is_told_and_harms_nothing(tmp_path: Path) -> None:
+def test_queries_succeed_if_the_state_directory_path_is_a_file(tmp_path: Path) -> None:
     (tmp_path / "kept").write_text("a file")
-    house = House(tmp_path, 2, KEPT, 0.0)
+    house = House(tmp_path, 2, STATE_DIRECTORY_CONFIG, 0.0)
     try:
-        change(house, "x")
-        ask(house, 3)
+        run_write(house, "x")
+        run_queries(house, 3)
         assert not house.daemon.folder.status.is_working  # type: ignore[union-attr]
     finally:
         house.close()
     assert (tmp_path / "kept").read_text() == "a file"
 
 
-def test_a_folder_that_vanishes_is_made_again_with_all_that_is_known(house: House, folder: Path) -> None:
-    """Guards against going on with files that have no name any more: nothing would tell."""
-    ask(house, 20)
-    change(house, "before")
-    working(house)
+def test_removed_state_directory_is_recreated_with_all_records(house: House, folder: Path) -> None:
+    """Guards against writing to unlinked files, which reports no error although the data is lost."""
+    run_queries(house, 20)
+    run_write(house, "before")
+    wait_for_store(house)
     shutil.rmtree(folder)
-    change(house, "after")
-    house.until(lambda: folder.exists() and read(folder).has_snapshot)
-    working(house)
-    names = {k.kind_of(key) for key in dict(read(folder).state.items())}
-    assert {k.CLASS, k.ENGINE, k.IDEMPOTENCY, k.RUN} <= names
-    ask(house, 3)
+    run_write(house, "after")
+    house.until(lambda: folder.exists() and read_directory(folder).has_snapshot)
+    wait_for_store(house)
+    kinds = {records.kind_of(key) for key in dict(read_directory(folder).state.items())}
+    assert {records.CLASS, records.ENGINE, records.IDEMPOTENCY, records.RUN} <= kinds
+    run_queries(house, 3)
 
 
-def test_a_disk_that_hangs_holds_an_unsafe_query_up_for_a_moment_and_others_not_at_all(
+def test_hanging_disk_blocks_no_query_and_the_write_is_counted_as_non_durable(
     house: House, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    working(house)
-    gate = threading.Event()
-    with monkeypatch.context() as hangs:
-        hangs.setattr(files_module._RealHandle, "sync", lambda self: gate.wait(30.0))
-        change(house, "hangs")
-        ask(house, 3)
+    wait_for_store(house)
+    sync_gate = threading.Event()
+    with monkeypatch.context() as patched:
+        patched.setattr(files_module._RealHandle, "sync", lambda self: sync_gate.wait(30.0))
+        run_write(house, "hangs")
+        run_queries(house, 3)
         assert house.daemon.executor.non_durable_count == 1
-        gate.set()
-    working(house)
+        sync_gate.set()
+    wait_for_store(house)
 
 
-def test_a_second_daemon_on_a_folder_goes_without_until_the_first_has_ended(
+def test_second_daemon_opens_the_state_directory_after_the_first_has_stopped(
     house: House, folder: Path
 ) -> None:
-    ask(house, 20)
-    change(house, "mine")
-    working(house)
-    second, first = begin(house), house.daemon
+    run_queries(house, 20)
+    run_write(house, "mine")
+    wait_for_store(house)
+    second, first = start_daemon(house), house.daemon
     assert second.folder is not None and not second.folder.status.is_working
     assert "in use by process" in second.folder.last_error
-    end(house)
+    stop_daemon(house)
     house.daemon = second
-    working(house)
+    wait_for_store(house)
     assert first.folder is not None and first.folder._lock is None
     ledger = second.dispatcher.checkpointer.ledger
-    house.until(lambda: len(ledger) == 1)  # the first one's unsafe query is known to the second
-    ask(house, 3)
+    house.until(lambda: len(ledger) == 1)  # the second daemon has restored the record of the write
+    run_queries(house, 3)
 
 
-def test_each_worker_has_a_folder_of_its_own() -> None:
+def test_each_worker_has_its_own_state_directory() -> None:
     from saffronlane.supervisor import as_worker
 
     raw = {
@@ -198,74 +202,85 @@
 # --- the command line ---
 
 
-def run(*words: object) -> tuple[int, str]:
-    """Run a command; the logs of the gateway in this process stay out of its output."""
+def run_command(*arguments: object) -> tuple[int, str]:
+    """Run a `knowledge` command without logs in its output. Returns its exit status and output."""
     with patch("saffronlane.logging_setup.set_up"):
-        result = CliRunner().invoke(main, ["knowledge", *map(str, words)])
+        result = CliRunner().invoke(main, ["knowledge", *map(str, arguments)])
     return result.exit_code, result.output
 
 
-def test_show_check_and_export_on_a_folder_in_use_and_after(house: House, folder: Path) -> None:
-    ask(house, 20)
-    change(house, "mine")
-    house.until(lambda: k.CLASS + b"lookup" in dict(read(folder).state.items()))
-    for used in (str(os.getpid()), ""):
-        code, out = run("show", folder, "--json")
-        told = json.loads(out)
-        assert code == 0 and told["used_by"] == used
-        assert told["last_sign"]["clean"] is (used == "") and told["requests"] == 1 and told["engines"] == 2
-        assert "c/lookup: " in run("show", folder)[1]
-        lines = [json.loads(line) for line in run("export", folder)[1].splitlines()]
+def test_show_check_and_export_work_during_and_after_use_by_a_gateway(house: House, folder: Path) -> None:
+    run_queries(house, 20)
+    run_write(house, "mine")
+    house.until(lambda: records.CLASS + b"lookup" in dict(read_directory(folder).state.items()))
+    for expected_holder in (str(os.getpid()), ""):
+        code, output = run_command("show", folder, "--json")
+        summary = json.loads(output)
+        assert code == 0 and summary["used_by"] == expected_holder
+        assert (
+            summary["last_sign"]["clean"] is (expected_holder == "")
+            and summary["requests"] == 1
+            and summary["engines"] == 2
+        )
+        assert "c/lookup: " in run_command("show", folder)[1]
+        lines = [json.loads(line) for line in run_command("export", folder)[1].splitlines()]
         assert {"c/lookup", "e/e0", "run"} <= {line["key"] for line in lines}
-        code, out = run("check", folder)
-        assert (code, out.splitlines()[-1]) == (0, "whole")
-        if used:
-            end(house)
-    house.daemon = begin(house)
+        code, output = run_command("check", folder)
+        assert (code, output.splitlines()[-1]) == (0, "whole")
+        if expected_holder:
+            stop_daemon(house)
+    house.daemon = start_daemon(house)
 
 
-def test_check_names_what_is_damaged_and_what_it_would_count_for(house: House, folder: Path) -> None:
-    ask(house, 20)
-    end(house)
+def test_check_reports_damage_newer_files_and_weight_after_a_restart(house: House, folder: Path) -> None:
+    run_queries(house, 20)
+    stop_daemon(house)
     (house.folder / "gateway.json").write_text(json.dumps(house.raw))
-    code, out = run("check", folder, "--config", house.folder / "gateway.json")
-    assert code == 0 and "exact True, weight 1" in out
-    log = max(p for p in folder.iterdir() if p.name.startswith("log"))
-    log.write_bytes(log.read_bytes() + b"\0" * 30)
-    newer = folder / "snap-v7-00000000000000ff"
-    newer.write_bytes(b"later")
-    code, out = run("check", folder)
-    assert code == 1 and log.name in out and "byte 24" in out and f"{newer.name}: of a newer version" in out
-    house.daemon = begin(house)
-    ask(house)
-    assert newer.read_bytes() == b"later"
-
-
-def test_forget_in_a_folder_that_is_free(house: House, folder: Path) -> None:
-    ask(house, 20)
-    change(house, "mine")
-    end(house)
-    assert run("forget", folder, "classes")[0] == 0
-    state = dict(read(folder).state.items())
-    assert not [key for key in state if key.startswith(k.CLASS)] and [
-        key for key in state if key.startswith(k.IDEMPOTENCY)
+    code, output = run_command("check", folder, "--config", house.folder / "gateway.json")
+    assert code == 0 and "exact True, weight 1" in output
+    log_file = max(path for path in folder.iterdir() if path.name.startswith("log"))
+    log_file.write_bytes(log_file.read_bytes() + b"\0" * 30)
+    newer_file = folder / "snap-v7-00000000000000ff"
+    newer_file.write_bytes(b"later")
+    code, output = run_command("check", folder)
+    assert (
+        code == 1
+        and log_file.name in output
+        and "byte 24" in output
+        and f"{newer_file.name}: of a newer version" in output
+    )
+    house.daemon = start_daemon(house)
+    run_queries(house)
+    assert newer_file.read_bytes() == b"later"
+
+
+def test_forget_removes_records_from_an_unused_directory(house: House, folder: Path) -> None:
+    run_queries(house, 20)
+    run_write(house, "mine")
+    stop_daemon(house)
+    assert run_command("forget", folder, "classes")[0] == 0
+    state = dict(read_directory(folder).state.items())
+    assert not [key for key in state if key.startswith(records.CLASS)] and [
+        key for key in state if key.startswith(records.IDEMPOTENCY)
     ]
-    assert run("forget", folder, "all")[0] == 0
-    assert not len(read(folder).state)
-    house.daemon = begin(house)
-
-
-def test_forget_asks_a_running_gateway_and_never_for_its_ledgers(house: House, folder: Path) -> None:
-    ask(house, 20)
-    house.until(lambda: k.CLASS + b"lookup" in dict(read(folder).state.items()))
-    code, out = run("forget", folder, "all")
-    assert code == 2 and "stop that gateway first" in out
-    code, out = run("forget", folder, "classes", "engines")
-    assert (code, out.strip()) == (0, "the running gateway has accepted the purge request")
+    assert run_command("forget", folder, "all")[0] == 0
+    assert not len(read_directory(folder).state)
+    house.daemon = start_daemon(house)
+
+
+def test_forget_requests_a_purge_from_a_running_gateway_but_not_of_all_records(
+    house: House, folder: Path
+) -> None:
+    run_queries(house, 20)
+    house.until(lambda: records.CLASS + b"lookup" in dict(read_directory(folder).state.items()))
+    code, output = run_command("forget", folder, "all")
+    assert code == 2 and "stop that gateway first" in output
+    code, output = run_command("forget", folder, "classes", "engines")
+    assert (code, output.strip()) == (0, "the running gateway has accepted the purge request")
     house.until(lambda: house.daemon.dispatcher.gateway.workload_estimates.estimators[0].answer_count == 0)
-    house.until(lambda: k.CLASS + b"lookup" not in dict(read(folder).state.items()))
+    house.until(lambda: records.CLASS + b"lookup" not in dict(read_directory(folder).state.items()))
 
 
-def test_no_folder_and_no_choice_are_told() -> None:
-    assert run("show", "/nowhere/at/all")[0] == 2
-    assert run("forget", "/tmp")[0] == 2
+def test_missing_directory_and_missing_category_are_errors() -> None:
+    assert run_command("show", "/nowhere/at/all")[0] == 2
+    assert run_command("forget", "/tmp")[0] == 2
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,4 +1,4 @@
-"""The store on a model file system: in every state that a crash may leave, recovery tells no lie."""
+"""The store on a model file system: recovery is correct in every state that a crash may leave."""
 
 from __future__ import annotations
 
@@ -33,112 +33,128 @@
 from saffronlane.storage import store as store_module
 from saffronlane.storage.writer import WriterLimits
 
-SMALL = StoreLimits(
-    segment_bytes=220, log_bytes=400, slice_bytes=90
-)  # bytes: a few commits go through all that a store does
-Snapshot = dict[bytes, Entry]
+# With these limits, a few commits are enough for new log files, snapshots and removals of old files.
+SMALL_LIMITS = StoreLimits(segment_bytes=220, log_bytes=400, slice_bytes=90)
+MapContent = dict[bytes, Entry]
 
 
-def plain(state: fmt.StoredMap) -> Snapshot:
+def as_dict(state: fmt.StoredMap) -> MapContent:
     return dict(state.items())
 
 
-class Life:
-    """Drives a store, and checks every crash state after every operation against what was committed."""
-
-    def __init__(self, files: ModelFiles, seed: int, tries: int = 1) -> None:
-        self.files, self.draw, self.tries = files, random.Random(seed), tries
-        self.states: dict[int, Snapshot] = {}
-        self.acknowledged: Snapshot = {}
-        self.promised = 0  # commits acknowledged
-        self.history: list[Snapshot] = [{}]  # state after each commit that was tried
-        self.checked = 0
-        self.lies: list[str] = []
-        files.watch = self.check
-
-    def check(self, operation: str) -> None:
-        for mode in ("all", "least", *["mixed"] * self.tries):
-            left = self.files.crash(self.draw, mode)
-            found = plain(recover(ModelFiles(left)).state)
-            self.checked += 1
-            if found not in self.history[self.promised :]:
-                self.lies.append(f"after {operation} {self.files.operations} ({mode}): {sorted(found)}")
-
-    def change(self) -> Change:
-        key = b"k%d" % self.draw.randrange(8)
-        gone = self.draw.random() < 0.2
-        return Change(key, None if gone else Entry(1, self.draw.randbytes(self.draw.randrange(1, 40))))
+class CrashChecker:
+    """Runs a store. After each operation, checks the recovery of possible crash states.
+
+    A recovered map must equal the one after the last acknowledged commit or a later attempted commit.
+    """
+
+    def __init__(self, files: ModelFiles, seed: int, mixed_crashes: int = 1) -> None:
+        self.files, self.rng, self.mixed_crashes = files, random.Random(seed), mixed_crashes
+        self.states: dict[int, MapContent] = {}
+        self.acknowledged: MapContent = {}
+        self.acknowledged_index = 0  # index in `history` of the last acknowledged commit
+        self.history: list[MapContent] = [{}]  # map after each attempted commit
+        self.checked_states = 0
+        self.violations: list[str] = []
+        files.watch = self.check_crash_states
+
+    def check_crash_states(self, operation: str) -> None:
+        for mode in ("all", "least", *["mixed"] * self.mixed_crashes):
+            files_after_crash = self.files.crash(self.rng, mode)
+            recovered = as_dict(recover(ModelFiles(files_after_crash)).state)
+            self.checked_states += 1
+            if recovered not in self.history[self.acknowledged_index :]:
+                self.violations.append(
+                    f"after {operation} {self.files.operations} ({mode}): {sorted(recovered)}"
+                )
+
+    def random_change(self) -> Change:
+        key = b"k%d" % self.rng.randrange(8)
+        is_removal = self.rng.random() < 0.2
+        return Change(key, None if is_removal else Entry(1, self.rng.randbytes(self.rng.randrange(1, 40))))
 
     def commit(self, store: Store) -> None:
-        changes = [self.change() for _ in range(self.draw.randrange(1, 4))]
-        after = plain(fmt.apply_changes(store.state, changes))
-        self.history.append(after)
+        changes = [self.random_change() for _ in range(self.rng.randrange(1, 4))]
+        content = as_dict(fmt.apply_changes(store.state, changes))
+        self.history.append(content)
         store.commit(changes)
-        self.promised = len(self.history) - 1
+        self.acknowledged_index = len(self.history) - 1
 
     def run(self, commits: int = 30) -> None:
-        store = Store(self.files, SMALL)
+        store = Store(self.files, SMALL_LIMITS)
         store.load()
         store.begin()
         for _ in range(commits):
             self.commit(store)
-            if self.draw.random() < 0.6:
+            if self.rng.random() < 0.6:
                 store.compact_step()
         store.write_final_snapshot()
         store.close()
 
 
-def test_every_crash_state_recovers_to_a_committed_map_no_older_than_acknowledged():
-    """Power loss at any operation, with writes and names lost, torn and reordered between syncs."""
-    checked = 0
+def test_every_crash_state_recovers_to_a_map_no_older_than_the_last_acknowledged_commit():
+    """Covers power loss after any operation: unsynced writes and names may be lost, torn or reordered."""
+    checked_states = 0
     for seed in range(24):
-        life = Life(ModelFiles(), seed, tries=6)
-        life.run(50)
-        assert not life.lies, f"seed {seed}: {life.lies[:3]}"
-        checked += life.checked
-    assert checked > 30_000, checked
+        checker = CrashChecker(ModelFiles(), seed, mixed_crashes=6)
+        checker.run(50)
+        assert not checker.violations, f"seed {seed}: {checker.violations[:3]}"
+        checked_states += checker.checked_states
+    assert checked_states > 30_000, checked_states
 
 
-def test_a_second_life_after_any_crash_keeps_what_the_first_was_promised():
-    """Guards against building on what was read from memory only: the first life's tail was never synced."""
-    checked = 0
+def test_acknowledged_commits_survive_repeated_crashes():
+    """Guards against new commits that depend on recovered data which was never synced.
+
+    A killed process may leave the last writes in the page cache only. Its successor reads them, and a later
+    power loss may still drop them.
+    """
+    checked_states = 0
     for seed in range(60):
-        draw = random.Random(seed)
+        rng = random.Random(seed)
         files = ModelFiles()
-        history: list[Snapshot] = [{}]
-        promised = 0
-        for life_number in range(4):
-            life = Life(files, seed * 10 + life_number)
-            life.history, life.promised = history, promised
-            stop_at = files.operations + draw.randrange(1, 60)
-
-            class Stop(Exception):
+        history: list[MapContent] = [{}]
+        acknowledged_index = 0
+        for run_number in range(4):
+            checker = CrashChecker(files, seed * 10 + run_number)
+            checker.history, checker.acknowledged_index = history, acknowledged_index
+            stop_at = files.operations + rng.randrange(1, 60)
+
+            class StopRun(Exception):
                 pass
 
-            def watch(operation: str, life: Life = life, stop_at: int = stop_at, stop: type = Stop) -> None:
-                life.check(operation)
-                if life.files.operations >= stop_at:
-                    raise stop
+            def watch(
+                operation: str,
+                checker: CrashChecker = checker,
+                stop_at: int = stop_at,
+                stop_run: type = StopRun,
+            ) -> None:
+                checker.check_crash_states(operation)
+                if checker.files.operations >= stop_at:
+                    raise stop_run
 
             files.watch = watch
-            with contextlib.suppress(Stop):
-                life.run(20)
-            assert not life.lies, f"seed {seed}, life {life_number}: {life.lies[:3]}"
-            checked += life.checked
-            mode = draw.choice(["all", "least", "mixed"])
-            if mode == "all":  # killed, and the machine went on: what was not synced may still be lost
+            with contextlib.suppress(StopRun):
+                checker.run(20)
+            assert not checker.violations, f"seed {seed}, run {run_number}: {checker.violations[:3]}"
+            checked_states += checker.checked_states
+            mode = rng.choice(["all", "least", "mixed"])
+            if mode == "all":  # The process was killed: unsynced data is readable but may still be lost.
                 files.watch = lambda operation: None
-                history, promised = life.history, life.promised
-                found = plain(recover(files).state)
+                history, acknowledged_index = checker.history, checker.acknowledged_index
+                recovered = as_dict(recover(files).state)
             else:
-                files = ModelFiles(files.crash(draw, mode))
-                found = plain(recover(files).state)
-                history, promised = [found], 0
-            assert found in life.history[life.promised :], f"seed {seed}, life {life_number}"
+                files = ModelFiles(files.crash(rng, mode))
+                recovered = as_dict(recover(files).state)
+                history, acknowledged_index = [recovered], 0
+            assert recovered in checker.history[checker.acknowledged_index :], (
+                f"seed {seed}, run {run_number}"
+            )
             if mode == "all":
-                history = [*history, found]
-                # What was read is the start of the next life; until its first snapshot the old promise holds.
-    assert checked > 5_000, checked
+                history = [*history, recovered]
+                # The next run starts from the recovered map. Its crash states may still be older maps, as
+                # long as no acknowledged commit is missing.
+    assert checked_states > 5_000, checked_states
 
 
 MUTATIONS = {
@@ -148,252 +164,269 @@
 }
 
 
-@pytest.mark.parametrize("name", MUTATIONS)
-def test_leaving_out_any_kind_of_sync_is_caught(name):
-    """The model is worth something only if it sees the mistakes that it is there for."""
-    lies = 0
+@pytest.mark.parametrize("mutation", MUTATIONS)
+def test_omitted_sync_is_detected(mutation):
+    """Checks that the model file system reveals the faults that it is meant to reveal."""
+    violation_count = 0
     for seed in range(6):
         files = ModelFiles()
-        files.skip = MUTATIONS[name]
-        life = Life(files, seed, tries=6)
-        life.run()
-        lies += len(life.lies)
-    assert lies
+        files.skip = MUTATIONS[mutation]
+        checker = CrashChecker(files, seed, mixed_crashes=6)
+        checker.run()
+        violation_count += len(checker.violations)
+    assert violation_count
 
 
-def test_swapping_two_steps_is_caught(monkeypatch):
-    """Old files removed before the new snapshot has its name for good; the name given before the data."""
+def test_swapped_steps_of_a_snapshot_are_detected(monkeypatch):
+    """Covers a snapshot that is renamed before its data is written, and a too early removal of old files."""
 
-    def early_name(self, state, sequence):
+    def rename_before_write(self, state, sequence):
         name = fmt.FileName(fmt.SNAPSHOT, fmt.FORMAT_VERSION, sequence)
         handle = self.files.create(f"{name}.new")
         self.files.rename(f"{name}.new", str(name))
         self.files.sync_folder()
-        for text in self.files.names():
-            other = fmt.FileName.parse(text)
-            if other is not None and other.sequence < sequence:
-                self.files.remove(text)
+        for file_name in self.files.names():
+            existing_name = fmt.FileName.parse(file_name)
+            if existing_name is not None and existing_name.sequence < sequence:
+                self.files.remove(file_name)
         yield
         handle.write(fmt.encode_header(fmt.SNAPSHOT, sequence))
-        batch = [Change(k, e) for k, e in state.items()]
+        batch = [Change(key, entry) for key, entry in state.items()]
         data = fmt.encode_record(1, fmt.ENTRIES, fmt.pack_changes(batch)) if batch else b""
         handle.write(data + fmt.encode_record(2, fmt.END, len(state).to_bytes(8, "big")))
         handle.sync()
         self._snapshot_sizes[sequence] = 1
 
-    def removes_first(self, state, sequence):
-        for text in self.files.names():
-            other = fmt.FileName.parse(text)
-            if other is not None and other.sequence < sequence + 1:
-                self.files.remove(text)
+    def remove_before_write(self, state, sequence):
+        for file_name in self.files.names():
+            existing_name = fmt.FileName.parse(file_name)
+            if existing_name is not None and existing_name.sequence < sequence + 1:
+                self.files.remove(file_name)
         yield from original(self, state, sequence)
 
     original = Store._write_snapshot
-    for mutant in (early_name, removes_first):
+    for mutant in (rename_before_write, remove_before_write):
         monkeypatch.setattr(store_module.Store, "_write_snapshot", mutant)
-        lies = 0
+        violation_count = 0
         for seed in range(6):
-            life = Life(ModelFiles(), seed, tries=6)
-            with contextlib.suppress(OSError, KeyError):  # the mutant trips over its own removals
-                life.run()
-            lies += len(life.lies)
-        assert lies, mutant.__name__
+            checker = CrashChecker(ModelFiles(), seed, mixed_crashes=6)
+            with contextlib.suppress(OSError, KeyError):  # the mutant may access files that it has removed
+                checker.run()
+            violation_count += len(checker.violations)
+        assert violation_count, mutant.__name__
 
 
-def full(of: str):
+def failing_operations(operations: str):
     def fail(operation: str, name: str) -> None:
-        if operation in of.split():
+        if operation in operations.split():
             raise OSError(errno.EIO, "input/output error")
 
     return fail
 
 
 @pytest.mark.parametrize("operation", ["write", "sync", "create", "rename", "sync_folder", "remove"])
-def test_after_a_failed_operation_nothing_open_is_used_again_and_repair_keeps_all(operation):
-    """A failed fsync may have thrown the data away and say yes the next time: only fresh files count."""
-    for at in range(200):
+def test_failed_operation_fails_commits_until_a_repair_with_new_files(operation):
+    """Guards against a second fsync of a file whose first fsync failed.
+
+    The failed fsync may have dropped the data, and the second one then wrongly succeeds.
+    """
+    for successful_calls in range(200):
         files = ModelFiles()
-        store = Store(files, SMALL)
+        store = Store(files, SMALL_LIMITS)
         store.load()
         store.begin()
-        life = Life(files, at)
+        checker = CrashChecker(files, successful_calls)
         calls = 0
 
-        def fail(op: str, name: str, at: int = at) -> None:
+        def fail(called_operation: str, name: str, successful_calls: int = successful_calls) -> None:
             nonlocal calls
-            if op == operation:
+            if called_operation == operation:
                 calls += 1
-                if calls > at:
+                if calls > successful_calls:
                     raise OSError(errno.EIO, "input/output error")
 
         files.fail = fail
-        failed = False
+        has_failed = False
         for _ in range(20):
             try:
-                life.commit(store)
+                checker.commit(store)
                 store.compact_step()
             except StoreFailedError:
-                failed = True
+                has_failed = True
                 break
-        assert not life.lies, life.lies[:3]
-        if not failed:
+        assert not checker.violations, checker.violations[:3]
+        if not has_failed:
             break
         with pytest.raises(StoreFailedError):
-            life.commit(store)
-        files.fail = lambda op, name: None
+            checker.commit(store)
+        files.fail = lambda called_operation, name: None
         store.repair()
-        life.promised = len(life.history) - 1
-        life.check("repair")
-        assert plain(store.state) == life.history[-1]
-        life.commit(store)
-        assert not life.lies, life.lies[:3]
+        checker.acknowledged_index = len(checker.history) - 1
+        checker.check_crash_states("repair")
+        assert as_dict(store.state) == checker.history[-1]
+        checker.commit(store)
+        assert not checker.violations, checker.violations[:3]
     else:
-        pytest.fail("the operation failed 200 times and the store never came to its end")
+        pytest.fail("the commits failed even after 200 successful calls of the operation")
 
 
-def test_no_byte_changed_or_cut_off_anywhere_gives_a_map_that_was_not_committed():
+def test_damaged_or_truncated_file_never_recovers_to_a_map_that_was_not_committed():
     files = ModelFiles()
-    life = Life(files, 5)
+    checker = CrashChecker(files, 5)
     files.watch = lambda operation: None
-    store = Store(files, SMALL)
+    store = Store(files, SMALL_LIMITS)
     store.begin()
     for _ in range(12):
-        life.commit(store)
+        checker.commit(store)
         store.compact_step()
-    whole = files.crash(random.Random(0), "all")
-    draw = random.Random(7)
-    for name, data in whole.items():
-        for at in range(len(data)):
-            broken = bytearray(data)
-            broken[at] ^= 1 << draw.randrange(8)
-            for changed in (bytes(broken), data[:at], data[:at] + bytes(len(data) - at)):
-                found = plain(recover(ModelFiles(whole | {name: changed})).state)
-                assert found in life.history, (name, at)
-
-
-def test_damage_is_told_by_file_and_byte():
+    undamaged = files.crash(random.Random(0), "all")
+    rng = random.Random(7)
+    for name, data in undamaged.items():
+        for offset in range(len(data)):
+            flipped = bytearray(data)
+            flipped[offset] ^= 1 << rng.randrange(8)
+            for damaged in (bytes(flipped), data[:offset], data[:offset] + bytes(len(data) - offset)):
+                recovered = as_dict(recover(ModelFiles(undamaged | {name: damaged})).state)
+                assert recovered in checker.history, (name, offset)
+
+
+def test_damage_is_reported_with_file_name_and_byte_offset():
     files = ModelFiles()
-    store = Store(files, SMALL)
+    store = Store(files, SMALL_LIMITS)
     store.begin()
     store.commit([Change(b"a", Entry(1, b"one"))])
-    name = next(n for n in files.names() if n.startswith("log"))
-    data = files.read(name)
-    found = recover(ModelFiles({n: files.read(n) for n in files.names()} | {name: data + b"xyz"}))
-    assert plain(found.state) == {b"a": Entry(1, b"one")}
-    assert len(found.problems) == 1 and name in found.problems[0] and f"byte {len(data)}" in found.problems[0]
-
-
-def test_files_of_a_newer_version_are_left_as_they_are_and_ours_count_on_from_beyond_them():
-    """Guards a downgrade, and the upgrade after it: whose state is the later one must stay clear."""
-    newer = {"snap-v2-00000000000000ff": b"what a later version wrote", "log-v2-0000000000000100": b"more"}
-    files = ModelFiles(dict(newer))
-    store = Store(files, SMALL)
-    found = store.load()
-    assert sorted(found.newer_files) == sorted(newer) and not found.has_snapshot
+    log_name = next(file_name for file_name in files.names() if file_name.startswith("log"))
+    data = files.read(log_name)
+    recovery = recover(
+        ModelFiles(
+            {file_name: files.read(file_name) for file_name in files.names()} | {log_name: data + b"xyz"}
+        )
+    )
+    assert as_dict(recovery.state) == {b"a": Entry(1, b"one")}
+    assert (
+        len(recovery.problems) == 1
+        and log_name in recovery.problems[0]
+        and f"byte {len(data)}" in recovery.problems[0]
+    )
+
+
+def test_files_of_a_newer_version_stay_unchanged_and_new_sequences_exceed_theirs():
+    """Guards against ambiguity after a downgrade that is followed by an upgrade.
+
+    The state that was written last must have the greater sequence.
+    """
+    newer_files = {
+        "snap-v2-00000000000000ff": b"what a later version wrote",
+        "log-v2-0000000000000100": b"more",
+    }
+    files = ModelFiles(dict(newer_files))
+    store = Store(files, SMALL_LIMITS)
+    recovery = store.load()
+    assert sorted(recovery.newer_files) == sorted(newer_files) and not recovery.has_snapshot
     store.begin()
-    for n in range(60):
-        store.commit([Change(b"a", Entry(1, b"%d" % n))])
+    for number in range(60):
+        store.commit([Change(b"a", Entry(1, b"%d" % number))])
         store.compact_step()
     assert store.sequence > 0x100
-    for name, data in newer.items():
+    for name, data in newer_files.items():
         assert files.read(name) == data
 
 
-def test_a_header_of_a_newer_format_is_ignored_whatever_the_name_says():
-    start = struct.pack(">8sHHQ", fmt.MAGIC, 9, fmt.SNAPSHOT, 5)
-    data = start + struct.pack(">I", google_crc32c.value(start)) + b"of the future"
-    found = recover(ModelFiles({"snap-v1-0000000000000005": data}))
-    assert not found.has_snapshot and found.newer_files == ["snap-v1-0000000000000005"]
+def test_file_with_a_newer_version_in_its_header_is_ignored_despite_its_name():
+    header_fields = struct.pack(">8sHHQ", fmt.MAGIC, 9, fmt.SNAPSHOT, 5)
+    data = header_fields + struct.pack(">I", google_crc32c.value(header_fields)) + b"of the future"
+    recovery = recover(ModelFiles({"snap-v1-0000000000000005": data}))
+    assert not recovery.has_snapshot and recovery.newer_files == ["snap-v1-0000000000000005"]
 
 
-def test_an_unreadable_newest_snapshot_costs_nothing_while_the_one_before_and_its_log_are_there():
+def test_unreadable_newest_snapshot_loses_nothing_if_the_previous_one_and_its_log_are_intact():
     files = ModelFiles()
-    store = Store(files, SMALL)
+    store = Store(files, SMALL_LIMITS)
     store.begin()
-    for n in range(200):
-        store.commit([Change(b"k%d" % (n % 9), Entry(1, b"%03d" % n))])
+    for number in range(200):
+        store.commit([Change(b"k%d" % (number % 9), Entry(1, b"%03d" % number))])
         store.compact_step()
-    whole = {n: files.read(n) for n in files.names()}
-    newest = max(n for n in whole if n.startswith("snap") and not n.endswith("new"))
-    found = recover(ModelFiles(whole | {newest: b"rotten"}))
-    assert plain(found.state) == plain(store.state)
-    assert any(newest in text for text in found.problems)
+    undamaged = {name: files.read(name) for name in files.names()}
+    newest = max(name for name in undamaged if name.startswith("snap") and not name.endswith("new"))
+    recovery = recover(ModelFiles(undamaged | {newest: b"rotten"}))
+    assert as_dict(recovery.state) == as_dict(store.state)
+    assert any(newest in problem for problem in recovery.problems)
 
 
-def test_sequences_behind_damage_are_never_mixed_with_new_ones():
-    """Guards against an old log that lies behind a gap being taken for the continuation of a new one."""
+def test_log_files_after_a_damaged_one_are_never_mixed_with_new_commits():
+    """Guards against an old log file that follows a gap and is replayed as the continuation of a new one."""
     files = ModelFiles()
     store = Store(files, StoreLimits(segment_bytes=220))
     store.begin()
-    for n in range(40):
-        store.commit([Change(b"k", Entry(1, b"old %d" % n))])
-    whole = {n: files.read(n) for n in files.names()}
-    logs = sorted(n for n in whole if n.startswith("log"))
+    for number in range(40):
+        store.commit([Change(b"k", Entry(1, b"old %d" % number))])
+    files_by_name = {name: files.read(name) for name in files.names()}
+    logs = sorted(name for name in files_by_name if name.startswith("log"))
     assert len(logs) > 3
-    whole[logs[1]] = b"gone"
-    files = ModelFiles(whole)
+    files_by_name[logs[1]] = b"gone"
+    files = ModelFiles(files_by_name)
     store = Store(files, StoreLimits())
-    before = store.load()
-    assert before.problems
+    recovery = store.load()
+    assert recovery.problems
     store.begin()
-    last = {}
-    for n in range(60):
-        store.commit([Change(b"k", Entry(1, b"new %d" % n))])
-        last = plain(recover(files).state)
-        assert last == {b"k": Entry(1, b"new %d" % n)}
+    recovered = {}
+    for number in range(60):
+        store.commit([Change(b"k", Entry(1, b"new %d" % number))])
+        recovered = as_dict(recover(files).state)
+        assert recovered == {b"k": Entry(1, b"new %d" % number)}
 
 
-def test_disk_use_is_bounded_in_a_flood_of_changes():
+def test_disk_usage_is_bounded_under_continuous_commits():
     files = ModelFiles()
     store = Store(files, StoreLimits(segment_bytes=20_000, log_bytes=50_000, slice_bytes=4_000))
     store.begin()
-    draw = random.Random(3)
-    most = 0
+    rng = random.Random(3)
+    max_bytes = 0
     for _ in range(1500):
-        store.commit([Change(b"k%d" % draw.randrange(50), Entry(1, draw.randbytes(400)))])
+        store.commit([Change(b"k%d" % rng.randrange(50), Entry(1, rng.randbytes(400)))])
         store.compact_step()
-        most = max(most, sum(len(i.content()) for i in files.now.values()))
-    assert most < 6 * 50_000, most
-    assert store.bytes == sum(len(files.read(n)) for n in files.names() if not n.endswith("new"))
+        max_bytes = max(max_bytes, sum(len(inode.content()) for inode in files.now.values()))
+    assert max_bytes < 6 * 50_000, max_bytes
+    assert store.bytes == sum(len(files.read(name)) for name in files.names() if not name.endswith("new"))
 
 
-def test_a_store_past_its_bound_fails_rather_than_fills_the_disk():
+def test_commit_fails_if_the_files_would_exceed_the_size_limit():
     store = Store(ModelFiles(), StoreLimits(max_total_bytes=5_000))
     store.begin()
     with pytest.raises(StoreFailedError, match="5000 bytes"):
-        for n in range(100):
-            store.commit([Change(b"k%d" % n, Entry(1, bytes(200)))])
+        for number in range(100):
+            store.commit([Change(b"k%d" % number, Entry(1, bytes(200)))])
 
 
-def test_one_folder_is_used_by_one_at_a_time(tmp_path):
+def test_directory_lock_excludes_a_second_holder(tmp_path):
     first = DirectoryLock(tmp_path)
     with pytest.raises(DirectoryBusyError, match=str(os.getpid())):
         DirectoryLock(tmp_path)
-    place = first.directory_id
+    directory_id = first.directory_id
     first.release()
-    again = DirectoryLock(tmp_path)
-    assert again.directory_id == place  # the same folder, not a copy
-    again.release()
+    second = DirectoryLock(tmp_path)
+    assert second.directory_id == directory_id  # the same directory, not a copy
+    second.release()
 
 
-def test_the_real_folder_does_what_the_model_does(tmp_path):
+def test_store_on_real_files_recovers_the_last_commit(tmp_path):
     files = RealFiles(tmp_path)
-    store = Store(files, SMALL)
+    store = Store(files, SMALL_LIMITS)
     store.begin()
-    life = Life(ModelFiles(), 11)
+    checker = CrashChecker(ModelFiles(), 11)
     for _ in range(50):
-        life.commit(store)
+        checker.commit(store)
         store.compact_step()
-    assert plain(recover(files).state) == life.history[-1]
+    assert as_dict(recover(files).state) == checker.history[-1]
     store.write_final_snapshot()
-    assert plain(recover(RealFiles(tmp_path)).state) == life.history[-1]
+    assert as_dict(recover(RealFiles(tmp_path)).state) == checker.history[-1]
 
 
 # --- the writer's thread ---
 
 
-class Slow(ModelFiles):
-    """Syncs of logs wait for a gate, as a disk that hangs would."""
+class BlockingFiles(ModelFiles):
+    """Syncs of log files block until `gate` is set, as on a disk that hangs."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -404,83 +437,86 @@
         )
 
 
-def until(true, timeout: float = 10.0) -> None:
-    end = time.monotonic() + timeout
-    while not true():
-        assert time.monotonic() < end
+def wait_until(condition, timeout: float = 10.0) -> None:
+    deadline = time.monotonic() + timeout
+    while not condition():
+        assert time.monotonic() < deadline
         time.sleep(0.002)
 
 
-def test_what_waits_together_is_one_commit():
-    files = Slow()
-    writer = Writer(Store(files, SMALL), lambda text: None)
+def test_changes_queued_during_a_sync_form_one_commit():
+    files = BlockingFiles()
+    writer = Writer(Store(files, SMALL_LIMITS), lambda message: None)
     writer.start()
-    until(lambda: writer.status.is_working)
+    wait_until(lambda: writer.status.is_working)
     files.gate.clear()
-    heard: list[bool] = []
-    writer.put([Change(b"first", Entry(1, b"1"))], heard.append)
-    time.sleep(0.05)  # decides nothing: the first may be on its way alone, or go with the others
-    for n in range(50):
-        writer.put([Change(b"k%d" % n, Entry(1, b"x"))], heard.append)
-    assert not heard  # nobody is told before the disk has it
+    results: list[bool] = []
+    writer.put([Change(b"first", Entry(1, b"1"))], results.append)
+    time.sleep(0.05)  # the first change may be committed alone or with the others; both are allowed
+    for number in range(50):
+        writer.put([Change(b"k%d" % number, Entry(1, b"x"))], results.append)
+    assert not results  # no callback is called before the sync has ended
     files.gate.set()
-    until(lambda: len(heard) == 51)
-    assert all(heard) and writer.status.commits <= 2
+    wait_until(lambda: len(results) == 51)
+    assert all(results) and writer.status.commits <= 2
     assert writer.stop(10.0)
     assert len(recover(files).state) == 51
 
 
-def test_a_store_that_fails_says_no_at_once_and_is_repaired_with_fresh_files():
-    files, said = ModelFiles(), []
+def test_failed_store_reports_failed_commits_at_once_and_is_repaired():
+    files, messages = ModelFiles(), []
     writer = Writer(
-        Store(files, SMALL),
-        said.append,
+        Store(files, SMALL_LIMITS),
+        messages.append,
         WriterLimits(max_delay=0.01, min_repair_interval=0.01, max_repair_interval=0.02),
     )
     writer.start()
-    until(lambda: writer.status.is_working)
-    files.fail = full("write sync create")
-    heard: list[bool] = []
-    writer.put([Change(b"a", Entry(1, b"1"))], heard.append)
-    until(lambda: heard == [False])
+    wait_until(lambda: writer.status.is_working)
+    files.fail = failing_operations("write sync create")
+    results: list[bool] = []
+    writer.put([Change(b"a", Entry(1, b"1"))], results.append)
+    wait_until(lambda: results == [False])
     assert not writer.status.is_working and "input/output" in writer.status.failure_reason
     writer.put([Change(b"b", Entry(1, b"2"))])
     files.fail = lambda operation, name: None
-    until(lambda: writer.status.is_working)
-    writer.put([Change(b"c", Entry(1, b"3"))], heard.append)
-    until(lambda: heard == [False, True])
-    assert set(recover(files).state) == {b"a", b"b", b"c"}  # what nobody was promised is kept all the same
+    wait_until(lambda: writer.status.is_working)
+    writer.put([Change(b"c", Entry(1, b"3"))], results.append)
+    wait_until(lambda: results == [False, True])
+    # The repair also stores the changes of failed commits.
+    assert set(recover(files).state) == {b"a", b"b", b"c"}
     assert writer.stop(10.0)
-    assert said == [
+    assert messages == [
         "store failed: changes are no longer durable: input/output error",
         "store repaired: changes are durable again",
     ]
 
 
-def test_what_waits_for_a_disk_that_hangs_is_bounded():
-    files = Slow()
-    writer = Writer(Store(files, SMALL), lambda text: None, WriterLimits(max_delay=0.0, max_pending=10))
+def test_pending_changes_are_bounded_while_the_disk_hangs():
+    files = BlockingFiles()
+    writer = Writer(
+        Store(files, SMALL_LIMITS), lambda message: None, WriterLimits(max_delay=0.0, max_pending=10)
+    )
     writer.start()
-    until(lambda: writer.status.is_working)
+    wait_until(lambda: writer.status.is_working)
     files.gate.clear()
-    writer.put([Change(b"x", Entry(1, b"1"))], lambda kept: None)
-    heard: list[bool] = []
-    for n in range(100):
-        writer.put([Change(b"k%d" % n, Entry(1, b"1"))], heard.append)
-    assert heard.count(False) >= 80 and writer.status.lost_changes >= 80
+    writer.put([Change(b"x", Entry(1, b"1"))], lambda is_durable: None)
+    results: list[bool] = []
+    for number in range(100):
+        writer.put([Change(b"k%d" % number, Entry(1, b"1"))], results.append)
+    assert results.count(False) >= 80 and writer.status.lost_changes >= 80
     files.gate.set()
     assert writer.stop(10.0)
 
 
-KILLED = """
+COMMIT_FOREVER_SCRIPT = """
 import sys
 from pathlib import Path
 from saffronlane.storage import Change, Entry, RealFiles, Store, StoreLimits
 files = RealFiles(Path(sys.argv[1]))
 store = Store(files, StoreLimits(segment_bytes=3000, log_bytes=9000, slice_bytes=500))
-found = store.load()
+recovery = store.load()
 store.begin()
-n = int.from_bytes(found.state[b"n"].value, "big") if b"n" in found.state else 0
+n = int.from_bytes(recovery.state[b"n"].value, "big") if b"n" in recovery.state else 0
 while True:
     n += 1
     value = Entry(1, n.to_bytes(8, "big"))
@@ -491,22 +527,22 @@
 """
 
 
-def test_processes_killed_while_they_write_leave_a_whole_map(tmp_path):
-    """SIGKILL at any moment: what was acknowledged is there, and no commit is there by half."""
-    kills = int(os.environ.get("SAFFRONLANE_KILLS", "12"))
-    draw, last = random.Random(1), 0
-    for _ in range(kills):
+def test_sigkill_during_commits_loses_no_acknowledged_commit(tmp_path):
+    """After SIGKILL at any moment, all acknowledged commits are recovered and no commit in part."""
+    kill_count = int(os.environ.get("SAFFRONLANE_KILLS", "12"))
+    rng, last_acknowledged = random.Random(1), 0
+    for _ in range(kill_count):
         process = subprocess.Popen(
-            [sys.executable, "-c", KILLED, str(tmp_path)], stdout=subprocess.PIPE, text=True
+            [sys.executable, "-c", COMMIT_FOREVER_SCRIPT, str(tmp_path)], stdout=subprocess.PIPE, text=True
         )
         assert process.stdout is not None
-        for _ in range(draw.randrange(1, 150)):
-            last = int(process.stdout.readline())
+        for _ in range(rng.randrange(1, 150)):
+            last_acknowledged = int(process.stdout.readline())
         process.send_signal(signal.SIGKILL)
-        rest = process.stdout.read().split("\n")  # the last line may be cut off
-        last = max([last, *(int(line) for line in rest[:-1])])
+        remaining_lines = process.stdout.read().split("\n")  # the last line may be truncated
+        last_acknowledged = max([last_acknowledged, *(int(line) for line in remaining_lines[:-1])])
         process.wait()
-        found = recover(RealFiles(tmp_path))
-        assert found.state[b"n"] == found.state[b"m"]
-        assert int.from_bytes(found.state[b"n"].value, "big") >= last
-        last = int.from_bytes(found.state[b"n"].value, "big")
+        recovery = recover(RealFiles(tmp_path))
+        assert recovery.state[b"n"] == recovery.state[b"m"]
+        assert int.from_bytes(recovery.state[b"n"].value, "big") >= last_acknowledged
+        last_acknowledged = int.from_bytes(recovery.state[b"n"].value, "big")
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -1,4 +1,4 @@
-"""Several gateway processes behind one port."""
+"""Several gateway processes that share one port."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_each_worker_is_a_gateway_of_its_own(tmp_path: Path) -> None:
+def test_each_worker_has_its_own_gateway_index_and_seed(tmp_path: Path) -> None:
     config = load_config(write_config(tmp_path, gateway={"count": 6, "position": 2, "workers": 3, "seed": 9}))
     workers = [as_worker(config, n, 4000) for n in range(3)]
     assert [w.settings.gateway_index for w in workers] == [2, 3, 4]
@@ -29,42 +29,46 @@
     assert {w.port for w in workers} == {4000}
 
 
-def test_a_dead_worker_is_started_again_and_a_stop_ends_all(tmp_path: Path) -> None:
-    with house(tmp_path, engines=1) as built:
-        outer = tmp_path / "outer"
-        outer.mkdir()
-        write_list(outer / "engines.json", [{"id": "e0", "address": built.engines["e0"].address}], 1)
-        config = write_config(outer, gateway={"count": 2, "workers": 2, "grace_s": 1})
+def test_killed_worker_is_restarted_and_sigterm_stops_all_workers(tmp_path: Path) -> None:
+    with house(tmp_path, engines=1) as running_house:
+        supervisor_directory = tmp_path / "supervisor"
+        supervisor_directory.mkdir()
+        write_list(
+            supervisor_directory / "engines.json",
+            [{"id": "e0", "address": running_house.engines["e0"].address}],
+            1,
+        )
+        config = write_config(supervisor_directory, gateway={"count": 2, "workers": 2, "grace_s": 1})
         command = [sys.executable, "-m", "saffronlane", "serve", str(config)]
-        parent = subprocess.Popen(command, cwd=ROOT, stderr=subprocess.PIPE, text=True)
-        assert parent.stderr is not None
+        supervisor = subprocess.Popen(command, cwd=ROOT, stderr=subprocess.PIPE, text=True)
+        assert supervisor.stderr is not None
         ports: list[int] = []
 
-        def listening() -> int:
-            """The port of the next worker that says that it listens."""
-            assert parent.stderr is not None
-            for line in parent.stderr:
-                told = json.loads(line)
-                if told["event"] == "listening":
-                    ports.append(told["port"])
-                    return int(told["port"])
-            raise AssertionError("the parent ended")
+        def next_listening_port() -> int:
+            """Return the port of the next worker that logs that it is listening."""
+            assert supervisor.stderr is not None
+            for line in supervisor.stderr:
+                log_entry = json.loads(line)
+                if log_entry["event"] == "listening":
+                    ports.append(log_entry["port"])
+                    return int(log_entry["port"])
+            raise AssertionError("the supervisor has exited")
 
-        assert listening() == listening()
-        children = Path(f"/proc/{parent.pid}/task/{parent.pid}/children").read_text().split()
+        assert next_listening_port() == next_listening_port()
+        children = Path(f"/proc/{supervisor.pid}/task/{supervisor.pid}/children").read_text().split()
         assert len(children) == 2
         os.kill(int(children[0]), signal.SIGKILL)
-        assert listening() == ports[0]  # on the same port
-        raw = Raw.__new__(Raw)
-        end = time.monotonic() + 10.0
-        served = 0
-        while served < 6 and time.monotonic() < end:
-            options = [("grpc.use_local_subchannel_pool", 1)]  # a connection of its own each time
+        assert next_listening_port() == ports[0]  # the restarted worker uses the same port
+        client = Raw.__new__(Raw)
+        deadline = time.monotonic() + 10.0
+        served_count = 0
+        while served_count < 6 and time.monotonic() < deadline:
+            options = [("grpc.use_local_subchannel_pool", 1)]  # a new connection for each query
             with grpc.insecure_channel(f"127.0.0.1:{ports[0]}", options) as channel:
-                raw.channel = channel
-                served += len(raw.many("DoGet", raw.ticket("SELECT 1"))) == 2
-        assert served == 6
-        parent.send_signal(signal.SIGTERM)
-        assert parent.wait(15.0) == 0
+                client.channel = channel
+                served_count += len(client.many("DoGet", client.ticket("SELECT 1"))) == 2
+        assert served_count == 6
+        supervisor.send_signal(signal.SIGTERM)
+        assert supervisor.wait(15.0) == 0
         for child in children[1:]:
             assert not Path(f"/proc/{child}").exists()
