--- a/tests/test_folder.py
+++ b/tests/test_folder.py
@@ -22,7 +22,7 @@
 from saffronlane.config import parse_config
 from saffronlane.daemon import Daemon
 from saffronlane.learned_state import records
-from saffronlane.storage import RealFiles, Recovery, recover
+from saffronlane.storage import Change, Entry, RealFiles, Recovery, Store, recover
 from saffronlane.storage import files as files_module
 
 STATE_DIRECTORY_CONFIG = {"knowledge": {"folder": "kept"}}
@@ -268,6 +268,25 @@
     house.daemon = start_daemon(house)
 
 
+def test_forget_all_leaves_no_purged_bytes_in_an_unused_directory(tmp_path: Path) -> None:
+    """Guards against older files that still contain the purged records, such as a retained snapshot."""
+    class_name = b"purged-class-name"
+
+    def files_with_class_name() -> list[str]:
+        return [path.name for path in tmp_path.iterdir() if class_name in path.read_bytes()]
+
+    files = RealFiles(tmp_path)
+    store = Store(files)
+    store.begin()
+    store.commit([Change(records.CLASS + class_name, Entry(1, b"estimates"))])
+    store.write_final_snapshot()
+    store.close()
+    files.close()
+    assert files_with_class_name()
+    assert run_command("forget", tmp_path, "all")[0] == 0
+    assert not files_with_class_name()
+
+
 def test_forget_requests_a_purge_from_a_running_gateway_but_not_of_all_records(
     house: House, folder: Path
 ) -> None:
