--- a/saffronlane/__init__.py
+++ b/saffronlane/__init__.py
@@ -1,4 +1,7 @@
-"""The decisions of a query gateway; see `interface` and `rules`."""
+"""A query gateway, which admits queries and routes them to engines.
+
+`Gateway` is the policy, a library without I/O. Its inputs and outputs are defined in `interface`.
+"""
 
 from .policy import Gateway
 
--- a/saffronlane/__main__.py
+++ b/saffronlane/__main__.py
@@ -1,3 +1,5 @@
+"""Runs the command line by `python -m saffronlane`."""
+
 from .cli.program import main
 
 main()
--- a/saffronlane/config/__init__.py
+++ b/saffronlane/config/__init__.py
@@ -1,4 +1,8 @@
-"""Settings: JSON checked by a JSON Schema (2020-12), every error at once and each with its place."""
+"""Settings files and engine lists.
+
+They are JSON, validated by a JSON Schema (2020-12). All errors of a file are reported together, each with its
+location.
+"""
 
 from .check import Problem, load_json, problems_of
 from .engines import EngineRecord, parse_engines
--- a/saffronlane/config/check.py
+++ b/saffronlane/config/check.py
@@ -1,4 +1,4 @@
-"""Checking JSON against a schema: all errors, each with its JSON pointer (RFC 6901)."""
+"""Parses JSON and validates it against a schema. Each error has a JSON pointer (RFC 6901)."""
 
 from __future__ import annotations
 
@@ -17,7 +17,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """What is wrong, and where."""
+    """An error in a document.
+
+    Attributes:
+        pointer: The JSON pointer of the invalid value. Empty for the whole document.
+        text: The description of the error.
+    """
 
     pointer: str
     text: str
@@ -27,11 +32,17 @@
 
 
 def pointer(path: list[str | int]) -> str:
+    """Return the JSON pointer of a path of keys and indices."""
     return "".join("/" + str(part).replace("~", "~0").replace("/", "~1") for part in path)
 
 
 @cache
 def schema(name: str) -> dict[str, Any]:
+    """Return a JSON Schema of this package.
+
+    Args:
+        name: The name of its file, without `.schema.json`.
+    """
     text = resources.files(__package__).joinpath(f"{name}.schema.json").read_text("utf-8")
     loaded: dict[str, Any] = json.loads(text)
     return loaded
@@ -42,7 +53,7 @@
     return Draft202012Validator(schema(name), format_checker=Draft202012Validator.FORMAT_CHECKER)
 
 
-def _tell(error: ValidationError) -> Problem:
+def _problem_from(error: ValidationError) -> Problem:
     if error.context:
         error = best_match(error.context) or error
     text = error.message
@@ -55,37 +66,54 @@
 
 
 def problems_of(value: object, name: str) -> list[Problem]:
-    """All that the schema finds wrong, in the order of the document."""
+    """Return all violations of a schema, sorted by JSON pointer.
+
+    Args:
+        value: The parsed document.
+        name: The name of the schema's file, without `.schema.json`.
+    """
     errors = _validator(name).iter_errors(value)
-    return sorted((_tell(e) for e in errors), key=lambda p: p.pointer)
+    return sorted((_problem_from(error) for error in errors), key=lambda problem: problem.pointer)
 
 
-def _no_doubles(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    found = dict(pairs)
-    if len(found) < len(pairs):
-        names = [name for name, _ in pairs]
-        double = next(name for name in names if names.count(name) > 1)
-        raise ValueError(f"the key {double!r} stands there twice")
-    return found
+def _reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+    value_by_key = dict(pairs)
+    if len(value_by_key) < len(pairs):
+        keys = [key for key, _ in pairs]
+        duplicate = next(key for key in keys if keys.count(key) > 1)
+        raise ValueError(f"duplicate key {duplicate!r}")
+    return value_by_key
 
 
-def _no_constant(name: str) -> float:
-    raise ValueError(f"{name} is no number of JSON")
+def _reject_constant(name: str) -> float:
+    raise ValueError(f"{name} is not a JSON number")
 
 
 def read_json(text: str | bytes, source: str) -> Any:
-    """ConfigError where the text is no JSON, with line and column."""
+    """Parse JSON.
+
+    Args:
+        text: The JSON text.
+        source: The name of the text in error messages.
+
+    Raises:
+        ConfigError: The text is not valid JSON, an object has a duplicate key, or a number is not finite.
+    """
     try:
-        return json.loads(text, object_pairs_hook=_no_doubles, parse_constant=_no_constant)
+        return json.loads(text, object_pairs_hook=_reject_duplicate_keys, parse_constant=_reject_constant)
     except json.JSONDecodeError as error:
-        place = f"line {error.lineno}, column {error.colno}"
-        raise ConfigError(source, [Problem("", f"not JSON: {error.msg} at {place}")]) from None
+        position = f"line {error.lineno}, column {error.colno}"
+        raise ConfigError(source, [Problem("", f"not JSON: {error.msg} at {position}")]) from None
     except (ValueError, RecursionError) as error:
         raise ConfigError(source, [Problem("", f"not JSON: {error}")]) from None
 
 
 def load_json(path: Path) -> Any:
-    """ConfigError where the file cannot be read or is no JSON."""
+    """Read and parse a JSON file.
+
+    Raises:
+        ConfigError: The file cannot be read or is not valid JSON.
+    """
     try:
         data = path.read_bytes()
     except OSError as error:
--- a/saffronlane/config/engines.py
+++ b/saffronlane/config/engines.py
@@ -1,4 +1,4 @@
-"""The list of engines, as a file has it."""
+"""Parses the engine list."""
 
 from __future__ import annotations
 
@@ -13,7 +13,19 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineRecord:
-    """One engine. `started` is wall time, seconds since 1970; 0: long ago."""
+    """One engine of the list.
+
+    Attributes:
+        id: The id of the engine, unique within the list.
+        host: The host name or IP address.
+        port: The port.
+        state: The state that the list gives the engine.
+        kind: The index of the machine type in the settings.
+        zone: The index of the zone in the settings.
+        cell: The number of the engine's cell, whose engines share one table of idempotency keys.
+        started: The wall-clock time of the start in seconds since 1970, or 0 if it is unknown or long ago.
+        weight: The relative share of the traffic that the engine should get.
+    """
 
     id: str
     host: str
@@ -27,39 +39,56 @@
 
 
 def parse_engines(value: Any, config: Config, source: str) -> tuple[int, tuple[EngineRecord, ...]]:
-    """Version and engines. ConfigError has every problem, and then nothing of the list counts."""
+    """Return the version and the engines of a list.
+
+    Args:
+        value: The parsed JSON document.
+        config: The configuration of the gateway, which has the names of machine types and zones.
+        source: The name of the list in error messages.
+
+    Raises:
+        ConfigError: The list is invalid. It contains all errors, and no part of the list is used.
+    """
     problems = problems_of(value, "engines")
     if problems:
         raise ConfigError(source, problems)
-    kinds = [kind.name for kind in config.settings.machine_types]
+    machine_types = [machine_type.name for machine_type in config.settings.machine_types]
     zones = list(config.settings.zones)
     records: list[EngineRecord] = []
-    seen: dict[str, int] = {}
-    for index, raw in enumerate(value["engines"]):
-        at = f"/engines/{index}"
-        host, _, port = raw["address"].rpartition(":")
+    index_by_id: dict[str, int] = {}
+    for index, entry in enumerate(value["engines"]):
+        pointer = f"/engines/{index}"
+        host, _, port = entry["address"].rpartition(":")
         if not 0 < int(port) < 65536:
-            problems.append(Problem(f"{at}/address", f"{port} is no port"))
-        if raw["id"] in seen:
-            problems.append(Problem(f"{at}/id", f"{raw['id']!r} is the id of engine {seen[raw['id']]} too"))
-        seen.setdefault(raw["id"], index)
-        kind = _index(raw.get("kind"), kinds, f"{at}/kind", problems)
-        zone = _index(raw.get("zone"), zones, f"{at}/zone", problems)
-        state = EngineState[raw.get("state", "ready").upper()]
-        rest = {name: raw[name] for name in ("cell", "started", "weight") if name in raw}
+            problems.append(Problem(f"{pointer}/address", f"{port} is not a port number"))
+        if entry["id"] in index_by_id:
+            problems.append(
+                Problem(
+                    f"{pointer}/id",
+                    f"duplicate of the id {entry['id']!r} of engine {index_by_id[entry['id']]}",
+                )
+            )
+        index_by_id.setdefault(entry["id"], index)
+        kind = _index(entry.get("kind"), machine_types, f"{pointer}/kind", problems)
+        zone = _index(entry.get("zone"), zones, f"{pointer}/zone", problems)
+        state = EngineState[entry.get("state", "ready").upper()]
+        optional_fields = {name: entry[name] for name in ("cell", "started", "weight") if name in entry}
         host = host.strip("[]")
-        records.append(EngineRecord(raw["id"], host, int(port), state, kind, zone, **rest))
+        records.append(EngineRecord(entry["id"], host, int(port), state, kind, zone, **optional_fields))
     if problems:
         raise ConfigError(source, problems)
     return value.get("version", 0), tuple(records)
 
 
-def _index(name: str | None, names: list[str], at: str, problems: list[Problem]) -> int:
+def _index(name: str | None, names: list[str], pointer: str, problems: list[Problem]) -> int:
+    """Return the index of a name, or 0 if there is no name. Adds a problem if the name is unknown."""
     if name is None:
         return 0
     if name not in names:
         problems.append(
-            Problem(at, f"{name!r} is none of {', '.join(names) or 'the settings (there are none)'}")
+            Problem(
+                pointer, f"unknown name {name!r}; expected one of: {', '.join(names) or '(none are set)'}"
+            )
         )
         return 0
     return names.index(name)
--- a/saffronlane/config/errors.py
+++ b/saffronlane/config/errors.py
@@ -1,4 +1,4 @@
-"""Errors of settings."""
+"""Errors of settings files and engine lists."""
 
 from __future__ import annotations
 
@@ -11,9 +11,14 @@
 
 
 class ConfigError(SaffronlaneError):
-    """A file that cannot be used; `problems` has all that is wrong with it."""
+    """A file is invalid or cannot be read.
 
-    remedy = "Correct what the text names at its JSON pointer and run `saffronlane config check` again."
+    Attributes:
+        source: The name of the file.
+        problems: All errors in the file.
+    """
+
+    remedy = "Correct the value at the JSON pointer in the message and run `saffronlane config check` again."
 
     def __init__(self, source: str, problems: list[Problem]) -> None:
         super().__init__("\n".join(f"{source}: {problem}" for problem in problems), place=source)
--- a/saffronlane/daemon.py
+++ b/saffronlane/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: sockets, signals and the engine list around one Executor and its Dispatcher."""
+"""One gateway process: a dispatcher with its executor, sockets, engine list and state directory."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from .engines import Executor
 from .engines.flight import FlightTransport, FlightTransportLimits
 from .engines.pool import PoolLimits
-from .flight import FlightFront
+from .flight import FlightSqlService
 from .gossip_transport import GossipTransport
 from .http2 import ConnectionLimits
 from .http2.transport import local_sockets
@@ -27,84 +27,129 @@
 from .state_directory import StateDirectory
 
 log = structlog.get_logger()
-LAST_WORDS = 1.0  # seconds that answers already given have to reach their clients at the end
+FINAL_ANSWER_TIMEOUT = 1.0  # seconds for the last answers to reach their clients at shutdown
 
 
 class Daemon:
-    """One gateway process. `start`, then `run` until `stop`."""
+    """One gateway process. After `start`, `run` returns when `stop` has completed.
+
+    Args:
+        config: The configuration of the gateway.
+        share_port: Whether other processes listen on the same port.
+
+    Attributes:
+        state_directory: The directory of the learned state, or None if it is not persisted.
+        view: The newest engine list.
+        dispatcher: The dispatcher.
+        gossip: Sends and receives the messages of peers. None without peers.
+        transport: The connections to engines.
+        executor: The executor, which feeds the dispatcher.
+        flight_service: The handlers of client calls.
+        server: The gRPC server for clients.
+        engine_list_source: The file with the engine list.
+        stopped: Set when the gateway has stopped.
+        port: The port on which clients are accepted, after `start`.
+    """
 
     def __init__(self, config: Config, share_port: bool = False) -> None:
         self.config = config
         seed = config.seed if config.seed is not None else secrets.randbits(32)
         self._loop = asyncio.get_running_loop()
-        self.folder = None if config.knowledge is None else StateDirectory(config, self._loop)
-        memory = self.folder.restored_state if self.folder is not None else None
-        self._record: BinaryIO | None = None
+        self.state_directory = (
+            None if config.state_directory_path is None else StateDirectory(config, self._loop)
+        )
+        restored_state = self.state_directory.restored_state if self.state_directory is not None else None
+        self._recording_file: BinaryIO | None = None
         recording = None
-        if config.record is not None:
-            path = config.record
+        if config.recording_path is not None:
+            path = config.recording_path
             if share_port:
                 path = path.with_name(f"{path.name}.{config.settings.gateway_index}")
-            self._record = path.open("wb")
-            recording = RecordingWriter(self._record, config.settings, seed, config.most_owed, memory)
+            self._recording_file = path.open("wb")
+            recording = RecordingWriter(
+                self._recording_file, config.settings, seed, config.max_pending_requests, restored_state
+            )
         self.view = View(self._loop.time, time.time)
         self.dispatcher = dispatch.Dispatcher(
-            config.settings, seed, recording, config.most_owed, memory, is_persistent=memory is not None
+            config.settings,
+            seed,
+            recording,
+            config.max_pending_requests,
+            restored_state,
+            is_persistent=restored_state is not None,
         )
-        http = ConnectionLimits(max_streams=config.max_streams, keepalive_after=config.keepalive)
-        limits = FlightTransportLimits(
+        http_limits = ConnectionLimits(max_streams=config.max_streams, keepalive_after=config.keepalive_after)
+        transport_limits = FlightTransportLimits(
             max_buffered_bytes=config.max_buffered_bytes,
             cancel_ack_timeout=config.cancel_ack_timeout,
-            pool=PoolLimits(config.connect_timeout, config.per_engine),
+            pool=PoolLimits(config.connect_timeout, config.connections_per_engine),
         )
-        self.peers = None
+        self.gossip = None
         if config.peer_listen is not None:
-            self.peers = GossipTransport(
-                config.peer_listen, config.peer_addresses, config.settings.gateway_index, self._on_peer
+            self.gossip = GossipTransport(
+                config.peer_listen,
+                config.peer_addresses,
+                config.settings.gateway_index,
+                self._on_peer_message,
             )
-        self.transport = FlightTransport(limits, self.view.address, str(config.settings.gateway_index))
+        self.transport = FlightTransport(
+            transport_limits, self.view.address, str(config.settings.gateway_index)
+        )
         self.executor = Executor(
             self.dispatcher,
             self.transport,
-            self.peers.send if self.peers is not None else None,
-            self.folder.persist if self.folder is not None else None,
+            self.gossip.send if self.gossip is not None else None,
+            self.state_directory.persist if self.state_directory is not None else None,
+        )
+        self.flight_service = FlightSqlService(config, self.executor, self.transport)
+        self.server = Server(
+            self.flight_service.handlers, http_limits, config.max_connections, config.max_message_bytes
         )
-        self.front = FlightFront(config, self.executor, self.transport)
-        self.server = Server(self.front.handlers, http, config.max_connections, config.max_message)
-        self.source = FileSource(config, self._on_list)
+        self.engine_list_source = FileSource(config, self._on_engine_list)
         self._share_port = share_port
-        self._watch: asyncio.Task[None] | None = None
-        self._stopping: asyncio.Task[None] | None = None
-        self.ended = asyncio.Event()
+        self._watch_task: asyncio.Task[None] | None = None
+        self._drain_task: asyncio.Task[None] | None = None
+        self.stopped = asyncio.Event()
         self.port = 0
 
-    def _on_list(self, version: int, records: tuple[EngineRecord, ...]) -> None:
-        before = self.view.snapshot
+    def _on_engine_list(self, version: int, records: tuple[EngineRecord, ...]) -> None:
+        previous_engines = self.view.snapshot
         self.executor.feed(self.view.replace(version, records))
-        for engine in before:
+        for engine in previous_engines:
             if engine not in self.view.snapshot:
                 self.transport.remove_engine(engine)
-        states = [r.state.name.lower() for r in records]
-        log.info("engine list", version=version, engines=len(records), ready=states.count("ready"))
+        states = [record.state.name.lower() for record in records]
+        log.info("engine list updated", version=version, engines=len(records), ready=states.count("ready"))
 
-    def _on_peer(self, sender: int, data: bytes) -> None:
+    def _on_peer_message(self, sender: int, data: bytes) -> None:
         self.executor.feed(PeerMessage(sender, data))
 
     def start(self, sockets: list[socket.socket] | None = None) -> None:
-        """Listen. OSError where the address cannot be had."""
-        if self.folder is not None:
-            self.folder.unsaved_count = lambda: self.executor.non_durable_count
-            self.folder.on_attach = lambda memory: self.executor.feed(dispatch.AttachLearnedState(memory))
-            self.folder.on_purge = lambda what: self.executor.feed(dispatch.PurgeLearnedState(what))
-            self.folder.start(self.dispatcher)
-        if not self.source.look():
-            log.warning("no engine list yet", file=str(self.config.engine_file))
+        """Start to accept clients.
+
+        Args:
+            sockets: Listening sockets to use in place of those of the configured address.
+
+        Raises:
+            OSError: The address is not available.
+        """
+        if self.state_directory is not None:
+            self.state_directory.unsaved_count = lambda: self.executor.non_durable_count
+            self.state_directory.on_attach = lambda state: self.executor.feed(
+                dispatch.AttachLearnedState(state)
+            )
+            self.state_directory.on_purge = lambda categories: self.executor.feed(
+                dispatch.PurgeLearnedState(categories)
+            )
+            self.state_directory.start(self.dispatcher)
+        if not self.engine_list_source.reload_if_changed():
+            log.warning("engine list not available yet", file=str(self.config.engine_file))
         sockets = sockets or local_sockets(self.config.host, self.config.port, self._share_port)
         self.port = sockets[0].getsockname()[1]
         self.server.listen(sockets)
-        if self.peers is not None:
-            self.peers.start()
-        self._watch = self._loop.create_task(self.source.watch())
+        if self.gossip is not None:
+            self.gossip.start()
+        self._watch_task = self._loop.create_task(self.engine_list_source.watch())
         log.info(
             "listening",
             flight_sql=f"grpc://{self.config.host}:{self.port}",
@@ -114,61 +159,70 @@
         )
 
     def stop(self) -> None:
-        """The first call drains; a second one ends at once."""
-        if self._stopping is None:
-            log.info("stopping", owed=self.dispatcher.pending_count, grace=self.config.grace)
-            self._stopping = self._loop.create_task(self._drain())
+        """Drain the gateway and stop it. A second call stops it at once."""
+        if self._drain_task is None:
+            log.info("stopping", owed=self.dispatcher.pending_count, grace=self.config.drain_grace_period)
+            self._drain_task = self._loop.create_task(self._drain())
         else:
-            log.warning("ended at once", owed=self.dispatcher.pending_count)
+            log.warning("stopped without draining", owed=self.dispatcher.pending_count)
             self._close()
 
     async def _drain(self) -> None:
-        """Refuse what is new, let what runs end, and give every client its answer before the end."""
-        self.executor.feed(dispatch.BeginDrain(self.config.grace))
+        """Reject new requests, wait for the pending ones, and stop.
+
+        Requests that are pending after the grace period are answered with an error.
+        """
+        self.executor.feed(dispatch.BeginDrain(self.config.drain_grace_period))
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(self.config.grace):
-                await self._nothing_owed()
+            async with asyncio.timeout(self.config.drain_grace_period):
+                await self._wait_until_none_pending()
         self.executor.feed(dispatch.FinishDrain())
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(LAST_WORDS):
-                await self._nothing_owed()
+            async with asyncio.timeout(FINAL_ANSWER_TIMEOUT):
+                await self._wait_until_none_pending()
                 self.server.drain()
                 while self.server.open_call_count:
                     await asyncio.sleep(0.01)
-        await asyncio.sleep(0.05)  # the last frames leave in the turns after they were queued
+        await asyncio.sleep(0.05)  # queued frames are written in later turns of the event loop
         self._close()
 
-    async def _nothing_owed(self) -> None:
+    async def _wait_until_none_pending(self) -> None:
         await asyncio.sleep(0)
         while self.dispatcher.pending_count:
             await asyncio.sleep(0.01)
 
     def _close(self) -> None:
-        if self._watch is not None:
-            self._watch.cancel()
-        if self.peers is not None:
-            self.peers.close()
-        self.front.close()
+        if self._watch_task is not None:
+            self._watch_task.cancel()
+        if self.gossip is not None:
+            self.gossip.close()
+        self.flight_service.close()
         self.executor.close()
         self.server.close()
-        if self.folder is not None:
-            self.folder.stop(self.dispatcher)
-        if self._record is not None:
-            self._record.close()
-            self._record = None
-        self.ended.set()
+        if self.state_directory is not None:
+            self.state_directory.stop(self.dispatcher)
+        if self._recording_file is not None:
+            self._recording_file.close()
+            self._recording_file = None
+        self.stopped.set()
 
     async def run(self) -> None:
-        await self.ended.wait()
+        """Wait until the gateway has stopped."""
+        await self.stopped.wait()
 
 
 async def serve(config: Config, share_port: bool = False) -> None:
-    """Run a daemon until SIGTERM or SIGINT."""
+    """Run a gateway until SIGTERM or SIGINT has stopped it.
+
+    Args:
+        config: The configuration of the gateway.
+        share_port: Whether other processes listen on the same port.
+    """
     import signal
 
     daemon = Daemon(config, share_port)
     daemon.start()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, daemon.stop)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, daemon.stop)
     await daemon.run()
--- a/saffronlane/flight/__init__.py
+++ b/saffronlane/flight/__init__.py
@@ -1,5 +1,8 @@
-"""The Flight SQL front: sessions, statements, tickets. It decides nothing."""
+"""The Flight SQL service for clients: sessions, statements and tickets.
 
-from .service import FlightFront
+Scheduling decisions are made by the dispatcher.
+"""
 
-__all__ = ["FlightFront"]
+from .service import FlightSqlService
+
+__all__ = ["FlightSqlService"]
--- a/saffronlane/flight/arrow.py
+++ b/saffronlane/flight/arrow.py
@@ -1,4 +1,7 @@
-"""Arrow data as FlightData messages. Needs pyarrow, which the gateway itself does without otherwise."""
+"""Converts Arrow data to FlightData messages.
+
+The functions need pyarrow, which no other part of the gateway needs.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 
 
 def flight_data(schema: pa.Schema, batches: list[pa.RecordBatch]) -> list[bytes]:
-    """Schema and batches as serialized FlightData, in the order in which they are sent."""
+    """Return the schema and the batches as serialized FlightData messages, in the order of sending."""
     import pyarrow as pa
 
     sink = pa.BufferOutputStream()
@@ -30,13 +33,17 @@
         messages.append(data.SerializeToString())
 
 
-def sql_info(wanted: list[int]) -> list[bytes]:
-    """The answer to CommandGetSqlInfo: server name and version, read-only, no transactions, cancel."""
+def sql_info(info_codes: list[int]) -> list[bytes]:
+    """Return the result of CommandGetSqlInfo as serialized FlightData messages.
+
+    Args:
+        info_codes: The SqlInfo codes that the client requests. If empty, all supported codes are returned.
+    """
     import pyarrow as pa
 
     from .. import __version__
 
-    types = [
+    union_members = [
         ("string_value", pa.string()),
         ("bool_value", pa.bool_()),
         ("bigint_value", pa.int64()),
@@ -45,8 +52,8 @@
         ("int32_to_int32_list_map", pa.map_(pa.int32(), pa.list_(pa.int32()))),
     ]
     # SqlInfo of FlightSql.proto: 0 name, 1 version, 2 Arrow version, 3 read-only, 4 SQL, 5 Substrait,
-    # 8 transactions, 9 cancel, 100 statement time-out, 101 transaction time-out.
-    infos: dict[int, tuple[int, object]] = {
+    # 8 transactions, 9 cancel, 100 statement timeout, 101 transaction timeout.
+    info_by_code: dict[int, tuple[int, object]] = {  # union member and value
         0: (0, "saffronlane"),
         1: (0, __version__),
         2: (0, pa.__version__),
@@ -58,20 +65,20 @@
         100: (3, 0),
         101: (3, 0),
     }
-    chosen = {k: v for k, v in infos.items() if not wanted or k in wanted}
-    children: list[list[object]] = [[] for _ in types]
+    requested = {code: info for code, info in info_by_code.items() if not info_codes or code in info_codes}
+    children: list[list[object]] = [[] for _ in union_members]
     offsets = []
-    for kind, value in chosen.values():
-        offsets.append(len(children[kind]))
-        children[kind].append(value)
+    for member, value in requested.values():
+        offsets.append(len(children[member]))
+        children[member].append(value)
     union = pa.UnionArray.from_dense(
-        pa.array([kind for kind, _ in chosen.values()], pa.int8()),
+        pa.array([member for member, _ in requested.values()], pa.int8()),
         pa.array(offsets, pa.int32()),
-        [pa.array(child, arrow_type) for child, (_, arrow_type) in zip(children, types, strict=True)],
-        [name for name, _ in types],
+        [pa.array(child, arrow_type) for child, (_, arrow_type) in zip(children, union_members, strict=True)],
+        [name for name, _ in union_members],
     )
     schema = pa.schema(
         [pa.field("info_name", pa.uint32(), nullable=False), pa.field("value", union.type, nullable=False)]
     )
-    batch = pa.RecordBatch.from_arrays([pa.array(list(chosen), pa.uint32()), union], schema=schema)
+    batch = pa.RecordBatch.from_arrays([pa.array(list(requested), pa.uint32()), union], schema=schema)
     return flight_data(schema, [batch])
--- a/saffronlane/flight/errors.py
+++ b/saffronlane/flight/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the Flight SQL front."""
+"""Errors of the Flight SQL service."""
 
 from __future__ import annotations
 
@@ -6,6 +6,6 @@
 
 
 class SqlError(SaffronlaneError):
-    """The statement does not parse; the text names line and column."""
+    """An SQL statement cannot be parsed. The message names line and column where they are known."""
 
     remedy = "Have the client correct the statement at the line and column in the text."
--- a/saffronlane/flight/handles.py
+++ b/saffronlane/flight/handles.py
@@ -1,6 +1,7 @@
 """Tickets and statement handles.
 
-They are self-contained: a ticket survives a restart of the gateway, and any gateway can serve it.
+They contain the whole statement, so they remain valid after a restart of the gateway and any gateway can
+serve them.
 """
 
 from __future__ import annotations
@@ -11,48 +12,66 @@
 import msgspec
 
 from ..rpc import Code
-from ..rpc.status import error
+from ..rpc.status import rpc_error
 
 VERSION = 1
-DIGEST = 8
-MOST_BOUND = 65_536  # bytes of bound parameters that a handle carries
+DIGEST_BYTES = 8
+MAX_PARAMETER_BYTES = 65_536  # size of the bound parameters in one handle
 
 
 class Handle(msgspec.Struct, array_like=True, frozen=True):
-    """A statement, its bound parameters as FlightData messages, and a number that makes it one of a kind."""
+    """A statement with its bound parameters.
+
+    Attributes:
+        version: The version of the encoding.
+        query: The SQL text of the statement.
+        nonce: Random bytes that distinguish handles of the same statement.
+        batches: The bound parameters as serialized FlightData messages.
+        is_prepared: Whether the engine prepares the statement before its parameters are bound.
+    """
 
     version: int
     query: str
     nonce: bytes
     batches: tuple[bytes, ...] = ()
-    prepared: bool = False
+    is_prepared: bool = False
 
 
 _DECODER = msgspec.msgpack.Decoder(Handle)
 
 
-def make(query: str, batches: tuple[bytes, ...] = (), prepared: bool = False) -> Handle:
-    return Handle(VERSION, query, os.urandom(8), batches, prepared)
+def make(query: str, batches: tuple[bytes, ...] = (), is_prepared: bool = False) -> Handle:
+    """Create a handle of a statement with a new nonce."""
+    return Handle(VERSION, query, os.urandom(8), batches, is_prepared)
 
 
 def _digest(body: bytes) -> bytes:
-    return blake2b(body, digest_size=DIGEST, person=b"saffronlane").digest()
+    return blake2b(body, digest_size=DIGEST_BYTES, person=b"saffronlane").digest()
 
 
 def pack(handle: Handle) -> bytes:
+    """Encode a handle, with a digest in front of it."""
     body = msgspec.msgpack.encode(handle)
     return _digest(body) + body
 
 
-def unpack(data: bytes, what: str) -> Handle:
-    """RpcError NOT_FOUND for what no gateway of this version has made."""
-    digest, body = data[:DIGEST], data[DIGEST:]
+def unpack(data: bytes, source: str) -> Handle:
+    """Decode a handle.
+
+    Args:
+        data: The bytes that `pack` returned.
+        source: The name of the request's field that contains the bytes, for error messages.
+
+    Raises:
+        RpcError: NOT_FOUND if no gateway of this version has encoded the bytes.
+    """
+    digest, body = data[:DIGEST_BYTES], data[DIGEST_BYTES:]
     if digest != _digest(body):
-        raise error(Code.NOT_FOUND, f"{what} is not one of this gateway's", "UNKNOWN_HANDLE")
+        raise rpc_error(Code.NOT_FOUND, f"{source} is invalid: its digest does not match", "UNKNOWN_HANDLE")
     try:
         handle = _DECODER.decode(body)
     except msgspec.DecodeError:
-        raise error(Code.NOT_FOUND, f"{what} has a form that is not known", "UNKNOWN_HANDLE") from None
+        raise rpc_error(Code.NOT_FOUND, f"{source} is invalid: unknown format", "UNKNOWN_HANDLE") from None
     if handle.version != VERSION:
-        raise error(Code.NOT_FOUND, f"{what} is of another version", "UNKNOWN_HANDLE")
+        raise rpc_error(Code.NOT_FOUND, f"{source} has an unsupported version", "UNKNOWN_HANDLE")
     return handle
--- a/saffronlane/flight/identity.py
+++ b/saffronlane/flight/identity.py
@@ -1,8 +1,11 @@
-"""What a request is to the decisions: its class, tenant, keys and told cost.
+"""Determines the query class, tenant, keys and estimates of a request.
 
-A call header counts before a session option, and that before the settings' matchers. Two keys are told apart:
-`key` names the request itself, so that engines discard its repeats; `order` names what it is about, so that
-requests of an ordered class that share it run one after another.
+A call header takes precedence over a session option. Without either, query class and tenant are taken from
+the matchers of the settings.
+
+A request may have two keys. The option `key` is the idempotency key, by which engines discard repeats of the
+request. The option `order` is the ordering key: requests of an ordered class with the same ordering key run
+one after another.
 """
 
 from __future__ import annotations
@@ -14,94 +17,129 @@
 from ..config import Config
 from ..interface import Idempotency
 from ..rpc import Code, Metadata
-from ..rpc.status import error
-from .sessions import Option, Session
+from ..rpc.status import rpc_error
+from .sessions import OptionValue, Session
 from .sql import Statement
 
-PREFIX = "saffronlane-"
-NAMES = ("class", "tenant", "key", "order", "cost", "memory-mb", "deadline-s")
-NUMBERS = ("cost", "memory-mb", "deadline-s")
+HEADER_PREFIX = "saffronlane-"
+OPTIONS = ("class", "tenant", "key", "order", "cost", "memory-mb", "deadline-s")
+NUMERIC_OPTIONS = ("cost", "memory-mb", "deadline-s")
 
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    cls: int
-    tenant: int
-    key: str  # that engines know the request by; empty: none
-    order: int  # 0: none
-    cost: float  # told work in seconds; 0: not told
-    memory_mb: float
-    deadline: float  # seconds that the client waits
-
-
-class Identifier:
-    """Reads headers, session and matchers."""
+    """The properties of a request on which scheduling depends.
+
+    Attributes:
+        class_index: The index of the query class in the settings.
+        tenant_index: The index of the tenant in the settings.
+        idempotency_key: The key by which engines recognize repeats of the request. Empty if it has none.
+        ordering_key: The ordering key, or 0 if the request has none.
+        estimated_cost: The client's estimate of the work in seconds, or 0 if it gave none.
+        estimated_memory_mb: The client's estimate of the memory, or 0 if it gave none.
+        timeout: The seconds for which the client waits for an answer.
+    """
+
+    class_index: int
+    tenant_index: int
+    idempotency_key: str
+    ordering_key: int
+    estimated_cost: float
+    estimated_memory_mb: float
+    timeout: float
+
+
+class IdentityResolver:
+    """Determines the identity of requests from headers, session options and matchers.
+
+    Args:
+        config: The configuration of the gateway.
+    """
 
     def __init__(self, config: Config) -> None:
         self._config = config
-        self._classes = [c.name for c in config.settings.classes]
-        self._tenants = [t.name for t in config.settings.tenants]
+        self._class_names = [c.name for c in config.settings.classes]
+        self._tenant_names = [t.name for t in config.settings.tenants]
+
+    def check_option(self, name: str, value: OptionValue) -> str:
+        """Check the value of a session option.
+
+        Returns:
+            Why the value is invalid. Empty if it is valid.
 
-    def check_option(self, name: str, value: Option) -> str:
-        """What is wrong with a session option's value; empty: nothing. KeyError: there is no such option."""
-        if name not in NAMES:
+        Raises:
+            KeyError: There is no option of this name.
+        """
+        if name not in OPTIONS:
             raise KeyError(name)
         text = str(value)
         if isinstance(value, (bool, tuple)):
-            return "is neither text nor a number"
-        if name == "class" and text not in self._classes:
-            return f"{text!r} is none of {', '.join(self._classes)}"
-        if name == "tenant" and text not in self._tenants:
-            return f"{text!r} is none of {', '.join(self._tenants) or 'the settings (there are none)'}"
-        if name in NUMBERS and _number(text) is None:
-            return f"{text!r} is no number of 0 or more"
+            return "expected text or a number"
+        if name == "class" and text not in self._class_names:
+            return f"unknown class {text!r}; expected one of: {', '.join(self._class_names)}"
+        if name == "tenant" and text not in self._tenant_names:
+            return (
+                f"unknown tenant {text!r}; expected one of: {', '.join(self._tenant_names) or '(no tenants)'}"
+            )
+        if name in NUMERIC_OPTIONS and _parse_number(text) is None:
+            return f"expected a finite number of at least 0, got {text!r}"
         return ""
 
     def identify(
         self, statement: Statement, session: Session | None, metadata: Metadata, user: str
     ) -> Identity:
-        """RpcError INVALID_ARGUMENT names the header or option that makes no sense."""
-        said = {name: str(value) for name, value in session.options.items()} if session is not None else {}
-        for name in NAMES:
-            text = metadata.text(PREFIX + name)
+        """Return the identity of a request.
+
+        Raises:
+            RpcError: INVALID_ARGUMENT if a header is invalid or a request of a keyed class has no key, and
+                FAILED_PRECONDITION for a write in a class whose queries may be repeated.
+        """
+        values = {name: str(value) for name, value in session.options.items()} if session is not None else {}
+        for name in OPTIONS:
+            text = metadata.text(HEADER_PREFIX + name)
             if text:
-                fault = self.check_option(name, text)
-                if fault:
-                    raise error(Code.INVALID_ARGUMENT, f"header {PREFIX}{name}: {fault}", "HEADER")
-                said[name] = text
-        cls = self._classes.index(said["class"]) if "class" in said else None
-        tenant = self._tenants.index(said["tenant"]) if "tenant" in said else None
+                problem = self.check_option(name, text)
+                if problem:
+                    raise rpc_error(
+                        Code.INVALID_ARGUMENT, f"header {HEADER_PREFIX}{name}: {problem}", "HEADER"
+                    )
+                values[name] = text
+        class_index = self._class_names.index(values["class"]) if "class" in values else None
+        tenant_index = self._tenant_names.index(values["tenant"]) if "tenant" in values else None
         for matcher in self._config.matchers:
-            if cls is not None and tenant is not None:
+            if class_index is not None and tenant_index is not None:
                 break
             if matcher.user is not None and matcher.user != user:
                 continue
-            if matcher.kind is not None and matcher.kind != statement.kind:
+            if matcher.statement_kind is not None and matcher.statement_kind != statement.kind:
                 continue
             if matcher.tables and not matcher.tables & statement.tables:
                 continue
             if matcher.pattern is not None and not matcher.pattern.search(statement.text):
                 continue
-            cls = matcher.cls if cls is None else cls
-            tenant = matcher.tenant if tenant is None else tenant
-        index = cls or 0
-        known = self._config.settings.classes[index]
-        key = said.get("key", "")
-        if known.idempotency is Idempotency.KEYED and not key:
-            text = f"class {known.name} is keyed: header {PREFIX}key or session option key is needed"
-            raise error(Code.INVALID_ARGUMENT, text, "KEY_NEEDED")
-        if statement.writes and known.idempotency is Idempotency.SAFE:
-            # Guards against an effect done twice: a class whose queries may be repeated is no place for one.
-            text = f"the statement writes, and class {known.name} may repeat it: use a keyed or unsafe class"
-            raise error(Code.FAILED_PRECONDITION, text, "WRITE_IN_SAFE_CLASS")
+            class_index = matcher.class_index if class_index is None else class_index
+            tenant_index = matcher.tenant_index if tenant_index is None else tenant_index
+        effective_class_index = class_index or 0
+        class_settings = self._config.settings.classes[effective_class_index]
+        key = values.get("key", "")
+        if class_settings.idempotency is Idempotency.KEYED and not key:
+            text = f"class {class_settings.name} is keyed: header {HEADER_PREFIX}key or option key is missing"
+            raise rpc_error(Code.INVALID_ARGUMENT, text, "KEY_NEEDED")
+        if statement.is_write and class_settings.idempotency is Idempotency.SAFE:
+            # Queries of a safe class may be executed more than once, which would apply the write twice.
+            text = (
+                f"the statement writes, and class {class_settings.name} may repeat it: "
+                "use a keyed or unsafe class"
+            )
+            raise rpc_error(Code.FAILED_PRECONDITION, text, "WRITE_IN_SAFE_CLASS")
         return Identity(
-            index,
-            tenant or 0,
-            _digest(known.name, key).hex() if key else "",
-            int.from_bytes(_digest("", said["order"])[:7], "big") if said.get("order") else 0,
-            _number(said.get("cost", "")) or 0.0,
-            _number(said.get("memory-mb", "")) or 0.0,
-            _number(said.get("deadline-s", "")) or known.deadline,
+            effective_class_index,
+            tenant_index or 0,
+            _digest(class_settings.name, key).hex() if key else "",
+            int.from_bytes(_digest("", values["order"])[:7], "big") if values.get("order") else 0,
+            _parse_number(values.get("cost", "")) or 0.0,
+            _parse_number(values.get("memory-mb", "")) or 0.0,
+            _parse_number(values.get("deadline-s", "")) or class_settings.deadline,
         )
 
 
@@ -109,7 +147,8 @@
     return blake2b(f"{scope}\0{text}".encode(), digest_size=16).digest()
 
 
-def _number(text: str) -> float | None:
+def _parse_number(text: str) -> float | None:
+    """Return a finite number of at least 0, or None if the text is none."""
     try:
         value = float(text)
     except ValueError:
--- a/saffronlane/flight/sql.py
+++ b/saffronlane/flight/sql.py
@@ -1,4 +1,4 @@
-"""What a statement's text tells: whether it writes, and which tables it names (read by sqlglot)."""
+"""Parses statements with sqlglot to find out whether they write and which tables they name."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 from .errors import SqlError
 
-LONGEST_READ = 65_536  # characters; reading longer ones would hold up everybody else
-WRITES = (
+MAX_PARSED_CHARACTERS = 65_536  # parsing a longer statement would block the event loop for too long
+WRITE_EXPRESSIONS = (
     exp.Insert,
     exp.Update,
     exp.Delete,
@@ -28,75 +28,106 @@
 
 @dataclass(frozen=True, slots=True)
 class Statement:
+    """A statement and its properties.
+
+    Attributes:
+        text: The SQL text.
+        is_write: Whether the statement writes.
+        tables: The names of the tables that the statement uses.
+        table_group: The number of the table group, the same for all statements with the same tables.
+    """
+
     text: str
-    writes: bool
+    is_write: bool
     tables: frozenset[str]
-    group: float  # the table group: the same for the same set of tables
+    table_group: float
 
     @property
     def kind(self) -> str:
-        return "write" if self.writes else "read"
+        """The kind of the statement as matchers in the settings name it: "write" or "read"."""
+        return "write" if self.is_write else "read"
 
 
 def table_group(tables: frozenset[str]) -> float:
-    """A number for a set of tables, exact as a float; 0: no table."""
+    """Return the number of a set of tables, or 0 for the empty set. The number is an integer below 2**48."""
     if not tables:
         return 0.0
     name = "\0".join(sorted(tables)).encode()
     return float(int.from_bytes(blake2b(name, digest_size=6).digest(), "big"))
 
 
-class Reader:
-    """Reads statements, and remembers the latest."""
+class StatementParser:
+    """Parses statements and caches the most recently used ones.
+
+    Args:
+        dialect: The sqlglot name of the SQL dialect. Empty for sqlglot's default dialect.
+        strict: Whether to reject statements that cannot be parsed.
+        max_cached: The maximum number of cached statements.
+    """
 
-    def __init__(self, dialect: str = "", strict: bool = True, remembered: int = 4096) -> None:
-        self._dialect, self._strict, self._most = dialect or None, strict, remembered
+    def __init__(self, dialect: str = "", strict: bool = True, max_cached: int = 4096) -> None:
+        self._dialect, self._strict, self._max_cached = dialect or None, strict, max_cached
         self._cache: OrderedDict[str, Statement] = OrderedDict()
 
-    def read(self, text: str) -> Statement:
-        """SqlError where it does not parse and must."""
-        known = self._cache.get(text)
-        if known is not None:
+    def parse(self, text: str) -> Statement:
+        """Return the properties of a statement.
+
+        Raises:
+            SqlError: The statement is empty, or it cannot be parsed and the parser is strict.
+        """
+        cached = self._cache.get(text)
+        if cached is not None:
             self._cache.move_to_end(text)
-            return known
-        statement = self._parse(text)
-        if len(text) <= LONGEST_READ:
+            return cached
+        statement = self._parse_uncached(text)
+        if len(text) <= MAX_PARSED_CHARACTERS:
             self._cache[text] = statement
-            if len(self._cache) > self._most:
+            if len(self._cache) > self._max_cached:
                 self._cache.popitem(last=False)
         return statement
 
-    def _parse(self, text: str) -> Statement:
+    def _parse_uncached(self, text: str) -> Statement:
         if not text.strip():
             raise SqlError("the statement is empty")
-        if len(text) > LONGEST_READ:
-            return self._opaque(text)
+        if len(text) > MAX_PARSED_CHARACTERS:
+            return self._unparsed(text)
         try:
-            trees = [t for t in sqlglot.parse(text, read=self._dialect) if t is not None]
+            trees = [tree for tree in sqlglot.parse(text, read=self._dialect) if tree is not None]
         except ParseError as error:
-            first = error.errors[0] if error.errors else {}
-            place = f"line {first.get('line', '?')}, column {first.get('col', '?')}"
-            return self._unread(text, f"{first.get('description', 'does not parse')} at {place}")
+            first_error = error.errors[0] if error.errors else {}
+            position = f"line {first_error.get('line', '?')}, column {first_error.get('col', '?')}"
+            return self._handle_parse_failure(
+                text, f"{first_error.get('description', 'does not parse')} at {position}"
+            )
         except (TokenError, RecursionError, ValueError) as error:
-            return self._unread(text, str(error).splitlines()[0] if str(error) else "nested too deeply")
+            return self._handle_parse_failure(
+                text, str(error).splitlines()[0] if str(error) else "nested too deeply"
+            )
         if not trees:
             raise SqlError("the statement is empty")
-        writes = any(tree.find(*WRITES) is not None for tree in trees)
+        is_write = any(tree.find(*WRITE_EXPRESSIONS) is not None for tree in trees)
         aliases = {cte.alias for tree in trees for cte in tree.find_all(exp.CTE)}
-        found = [table for tree in trees for table in tree.find_all(exp.Table)]
-        names = frozenset(_name(t) for t in found if t.name and not (t.name in aliases and not t.db))
-        return Statement(text, writes, names, table_group(names))
-
-    def _unread(self, text: str, why: str) -> Statement:
+        tables = [table for tree in trees for table in tree.find_all(exp.Table)]
+        names = frozenset(
+            _qualified_name(table)
+            for table in tables
+            if table.name and not (table.name in aliases and not table.db)
+        )
+        return Statement(text, is_write, names, table_group(names))
+
+    def _handle_parse_failure(self, text: str, reason: str) -> Statement:
         if self._strict:
-            raise SqlError(f"the statement does not parse: {why}")
-        return self._opaque(text)
+            raise SqlError(f"the statement does not parse: {reason}")
+        return self._unparsed(text)
 
     @staticmethod
-    def _opaque(text: str) -> Statement:
-        """Not read: taken for a write, which is the safe side, and a group of its own."""
+    def _unparsed(text: str) -> Statement:
+        """Return a statement that was not parsed.
+
+        It is treated as a write, which is the safe assumption, and it has a table group of its own.
+        """
         return Statement(text, True, frozenset(), table_group(frozenset((text,))))
 
 
-def _name(table: exp.Table) -> str:
+def _qualified_name(table: exp.Table) -> str:
     return ".".join(part for part in (table.catalog, table.db, table.name) if part).lower()
--- a/saffronlane/logging_setup.py
+++ b/saffronlane/logging_setup.py
@@ -1,4 +1,4 @@
-"""Structured logs on standard error: JSON lines, or readable ones on a terminal."""
+"""Structured logging to standard error: JSON lines, or a readable format if it is a terminal."""
 
 from __future__ import annotations
 
@@ -9,10 +9,14 @@
 
 
 def set_up(level: str = "info") -> None:
-    """Call once at the start of a process."""
-    terminal = sys.stderr.isatty()
-    render: structlog.types.Processor = (
-        structlog.dev.ConsoleRenderer() if terminal else structlog.processors.JSONRenderer()
+    """Configure logging. Called once at the start of a process.
+
+    Args:
+        level: The lowest level that is logged.
+    """
+    is_terminal = sys.stderr.isatty()
+    renderer: structlog.types.Processor = (
+        structlog.dev.ConsoleRenderer() if is_terminal else structlog.processors.JSONRenderer()
     )
     structlog.configure(
         processors=[
@@ -20,7 +24,7 @@
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso"),
             structlog.processors.format_exc_info,
-            render,
+            renderer,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, level.upper())),
         logger_factory=structlog.PrintLoggerFactory(file=sys.stderr),
--- a/saffronlane/members/__init__.py
+++ b/saffronlane/members/__init__.py
@@ -1,4 +1,4 @@
-"""Where the list of engines comes from: a file now; other sources feed the same View."""
+"""The current engine list, and its source. A file is the only source so far."""
 
 from .file import FileSource
 from .view import View
--- a/saffronlane/members/view.py
+++ b/saffronlane/members/view.py
@@ -1,4 +1,4 @@
-"""What is known of the engines, as one immutable map that readers hold without locks."""
+"""The current engine list as an immutable map, which readers can keep without locks."""
 
 from __future__ import annotations
 
@@ -14,35 +14,56 @@
 
 
 class View:
-    """The newest list, and the update that the dispatcher is told of it.
+    """Holds the newest engine list, and converts each list to an update for the dispatcher.
 
-    Starts are told in wall time and kept in monotonic time; each is converted once, when it is first seen, so
-    that a step of the clock later does not look like a restart of every engine.
+    A list gives the start of an engine in wall-clock time, and an update gives it in monotonic time. Each
+    start time is converted once, when it is first listed. Otherwise a step of the wall clock would look like
+    a restart of every engine.
+
+    Args:
+        monotonic: A function that returns the monotonic time.
+        wall: A function that returns the wall-clock time in seconds since 1970.
+
+    Attributes:
+        snapshot: The engines of the newest list by id.
+        version: The version of the newest list.
     """
 
     def __init__(self, monotonic: Callable[[], float], wall: Callable[[], float]) -> None:
         self.snapshot: Snapshot = HashTrieMap()
         self.version = 0
         self._monotonic, self._wall = monotonic, wall
-        self._starts: dict[bytes, tuple[float, float]] = {}  # told, and on our clock
+        self._start_times: dict[bytes, tuple[float, float]] = {}  # listed and monotonic start time by engine
 
     def replace(self, version: int, records: tuple[EngineRecord, ...]) -> EndpointListUpdate:
-        """Take a whole list; what the old one had and this one lacks is gone."""
+        """Replace the list. Engines that the new list lacks are removed.
+
+        Returns:
+            The update for the dispatcher.
+        """
         self.version = version
-        self.snapshot = HashTrieMap({r.id.encode(): r for r in records})
-        self._starts = {k: v for k, v in self._starts.items() if k in self.snapshot}
-        return EndpointListUpdate(EndpointListMode.FULL, version, tuple(self._entry(r) for r in records))
+        self.snapshot = HashTrieMap({record.id.encode(): record for record in records})
+        self._start_times = {
+            engine: start for engine, start in self._start_times.items() if engine in self.snapshot
+        }
+        return EndpointListUpdate(
+            EndpointListMode.FULL, version, tuple(self._entry(record) for record in records)
+        )
 
     def _entry(self, record: EngineRecord) -> EngineEntry:
-        name = record.id.encode()
-        told, started = self._starts.get(name, (0.0, 0.0))
-        if record.started != told:
-            told = record.started
-            age = max(0.0, self._wall() - told) if told else 0.0  # a start in the future counts as now
-            started = max(1e-6, self._monotonic() - age) if told else 0.0
-            self._starts[name] = (told, started)
-        return EngineEntry(name, record.state, started, record.zone, record.kind, record.cell, record.weight)
+        engine = record.id.encode()
+        listed_start, started_at = self._start_times.get(engine, (0.0, 0.0))
+        if record.started != listed_start:
+            listed_start = record.started
+            # A start time in the future is treated as now.
+            age = max(0.0, self._wall() - listed_start) if listed_start else 0.0
+            started_at = max(1e-6, self._monotonic() - age) if listed_start else 0.0
+            self._start_times[engine] = (listed_start, started_at)
+        return EngineEntry(
+            engine, record.state, started_at, record.zone, record.kind, record.cell, record.weight
+        )
 
     def address(self, engine: bytes) -> tuple[str, int] | None:
+        """Return host and port of an engine, or None if it is not listed."""
         record = self.snapshot.get(engine)
         return None if record is None else (record.host, record.port)
--- a/saffronlane/proto/commands.py
+++ b/saffronlane/proto/commands.py
@@ -1,4 +1,4 @@
-"""What every part that speaks Flight SQL needs: the service's path, and commands in their envelopes."""
+"""The path of the Flight service, and the encoding of Flight SQL commands."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 def packed(message: Message) -> AnyMessage:
-    """A message in an Any, as Flight SQL has its commands."""
-    box = AnyMessage()
-    box.Pack(message)
-    return box
+    """Return a message wrapped in an Any, as Flight SQL encodes commands."""
+    wrapper = AnyMessage()
+    wrapper.Pack(message)
+    return wrapper
 
 
 def descriptor(command: Message) -> flight.FlightDescriptor:
-    """The descriptor that holds a command."""
+    """Return the descriptor of a command."""
     return flight.FlightDescriptor(type=flight.FlightDescriptor.CMD, cmd=packed(command).SerializeToString())
--- a/saffronlane/rpc/framing.py
+++ b/saffronlane/rpc/framing.py
@@ -6,7 +6,7 @@
 import struct
 import zlib
 
-from .status import Code, error
+from .status import Code, rpc_error
 
 MESSAGE_PREFIX = struct.Struct(">BL")
 DEFAULT_MAX_MESSAGE_BYTES = 64 * 1024 * 1024  # a batch of Arrow data commonly has a few MB
@@ -74,11 +74,11 @@
 
     def _check_prefix(self, flag: int, length: int) -> None:
         if flag > 1:
-            raise error(Code.INTERNAL, f"message has an invalid compression flag {flag}")
+            raise rpc_error(Code.INTERNAL, f"message has an invalid compression flag {flag}")
         if flag and not self.is_gzip:
-            raise error(Code.INTERNAL, "compressed message without header grpc-encoding: gzip")
+            raise rpc_error(Code.INTERNAL, "compressed message without header grpc-encoding: gzip")
         if length > self.max_message_bytes:
-            raise error(
+            raise rpc_error(
                 Code.RESOURCE_EXHAUSTED, f"message of {length} bytes, more than {self.max_message_bytes}"
             )
 
@@ -87,13 +87,13 @@
         try:
             data = decompressor.decompress(body, self.max_message_bytes + 1)
         except zlib.error as fault:
-            raise error(Code.INTERNAL, f"message cannot be decompressed: {fault}") from None
+            raise rpc_error(Code.INTERNAL, f"message cannot be decompressed: {fault}") from None
         if len(data) > self.max_message_bytes:  # a small message may decompress to more than memory holds
-            raise error(
+            raise rpc_error(
                 Code.RESOURCE_EXHAUSTED, f"message decompresses to more than {self.max_message_bytes} bytes"
             )
         if not decompressor.eof:
-            raise error(Code.INTERNAL, "compressed message is truncated")
+            raise rpc_error(Code.INTERNAL, "compressed message is truncated")
         return data
 
     @property
--- a/saffronlane/rpc/status.py
+++ b/saffronlane/rpc/status.py
@@ -90,7 +90,7 @@
 OK = Status(Code.OK)
 
 
-def error(code: Code, message: str, reason: str = "", **metadata: str) -> RpcError:
+def rpc_error(code: Code, message: str, reason: str = "", **metadata: str) -> RpcError:
     """Create an error with a machine-readable reason (google.rpc.ErrorInfo).
 
     Args:
--- a/saffronlane/state_directory.py
+++ b/saffronlane/state_directory.py
@@ -64,8 +64,8 @@
     """
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
-        assert config.knowledge is not None
-        self.path = config.knowledge
+        assert config.state_directory_path is not None
+        self.path = config.state_directory_path
         self._config = config
         self._loop = loop
         self._boot_id = boot_id()
@@ -109,7 +109,7 @@
         started_at = time.monotonic()
         self._lock = DirectoryLock(self.path)
         self._files = RealFiles(self.path)
-        store = Store(self._files, StoreLimits(max_total_bytes=self._config.knowledge_most))
+        store = Store(self._files, StoreLimits(max_total_bytes=self._config.max_state_bytes))
         recovery = store.load()
         for problem in recovery.problems:
             log.warning("persisted data skipped", folder=str(self.path), what=problem)
--- a/saffronlane/supervisor.py
+++ b/saffronlane/supervisor.py
@@ -1,7 +1,8 @@
-"""Several gateway processes behind one port, each a gateway of its own to the decisions.
+"""Runs several gateway processes that share one port.
 
-The parent holds the port, starts the workers and passes signals on. A worker that dies is started again,
-after a wait that grows while it keeps dying; the others go on.
+Each process is a separate gateway with its own position. The parent reserves the port, starts the workers and
+forwards signals. A worker that exits is restarted with exponential backoff, while the other workers keep
+running.
 """
 
 from __future__ import annotations
@@ -18,70 +19,92 @@
 from .config import Config, load_config
 
 log = structlog.get_logger()
-FIRST_WAIT, MOST_WAIT = 0.2, 10.0  # seconds until a dead worker is started again; doubled while it dies young
-YOUNG = 30.0
+INITIAL_RESTART_DELAY, MAX_RESTART_DELAY = 0.2, 10.0  # seconds
+STABLE_RUNTIME = 30.0  # seconds of running after which the restart delay of a worker is reset
 
 
 def as_worker(config: Config, number: int, port: int) -> Config:
-    """The settings of one worker: a place of its own among the gateways, and the shared port."""
+    """Return the configuration of one worker, with its own position, seed and state directory.
+
+    Args:
+        config: The configuration of all workers.
+        number: The number of the worker, from 0.
+        port: The port that the workers share.
+    """
     settings = replace(config.settings, gateway_index=config.settings.gateway_index + number)
     seed = None if config.seed is None else config.seed + number
-    folder = None if config.knowledge is None else config.knowledge / f"worker-{number}"
-    return replace(config, settings=settings, port=port, seed=seed, knowledge=folder)
+    state_directory_path = (
+        None if config.state_directory_path is None else config.state_directory_path / f"worker-{number}"
+    )
+    return replace(config, settings=settings, port=port, seed=seed, state_directory_path=state_directory_path)
 
 
 class Supervisor:
-    """Keeps the workers of one settings file running until it is told to stop."""
+    """Starts and restarts the workers of one settings file until it is stopped.
+
+    Args:
+        path: The path of the settings file.
+        config: The loaded settings.
+        log_level: The log level of the workers.
+
+    Attributes:
+        port: The port that the workers share.
+    """
 
     def __init__(self, path: Path, config: Config, log_level: str) -> None:
         self._path, self._config, self._log_level = path, config, log_level
-        self._children: dict[int, asyncio.subprocess.Process] = {}
+        self._processes: dict[int, asyncio.subprocess.Process] = {}
         self._stopping = asyncio.Event()
-        self._holder = socket.socket(socket.AF_INET6 if ":" in config.host else socket.AF_INET)
+        self._port_reservation = socket.socket(socket.AF_INET6 if ":" in config.host else socket.AF_INET)
         self.port = config.port
 
     async def run(self) -> None:
-        """OSError where the port cannot be had. Returns when all workers have ended after a stop."""
-        self._holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self._holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        self._holder.bind((self._config.host, self._config.port))  # held, never listened on
-        self.port = self._holder.getsockname()[1]
+        """Run the workers until a stop, and return when all of them have ended.
+
+        Raises:
+            OSError: The port is not available.
+        """
+        self._port_reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self._port_reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+        # The socket never listens; it only reserves the port.
+        self._port_reservation.bind((self._config.host, self._config.port))
+        self.port = self._port_reservation.getsockname()[1]
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.stop)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self.stop)
         try:
-            await asyncio.gather(*(self._keep(n) for n in range(self._config.workers)))
+            await asyncio.gather(*(self._run_worker(number) for number in range(self._config.workers)))
         finally:
-            self._holder.close()
+            self._port_reservation.close()
 
     def stop(self) -> None:
-        """Each call is passed on: the first drains, the second ends at once."""
+        """Forward the stop to the workers. The first call drains them, the second one stops them at once."""
         self._stopping.set()
-        for child in self._children.values():
-            if child.returncode is None:
-                child.send_signal(signal.SIGTERM)
+        for process in self._processes.values():
+            if process.returncode is None:
+                process.send_signal(signal.SIGTERM)
 
-    async def _keep(self, number: int) -> None:
-        wait = FIRST_WAIT
+    async def _run_worker(self, number: int) -> None:
+        delay = INITIAL_RESTART_DELAY
         loop = asyncio.get_running_loop()
         while not self._stopping.is_set():
-            began = loop.time()
-            child = await asyncio.create_subprocess_exec(
+            started_at = loop.time()
+            process = await asyncio.create_subprocess_exec(
                 *(sys.executable, "-m", "saffronlane", "--log-level", self._log_level),
                 *("serve", str(self._path), "--worker", str(number), "--port", str(self.port)),
             )
-            self._children[number] = child
-            if self._stopping.is_set():  # told to stop while it was being started
-                child.send_signal(signal.SIGTERM)
-            code = await child.wait()
+            self._processes[number] = process
+            if self._stopping.is_set():  # the supervisor was stopped while the worker started
+                process.send_signal(signal.SIGTERM)
+            code = await process.wait()
             if self._stopping.is_set():
                 return
-            wait = FIRST_WAIT if loop.time() - began > YOUNG else wait
-            log.error("worker died", worker=number, code=code, again_in=wait)
+            delay = INITIAL_RESTART_DELAY if loop.time() - started_at > STABLE_RUNTIME else delay
+            log.error("worker exited unexpectedly", worker=number, code=code, again_in=delay)
             try:
-                await asyncio.wait_for(self._stopping.wait(), wait)
+                await asyncio.wait_for(self._stopping.wait(), delay)
             except TimeoutError:
-                wait = min(MOST_WAIT, wait * 2.0)
+                delay = min(MAX_RESTART_DELAY, delay * 2.0)
 
 
 async def supervise(path: Path, log_level: str) -> None:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -171,7 +171,7 @@
     [
         ("", "line 1, column 1"),
         ('{"a": 1,}', "line 1"),
-        ('{"a": 1, "a": 2}', "'a' stands there twice"),
+        ('{"a": 1, "a": 2}', "duplicate key 'a'"),
         ('{"a": NaN}', "NaN"),
         ("[" * 100_000, "not JSON"),
         ("\xff\xfe", "not JSON"),
@@ -246,16 +246,16 @@
 def test_a_list_that_cannot_be_read_changes_nothing(tmp_path: Path) -> None:
     """Missing, empty, half written, wrong: the last good one stays, and the next good one counts."""
     look, path, told = source(tmp_path)
-    assert not look.look()
+    assert not look.reload_if_changed()
     path.write_text(json.dumps(LIST))
-    assert look.look() and not look.look()
+    assert look.reload_if_changed() and not look.reload_if_changed()
     for text in ("", json.dumps(LIST)[:40], '{"engines": 3}', "\0"):
         path.write_text(text)
-        assert not look.look()
+        assert not look.reload_if_changed()
     path.unlink()
-    assert not look.look()
+    assert not look.reload_if_changed()
     path.write_text(json.dumps(LIST | {"version": 4, "engines": []}))
-    assert look.look()
+    assert look.reload_if_changed()
     assert told == [(3, 2), (4, 0)]
 
 
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -135,7 +135,7 @@
         ticket = raw.ticket("SELECT 1")
         fails(grpc.StatusCode.UNAVAILABLE, "in time", lambda: raw.many("DoGet", ticket))
         use(folders[1], built, classes=[{"name": "lookup", "aim_s": 0.2, "deadline_s": 0.5}], matchers=[])
-        process.line("engine list")
+        process.line("engine list updated")
         assert len(raw.many("DoGet", ticket)) == 2
         process.child.send_signal(signal.SIGTERM)
         assert process.child.wait(10.0) == 0
--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -20,7 +20,7 @@
 from google.protobuf.message import Message
 
 from saffronlane.flight import handles
-from saffronlane.flight.service import _passed
+from saffronlane.flight.service import _forwarded_headers
 from saffronlane.proto import flight_pb2 as flight
 from saffronlane.proto import flight_sql_pb2 as sql
 from saffronlane.rpc import Code, Metadata, RpcError, ServerCall, Status
@@ -283,7 +283,9 @@
         built.until(lambda: bool(built.seen("ran")))
         call.cancel()
         built.until(lambda: bool(built.seen("stopped")))
-        built.until(lambda: not built.daemon.executor._requests and not built.daemon.front._running)
+        built.until(
+            lambda: not built.daemon.executor._requests and not built.daemon.flight_service._running_requests
+        )
 
 
 def test_the_clients_time_ends_a_query_before_the_client_gives_up(tmp_path: Path) -> None:
@@ -326,8 +328,8 @@
 @pytest.mark.parametrize(
     ("work", "code", "text"),
     [
-        (wrong_ticket, grpc.StatusCode.INVALID_ARGUMENT, "Ticket.ticket does not decode"),
-        (forged_handle, grpc.StatusCode.NOT_FOUND, "not one of this gateway's"),
+        (wrong_ticket, grpc.StatusCode.INVALID_ARGUMENT, "Ticket.ticket cannot be decoded"),
+        (forged_handle, grpc.StatusCode.NOT_FOUND, "ticket is invalid: its digest does not match"),
         (unknown_command, grpc.StatusCode.UNIMPLEMENTED, "Ticket"),
         (path_descriptor, grpc.StatusCode.UNIMPLEMENTED, "command"),
         (transaction, grpc.StatusCode.UNIMPLEMENTED, "transactions"),
@@ -467,7 +469,9 @@
         raw = Raw(built)
         query = "SELECT 1 /* lab rows=500 batches=60 */"
         raw.one("PollFlightInfo", descriptor(sql.CommandStatementQuery(query=query)), flight.PollInfo)
-        built.until(lambda: not built.daemon.front._polls and not built.daemon.executor._requests)
+        built.until(
+            lambda: not built.daemon.flight_service._polled_queries and not built.daemon.executor._requests
+        )
         assert built.daemon.dispatcher.pending_count == 0
 
 
@@ -513,4 +517,4 @@
     )
     call = ServerCall.__new__(ServerCall)
     call.metadata = Metadata(items)
-    assert _passed(call) == (("x-good", "1"), ("x-raw-bin", b"\xff"), ("traceparent", "3"))
+    assert _forwarded_headers(call) == (("x-good", "1"), ("x-raw-bin", b"\xff"), ("traceparent", "3"))
--- a/tests/test_folder.py
+++ b/tests/test_folder.py
@@ -81,7 +81,11 @@
 
 
 def working(house: House, yes: bool = True) -> None:
-    house.until(lambda: house.daemon.folder is not None and house.daemon.folder.status.is_working is yes)
+    house.until(
+        lambda: (
+            house.daemon.state_directory is not None and house.daemon.state_directory.status.is_working is yes
+        )
+    )
 
 
 def test_a_daemon_that_comes_back_knows_what_it_knew(house: House, folder: Path) -> None:
@@ -110,8 +114,8 @@
             working(house, False)
             ask(house, 3)
             assert (
-                house.daemon.folder is not None
-                and os.strerror(code) in house.daemon.folder.status.failure_reason
+                house.daemon.state_directory is not None
+                and os.strerror(code) in house.daemon.state_directory.status.failure_reason
             )
         working(house)
     change(house, "after")
@@ -127,7 +131,7 @@
     try:
         change(house, "x")
         ask(house, 3)
-        assert not house.daemon.folder.status.is_working  # type: ignore[union-attr]
+        assert not house.daemon.state_directory.status.is_working  # type: ignore[union-attr]
     finally:
         house.close()
     assert (tmp_path / "kept").read_text() == "a file"
@@ -168,12 +172,12 @@
     change(house, "mine")
     working(house)
     second, first = begin(house), house.daemon
-    assert second.folder is not None and not second.folder.status.is_working
-    assert "in use by process" in second.folder.last_error
+    assert second.state_directory is not None and not second.state_directory.status.is_working
+    assert "in use by process" in second.state_directory.last_error
     end(house)
     house.daemon = second
     working(house)
-    assert first.folder is not None and first.folder._lock is None
+    assert first.state_directory is not None and first.state_directory._lock is None
     ledger = second.dispatcher.checkpointer.ledger
     house.until(lambda: len(ledger) == 1)  # the first one's unsafe query is known to the second
     ask(house, 3)
@@ -191,7 +195,7 @@
         "knowledge": {"folder": "kept"},
     }
     config = parse_config(raw, "test", Path("/somewhere"))
-    folders = [as_worker(config, n, 1).knowledge for n in range(2)]
+    folders = [as_worker(config, n, 1).state_directory_path for n in range(2)]
     assert folders == [Path("/somewhere/kept/worker-0"), Path("/somewhere/kept/worker-1")]
 
 
