--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon as a process and as an object: starts, stops, drains, and the same decisions as the library."""
+"""The gateway process: start, drain, stop, engine lists, recording and gossip. Also the lab commands."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 import grpc
 import pytest
 from click.testing import CliRunner
-from gateways import House, house, write_config
-from test_flight import SERVICE, Raw, fails
+from gateways import GatewayHarness, running_harness, write_config
+from test_flight import SERVICE, GrpcClient, assert_fails
 
 from saffronlane.cli import main
 from saffronlane.dispatch.recording import replay
@@ -26,8 +26,8 @@
 ROOT = Path(__file__).parent.parent
 
 
-class Process:
-    """`saffronlane serve` as a user starts it."""
+class GatewayProcess:
+    """A gateway started by `saffronlane serve`. Waits until it listens."""
 
     def __init__(self, config: Path) -> None:
         self.child = subprocess.Popen(
@@ -36,83 +36,89 @@
             stderr=subprocess.PIPE,
             text=True,
         )
-        self.told = self.line("listening")
+        self.listening = self.wait_for_log("listening")
 
-    def line(self, event: str) -> dict[str, Any]:
+    def wait_for_log(self, event: str) -> dict[str, Any]:
+        """Read the log up to an event, and return the event."""
         assert self.child.stderr is not None
-        for text in self.child.stderr:
-            told: dict[str, Any] = json.loads(text)
-            if told["event"] == event:
-                return told
-        raise AssertionError(f"ended without saying {event!r}")
+        for line in self.child.stderr:
+            record: dict[str, Any] = json.loads(line)
+            if record["event"] == event:
+                return record
+        raise AssertionError(f"the gateway has ended without logging {event!r}")
 
 
-def use(folder: Path, built: House, **changes: Any) -> Path:
-    """Settings of a second gateway over the engines of a house."""
-    records = [{"id": n, "address": e.address} for n, e in built.engines.items()]
-    write_list(folder / "engines.json", records, 1)
-    return write_config(folder, **changes)
+def write_config_with_engines(directory: Path, harness: GatewayHarness, **changes: Any) -> Path:
+    """Write settings and engine list of another gateway for the engines of a harness."""
+    entries = [{"id": name, "address": engine.address} for name, engine in harness.engines.items()]
+    write_list(directory / "engines.json", entries, 1)
+    return write_config(directory, **changes)
 
 
-def open_query(port: int, work: float) -> Any:
+def start_query(port: int, work: float) -> Any:
+    """Start a query with an amount of work in seconds, and return the client and the call."""
     channel = grpc.insecure_channel(f"127.0.0.1:{port}")
-    raw = Raw.__new__(Raw)
-    raw.channel = channel
-    ticket = raw.ticket(f"SELECT 1 /* lab work={work} */")
-    return raw, channel.unary_stream(SERVICE + "DoGet")(ticket.SerializeToString())
+    client = GrpcClient.__new__(GrpcClient)
+    client.channel = channel
+    ticket = client.get_ticket(f"SELECT 1 /* lab work={work} */")
+    return client, channel.unary_stream(SERVICE + "DoGet")(ticket.SerializeToString())
 
 
 @pytest.fixture
-def folders(tmp_path: Path) -> tuple[Path, Path]:
-    inner, outer = tmp_path / "inner", tmp_path / "outer"
-    inner.mkdir()
-    outer.mkdir()
-    return inner, outer
-
-
-def test_a_term_signal_lets_what_runs_end_and_refuses_what_is_new(folders: tuple[Path, Path]) -> None:
-    with house(folders[0]) as built:
-        process = Process(use(folders[1], built, gateway={"grace_s": 5}))
-        raw, call = open_query(process.told["port"], 0.6)
-        ticket = raw.ticket("SELECT 2")
-        built.until(lambda: bool(built.seen("ran")))
+def directories(tmp_path: Path) -> tuple[Path, Path]:
+    first, second = tmp_path / "first", tmp_path / "second"
+    first.mkdir()
+    second.mkdir()
+    return first, second
+
+
+def test_sigterm_rejects_new_queries_and_lets_running_ones_end(directories: tuple[Path, Path]) -> None:
+    with running_harness(directories[0]) as harness:
+        process = GatewayProcess(write_config_with_engines(directories[1], harness, gateway={"grace_s": 5}))
+        client, call = start_query(process.listening["port"], 0.6)
+        ticket = client.get_ticket("SELECT 2")
+        harness.wait_until(lambda: bool(harness.events_of_kind("ran")))
         process.child.send_signal(signal.SIGTERM)
-        process.line("stopping")
-        status = fails(grpc.StatusCode.UNAVAILABLE, "stopping", lambda: raw.many("DoGet", ticket))
+        process.wait_for_log("stopping")
+        status = assert_fails(
+            grpc.StatusCode.UNAVAILABLE, "stopping", lambda: client.call_stream("DoGet", ticket)
+        )
         assert status.retry_after() is not None
         assert len(list(call)) == 2
         assert process.child.wait(10.0) == 0
 
 
-def test_what_does_not_end_in_the_grace_gets_its_answer_all_the_same(folders: tuple[Path, Path]) -> None:
-    with house(folders[0]) as built:
-        process = Process(use(folders[1], built, gateway={"grace_s": 0.3}))
-        _, call = open_query(process.told["port"], 60.0)
-        built.until(lambda: bool(built.seen("ran")))
-        began = time.monotonic()
+def test_query_that_outlives_the_grace_period_is_answered_with_an_error(
+    directories: tuple[Path, Path],
+) -> None:
+    with running_harness(directories[0]) as harness:
+        process = GatewayProcess(write_config_with_engines(directories[1], harness, gateway={"grace_s": 0.3}))
+        _, call = start_query(process.listening["port"], 60.0)
+        harness.wait_until(lambda: bool(harness.events_of_kind("ran")))
+        started_at = time.monotonic()
         process.child.send_signal(signal.SIGTERM)
-        status = fails(grpc.StatusCode.UNAVAILABLE, "", lambda: list(call))
-        assert status.retry_after() is not None  # safe to repeat: the class is
-        assert process.child.wait(10.0) == 0 and time.monotonic() - began < 3.0
-        built.until(lambda: bool(built.seen("stopped")))
+        status = assert_fails(grpc.StatusCode.UNAVAILABLE, "", lambda: list(call))
+        assert status.retry_after() is not None  # the query may be retried, because its class is safe
+        assert process.child.wait(10.0) == 0 and time.monotonic() - started_at < 3.0
+        harness.wait_until(lambda: bool(harness.events_of_kind("stopped")))
 
 
-def test_a_second_term_signal_ends_at_once(folders: tuple[Path, Path]) -> None:
-    with house(folders[0]) as built:
-        process = Process(use(folders[1], built, gateway={"grace_s": 60}))
-        _, call = open_query(process.told["port"], 60.0)
-        built.until(lambda: bool(built.seen("ran")))
+def test_second_sigterm_stops_the_gateway_at_once(directories: tuple[Path, Path]) -> None:
+    with running_harness(directories[0]) as harness:
+        process = GatewayProcess(write_config_with_engines(directories[1], harness, gateway={"grace_s": 60}))
+        _, call = start_query(process.listening["port"], 60.0)
+        harness.wait_until(lambda: bool(harness.events_of_kind("ran")))
         process.child.send_signal(signal.SIGTERM)
-        process.line("stopping")
+        process.wait_for_log("stopping")
         process.child.send_signal(signal.SIGTERM)
         assert process.child.wait(5.0) == 0
         with pytest.raises(grpc.RpcError):
             list(call)
 
 
-def test_an_address_in_use_is_a_clear_error(folders: tuple[Path, Path]) -> None:
-    with house(folders[0]) as built:
-        config = use(folders[1], built, listen={"port": built.daemon.port})
+def test_address_in_use_is_reported_without_a_traceback(directories: tuple[Path, Path]) -> None:
+    with running_harness(directories[0]) as harness:
+        config = write_config_with_engines(directories[1], harness, listen={"port": harness.daemon.port})
         child = subprocess.run(
             [sys.executable, "-m", "saffronlane", "serve", str(config)],
             cwd=ROOT,
@@ -124,68 +130,82 @@
         assert child.returncode == 2 and "/listen" in child.stderr and "Traceback" not in child.stderr
 
 
-def test_a_gateway_without_a_list_refuses_and_goes_on_when_it_comes(folders: tuple[Path, Path]) -> None:
-    with house(folders[0]) as built:
+def test_gateway_without_engine_list_rejects_queries_until_a_list_is_written(
+    directories: tuple[Path, Path],
+) -> None:
+    with running_harness(directories[0]) as harness:
         config = write_config(
-            folders[1], classes=[{"name": "lookup", "aim_s": 0.2, "deadline_s": 0.5}], matchers=[]
+            directories[1], classes=[{"name": "lookup", "aim_s": 0.2, "deadline_s": 0.5}], matchers=[]
         )
-        process = Process(config)
-        raw = Raw.__new__(Raw)
-        raw.channel = grpc.insecure_channel(f"127.0.0.1:{process.told['port']}")
-        ticket = raw.ticket("SELECT 1")
-        fails(grpc.StatusCode.UNAVAILABLE, "in time", lambda: raw.many("DoGet", ticket))
-        use(folders[1], built, classes=[{"name": "lookup", "aim_s": 0.2, "deadline_s": 0.5}], matchers=[])
-        process.line("engine list updated")
-        assert len(raw.many("DoGet", ticket)) == 2
+        process = GatewayProcess(config)
+        client = GrpcClient.__new__(GrpcClient)
+        client.channel = grpc.insecure_channel(f"127.0.0.1:{process.listening['port']}")
+        ticket = client.get_ticket("SELECT 1")
+        assert_fails(grpc.StatusCode.UNAVAILABLE, "in time", lambda: client.call_stream("DoGet", ticket))
+        write_config_with_engines(
+            directories[1],
+            harness,
+            classes=[{"name": "lookup", "aim_s": 0.2, "deadline_s": 0.5}],
+            matchers=[],
+        )
+        process.wait_for_log("engine list updated")
+        assert len(client.call_stream("DoGet", ticket)) == 2
         process.child.send_signal(signal.SIGTERM)
         assert process.child.wait(10.0) == 0
 
 
-def test_a_drained_engine_gets_nothing_new_and_a_new_one_does(tmp_path: Path) -> None:
-    with house(tmp_path, engines=3) as built:
-        raw = Raw(built)
-
-        def ask(number: int) -> None:
-            for n in range(number):
-                raw.many("DoGet", raw.ticket(f"SELECT * FROM t{n}"))
-
-        built.states["e2"] = "draining"
-        built.call(built.publish)
-        built.until(lambda: built.daemon.view.version == built.version)
-        ask(20)
-        assert {e["engine"] for e in built.seen("sent")} == {"e0", "e1"}
-        built.states.update(e0="draining", e2="ready")
-        built.call(built.publish)
-        built.until(lambda: built.daemon.view.version == built.version)
-        before = len(built.record)
-        ask(20)
-        assert {e["engine"] for e in built.record[before:] if e["kind"] == "sent"} in ({"e1", "e2"}, {"e2"})
-        del built.states["e1"]
-        built.call(built.publish)
-        built.until(lambda: built.daemon.view.version == built.version)
-        before = len(built.record)
-        ask(5)
-        assert {e["engine"] for e in built.record[before:] if e["kind"] == "sent"} == {"e2"}
+def test_draining_and_removed_engines_get_no_new_queries_and_added_ones_do(tmp_path: Path) -> None:
+    with running_harness(tmp_path, engines=3) as harness:
+        client = GrpcClient(harness)
+
+        def run_queries(count: int) -> None:
+            for number in range(count):
+                client.call_stream("DoGet", client.get_ticket(f"SELECT * FROM t{number}"))
+
+        harness.engine_states["e2"] = "draining"
+        harness.call_in_loop(harness.publish_list)
+        harness.wait_until(lambda: harness.daemon.view.version == harness.list_version)
+        run_queries(20)
+        assert {event["engine"] for event in harness.events_of_kind("sent")} == {"e0", "e1"}
+        harness.engine_states.update(e0="draining", e2="ready")
+        harness.call_in_loop(harness.publish_list)
+        harness.wait_until(lambda: harness.daemon.view.version == harness.list_version)
+        event_count = len(harness.events)
+        run_queries(20)
+        assert {event["engine"] for event in harness.events[event_count:] if event["kind"] == "sent"} in (
+            {"e1", "e2"},
+            {"e2"},
+        )
+        del harness.engine_states["e1"]
+        harness.call_in_loop(harness.publish_list)
+        harness.wait_until(lambda: harness.daemon.view.version == harness.list_version)
+        event_count = len(harness.events)
+        run_queries(5)
+        assert {event["engine"] for event in harness.events[event_count:] if event["kind"] == "sent"} == {
+            "e2"
+        }
         (tmp_path / "engines.json").write_text("")
-        ask(5)
+        run_queries(5)
 
 
-def test_the_library_makes_the_same_decisions_as_the_daemon(tmp_path: Path) -> None:
-    """What a daemon fed its core is recorded and played through the library: the same effects, one by one."""
-    with house(tmp_path, engines=3, note_period=0.05, record="core.record") as built:
-        raw = Raw(built)
-        built.call(lambda: setattr(built.engines["e0"].faults, "error", 0.5))
-        built.call(lambda: setattr(built.engines["e1"].faults, "refuse", 0.5))
-        for n in range(60):
+def test_replay_of_a_recording_makes_the_same_decisions_as_the_gateway(tmp_path: Path) -> None:
+    """The recorded inputs of a gateway's dispatcher are replayed, and all effects are compared."""
+    with running_harness(tmp_path, engines=3, note_period=0.05, record="core.record") as harness:
+        client = GrpcClient(harness)
+        harness.call_in_loop(lambda: setattr(harness.engines["e0"].faults, "error", 0.5))
+        harness.call_in_loop(lambda: setattr(harness.engines["e1"].faults, "refuse", 0.5))
+        for number in range(60):
             try:
-                raw.many(
-                    "DoGet", raw.ticket(f"SELECT * FROM t{n} /* lab work=0.0{n % 7 + 1} */"), timeout=5.0
+                client.call_stream(
+                    "DoGet",
+                    client.get_ticket(f"SELECT * FROM t{number} /* lab work=0.0{number % 7 + 1} */"),
+                    timeout=5.0,
                 )
             except grpc.RpcError as error:
                 assert error.code() is grpc.StatusCode.UNAVAILABLE
-        built.states["e0"] = "draining"
-        built.call(built.publish)
-        raw.many("DoGet", raw.ticket("SELECT 1"))
+        harness.engine_states["e0"] = "draining"
+        harness.call_in_loop(harness.publish_list)
+        client.call_stream("DoGet", client.get_ticket("SELECT 1"))
     steps = list(replay(tmp_path / "core.record"))
     assert len(steps) > 100
     assert [step.recorded for step in steps] == [step.replayed for step in steps]
@@ -194,26 +214,35 @@
     result = CliRunner().invoke(main, ["replay", str(tmp_path / "core.record")])
     assert result.exit_code == 0 and "all the same" in result.output
     data = bytearray((tmp_path / "core.record").read_bytes())
-    at = data.rindex(b"engine=b'")  # an effect as it was recorded
-    data[at + len(b"engine=b'")] ^= 1
+    offset = data.rindex(b"engine=b'")  # in a recorded effect
+    data[offset + len(b"engine=b'")] ^= 1
     (tmp_path / "core.record").write_bytes(data)
     result = CliRunner().invoke(main, ["replay", str(tmp_path / "core.record")])
     assert result.exit_code == 1 and "differs" in result.output
 
 
-def test_two_daemons_in_one_process_keep_apart(folders: tuple[Path, Path]) -> None:
-    with house(folders[0], engines=1) as first, house(folders[1], engines=2) as second:
-        for n in range(5):
-            Raw(first).many("DoGet", Raw(first).ticket("SELECT 1"))
-            Raw(second).many("DoGet", Raw(second).ticket(f"SELECT * FROM t{n}"))
-        assert len(first.seen("ran")) == len(second.seen("ran")) == 5
+def test_two_gateways_in_one_process_share_no_state(directories: tuple[Path, Path]) -> None:
+    with (
+        running_harness(directories[0], engines=1) as first,
+        running_harness(directories[1], engines=2) as second,
+    ):
+        for number in range(5):
+            GrpcClient(first).call_stream("DoGet", GrpcClient(first).get_ticket("SELECT 1"))
+            GrpcClient(second).call_stream("DoGet", GrpcClient(second).get_ticket(f"SELECT * FROM t{number}"))
+        assert len(first.events_of_kind("ran")) == len(second.events_of_kind("ran")) == 5
         assert first.daemon.dispatcher.gateway is not second.daemon.dispatcher.gateway
-        assert sum(k.answer_count for k in first.daemon.dispatcher.gateway.workload_estimates.estimators) == 5
+        assert (
+            sum(
+                estimator.answer_count
+                for estimator in first.daemon.dispatcher.gateway.workload_estimates.estimators
+            )
+            == 5
+        )
 
 
-def test_log_lines_tell_request_attempt_and_engine(folders: tuple[Path, Path]) -> None:
-    with house(folders[0], engines=1) as built:
-        config = use(folders[1], built)
+def test_log_lines_name_request_attempt_and_engine(directories: tuple[Path, Path]) -> None:
+    with running_harness(directories[0], engines=1) as harness:
+        config = write_config_with_engines(directories[1], harness)
         child = subprocess.Popen(
             [sys.executable, "-m", "saffronlane", "--log-level", "debug", "serve", str(config)],
             cwd=ROOT,
@@ -225,7 +254,7 @@
         for text in child.stderr:
             lines.append(json.loads(text))
             if lines[-1]["event"] == "listening":
-                _, call = open_query(lines[-1]["port"], 0.01)
+                _, call = start_query(lines[-1]["port"], 0.01)
                 assert len(list(call)) == 2
                 child.send_signal(signal.SIGTERM)
         assert child.wait(10.0) == 0
@@ -234,7 +263,7 @@
         assert by_event["request answered"]["request"] == by_event["request"]["request"] == 1
 
 
-def test_lab_up_says_where_it_is_and_ends_on_a_signal() -> None:
+def test_lab_up_prints_its_addresses_and_ends_on_a_signal() -> None:
     child = subprocess.Popen(
         [sys.executable, "-m", "saffronlane", "lab", "up", "--engines", "2"],
         cwd=ROOT,
@@ -243,17 +272,17 @@
         text=True,
     )
     assert child.stdout is not None
-    told = json.loads(child.stdout.readline())
-    assert re.fullmatch(r"grpc://127\.0\.0\.1:\d+", told["flight_sql"])
-    assert len(told["engines"]) == 2 and told["pid"]["gateway-0"] != told["pid"]["lab"] == child.pid
-    raw = Raw.__new__(Raw)
-    raw.channel = grpc.insecure_channel(told["flight_sql"].removeprefix("grpc://"))
-    assert len(raw.many("DoGet", raw.ticket("SELECT 1"))) == 2
+    started = json.loads(child.stdout.readline())
+    assert re.fullmatch(r"grpc://127\.0\.0\.1:\d+", started["flight_sql"])
+    assert len(started["engines"]) == 2 and started["pid"]["gateway-0"] != started["pid"]["lab"] == child.pid
+    client = GrpcClient.__new__(GrpcClient)
+    client.channel = grpc.insecure_channel(started["flight_sql"].removeprefix("grpc://"))
+    assert len(client.call_stream("DoGet", client.get_ticket("SELECT 1"))) == 2
     child.send_signal(signal.SIGINT)
     assert child.wait(20.0) == 0
 
 
-def test_a_lab_engine_serves_alone(tmp_path: Path) -> None:
+def test_lab_engine_serves_queries_without_a_gateway(tmp_path: Path) -> None:
     path = tmp_path / "engine.json"
     path.write_text('{"id": "solo", "cores": 2}')
     child = subprocess.Popen(
@@ -263,10 +292,10 @@
         text=True,
     )
     assert child.stdout is not None
-    told = json.loads(child.stdout.readline())
-    raw = Raw.__new__(Raw)
-    raw.channel = grpc.insecure_channel(told["address"])
-    assert told["id"] == "solo" and len(raw.many("DoGet", raw.ticket("SELECT 1"))) == 2
+    started = json.loads(child.stdout.readline())
+    client = GrpcClient.__new__(GrpcClient)
+    client.channel = grpc.insecure_channel(started["address"])
+    assert started["id"] == "solo" and len(client.call_stream("DoGet", client.get_ticket("SELECT 1"))) == 2
     child.send_signal(signal.SIGTERM)
     assert child.wait(10.0) == 0
     path.write_text('{"colour": 1}')
@@ -274,189 +303,200 @@
     assert result.exit_code == 2 and "/colour" in result.output
 
 
-def test_the_lab_is_not_loaded_by_the_daemon() -> None:
-    """The core installs without the lab's extras."""
+def test_gateway_imports_neither_the_lab_nor_its_dependencies() -> None:
+    """The gateway is installed without the optional dependencies of the lab."""
     code = (
         "import sys, saffronlane.daemon, saffronlane.cli\n"
-        "bad = [m for m in ('pyarrow', 'numpy', 'saffronlane.lab') if m in sys.modules]\n"
-        "assert not bad, bad"
+        "loaded = [m for m in ('pyarrow', 'numpy', 'saffronlane.lab') if m in sys.modules]\n"
+        "assert not loaded, loaded"
     )
     subprocess.run([sys.executable, "-c", code], cwd=ROOT, check=True, timeout=30)
 
 
-def test_peers_tell_each_other(tmp_path: Path) -> None:
+def test_gossip_reaches_the_addressed_peers_only(tmp_path: Path) -> None:
     from saffronlane.config import parse_config
     from saffronlane.gossip_transport import GossipTransport
     from saffronlane.lab.up import PLAIN
 
-    def free() -> int:
+    def free_port() -> int:
         import socket
 
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
-            probe.bind(("127.0.0.1", 0))
-            return int(probe.getsockname()[1])
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe_socket:
+            probe_socket.bind(("127.0.0.1", 0))
+            return int(probe_socket.getsockname()[1])
 
-    addresses = [f"127.0.0.1:{free()}" for _ in range(3)]
-    heard: list[list[tuple[int, bytes]]] = [[], [], []]
+    addresses = [f"127.0.0.1:{free_port()}" for _ in range(3)]
+    received: list[list[tuple[int, bytes]]] = [[], [], []]
 
-    def peers(position: int) -> GossipTransport:
-        raw = PLAIN | {
+    def make_transport(position: int) -> GossipTransport:
+        settings = PLAIN | {
             "listen": {"port": 0},
             "engines": {"file": "e"},
             "gateway": {"count": 3, "position": position},
             "limits": {"peers": True},
             "peers": {"listen": addresses[position], "addresses": addresses},
         }
-        config = parse_config(raw, "x", tmp_path)
+        config = parse_config(settings, "x", tmp_path)
         assert config.peer_listen is not None
         return GossipTransport(
             config.peer_listen,
             config.peer_addresses,
             position,
-            lambda sender, data: heard[position].append((sender, data)),
+            lambda sender, data: received[position].append((sender, data)),
         )
 
-    async def work() -> None:
-        three = [peers(n) for n in range(3)]
-        for one in three:
-            one.start()
+    async def scenario() -> None:
+        transports = [make_transport(position) for position in range(3)]
+        for transport in transports:
+            transport.start()
         await asyncio.sleep(0.05)
-        three[0].send(None, b"to all")
-        three[1].send(2, b"to one")
-        three[1].send(2, b"x" * 257)
-        stranger, _ = await asyncio.get_running_loop().create_datagram_endpoint(
+        transports[0].send(None, b"to all")
+        transports[1].send(2, b"to one")
+        transports[1].send(2, b"x" * 257)
+        unknown_sender, _ = await asyncio.get_running_loop().create_datagram_endpoint(
             asyncio.DatagramProtocol, local_addr=("127.0.0.1", 0)
         )
         host, port = addresses[2].rsplit(":", 1)
-        stranger.sendto(b"from nobody", (host, int(port)))
-        await _until(lambda: len(heard[2]) == 2)
+        unknown_sender.sendto(b"from nobody", (host, int(port)))
+        await _wait_until(lambda: len(received[2]) == 2)
         await asyncio.sleep(0.02)
-        stranger.close()
-        for one in three:
-            one.close()
+        unknown_sender.close()
+        for transport in transports:
+            transport.close()
 
-    asyncio.run(asyncio.wait_for(work(), 10.0))
-    assert heard == [[], [(0, b"to all")], [(0, b"to all"), (1, b"to one")]]
+    asyncio.run(asyncio.wait_for(scenario(), 10.0))
+    assert received == [[], [(0, b"to all")], [(0, b"to all"), (1, b"to one")]]
 
 
-def test_what_many_peers_tell_wakes_a_gateway_once_in_a_while() -> None:
-    """Guards against a wake for each message: hundreds of gateways tell hundreds of them a second."""
+def test_many_gossip_messages_wake_the_gateway_once() -> None:
+    """Guards against a wake-up per datagram. Hundreds of gateways send hundreds of datagrams per second."""
     import socket
 
-    from saffronlane import gossip_transport as peers
+    from saffronlane import gossip_transport
 
-    async def work() -> None:
-        heard: list[bytes] = []
+    async def scenario() -> None:
+        received: list[bytes] = []
         after_one_turn: list[int] = []
         loop = asyncio.get_running_loop()
 
         def on_message(sender: int, data: bytes) -> None:
-            if not heard:
-                loop.call_soon(lambda: after_one_turn.append(len(heard)))
-            heard.append(data)
+            if not received:
+                loop.call_soon(lambda: after_one_turn.append(len(received)))
+            received.append(data)
 
         with (
-            socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as told,
-            socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe,
+            socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender_socket,
+            socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe_socket,
         ):
-            told.bind(("127.0.0.1", 0))
-            probe.bind(("127.0.0.1", 0))
-            listen = probe.getsockname()
-            probe.close()
-            one = peers.GossipTransport(listen, (listen, told.getsockname()), 0, on_message)
-            one.start()
-            for n in range(100):
-                told.sendto(b"%d" % n, listen)
-            await _until(lambda: len(heard) == 100)
+            sender_socket.bind(("127.0.0.1", 0))
+            probe_socket.bind(("127.0.0.1", 0))
+            listen = probe_socket.getsockname()
+            probe_socket.close()
+            transport = gossip_transport.GossipTransport(
+                listen, (listen, sender_socket.getsockname()), 0, on_message
+            )
+            transport.start()
+            for number in range(100):
+                sender_socket.sendto(b"%d" % number, listen)
+            await _wait_until(lambda: len(received) == 100)
             assert after_one_turn == [100]
-            told.sendto(b"more", listen)  # and it goes on listening
-            await _until(lambda: len(heard) == 101)
-            one.close()
-            one.close()
+            sender_socket.sendto(b"more", listen)  # later datagrams are received too
+            await _wait_until(lambda: len(received) == 101)
+            transport.close()
+            transport.close()
 
-    asyncio.run(asyncio.wait_for(work(), 10.0))
+    asyncio.run(asyncio.wait_for(scenario(), 10.0))
 
 
-def test_an_address_for_peers_that_is_taken_does_not_end_the_gateway(
+def test_gossip_address_in_use_is_retried_until_it_is_free(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A gateway that starts anew may find it taken for a moment; it serves, and listens when it can."""
+    """After a restart the address may be in use for a moment. The gateway starts without gossip meanwhile."""
     import socket
 
-    from saffronlane import gossip_transport as peers
+    from saffronlane import gossip_transport
 
-    monkeypatch.setattr(peers, "LISTEN_RETRY_INTERVAL", 0.02)
+    monkeypatch.setattr(gossip_transport, "LISTEN_RETRY_INTERVAL", 0.02)
 
-    async def work() -> None:
-        heard: list[bytes] = []
+    async def scenario() -> None:
+        received: list[bytes] = []
         with (
-            socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as told,
-            socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as holder,
+            socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender_socket,
+            socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other_socket,
         ):
-            told.bind(("127.0.0.1", 0))
-            holder.bind(("127.0.0.1", 0))
-            listen = holder.getsockname()
-            addresses = (listen, told.getsockname())
-            one = peers.GossipTransport(listen, addresses, 0, lambda sender, data: heard.append(data))
-            one.start()
-            one.send(None, b"nobody")
-            holder.close()
-            await _until(lambda: one._socket is not None)
-            told.sendto(b"now", listen)
-            await _until(lambda: heard == [b"now"])
-            one.close()
-
-    asyncio.run(asyncio.wait_for(work(), 10.0))
-
-
-def test_peers_are_heard_again_after_no_descriptor_was_left_or_a_message_failed(
+            sender_socket.bind(("127.0.0.1", 0))
+            other_socket.bind(("127.0.0.1", 0))
+            listen = other_socket.getsockname()
+            addresses = (listen, sender_socket.getsockname())
+            transport = gossip_transport.GossipTransport(
+                listen, addresses, 0, lambda sender, data: received.append(data)
+            )
+            transport.start()
+            transport.send(None, b"nobody")
+            other_socket.close()
+            await _wait_until(lambda: transport._socket is not None)
+            sender_socket.sendto(b"now", listen)
+            await _wait_until(lambda: received == [b"now"])
+            transport.close()
+
+    asyncio.run(asyncio.wait_for(scenario(), 10.0))
+
+
+def test_gossip_is_received_after_descriptor_exhaustion_and_after_a_failed_message(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Without a descriptor the start failed, and a fault in one message ended the reading for good."""
+    """Guards against a start that fails without a free descriptor, and against a message handler whose
+    exception stops the receiving of later messages.
+    """
     import errno
     import socket
 
-    from saffronlane import gossip_transport as peers
+    from saffronlane import gossip_transport
 
-    monkeypatch.setattr(peers, "LISTEN_RETRY_INTERVAL", 0.02)
-    real, heard, tries = socket.socket, [], []
+    monkeypatch.setattr(gossip_transport, "LISTEN_RETRY_INTERVAL", 0.02)
+    real_socket, received, attempts = socket.socket, [], []
 
-    def none(*args: object) -> socket.socket:
-        tries.append(args)
+    def fail_to_open(*args: object) -> socket.socket:
+        attempts.append(args)
         raise OSError(errno.EMFILE, "Too many open files")
 
     def on_message(sender: int, data: bytes) -> None:
-        heard.append(data)
+        received.append(data)
         if data == b"bad":
-            raise RuntimeError("a fault")
-
-    async def work() -> None:
-        with real(socket.AF_INET, socket.SOCK_DGRAM) as told, real(socket.AF_INET, socket.SOCK_DGRAM) as free:
-            told.bind(("127.0.0.1", 0))
-            free.bind(("127.0.0.1", 0))
-            listen = free.getsockname()
-            free.close()
-            one = peers.GossipTransport(listen, (listen, told.getsockname()), 0, on_message)
-            monkeypatch.setattr(socket, "socket", none)
-            one.start()
-            await _until(lambda: len(tries) > 1)
-            monkeypatch.setattr(socket, "socket", real)
-            await _until(lambda: one._socket is not None)
+            raise RuntimeError("message handler failed")
+
+    async def scenario() -> None:
+        with (
+            real_socket(socket.AF_INET, socket.SOCK_DGRAM) as sender_socket,
+            real_socket(socket.AF_INET, socket.SOCK_DGRAM) as probe_socket,
+        ):
+            sender_socket.bind(("127.0.0.1", 0))
+            probe_socket.bind(("127.0.0.1", 0))
+            listen = probe_socket.getsockname()
+            probe_socket.close()
+            transport = gossip_transport.GossipTransport(
+                listen, (listen, sender_socket.getsockname()), 0, on_message
+            )
+            monkeypatch.setattr(socket, "socket", fail_to_open)
+            transport.start()
+            await _wait_until(lambda: len(attempts) > 1)
+            monkeypatch.setattr(socket, "socket", real_socket)
+            await _wait_until(lambda: transport._socket is not None)
             for data in (b"bad", b"good"):
-                told.sendto(data, listen)
-                await _until(lambda data=data: data in heard)  # type: ignore[misc]
-            one.close()
+                sender_socket.sendto(data, listen)
+                await _wait_until(lambda data=data: data in received)  # type: ignore[misc]
+            transport.close()
 
-    asyncio.run(asyncio.wait_for(work(), 10.0))
+    asyncio.run(asyncio.wait_for(scenario(), 10.0))
 
 
-async def _until(true: Callable[[], bool]) -> None:
-    while not true():
+async def _wait_until(condition: Callable[[], bool]) -> None:
+    while not condition():
         await asyncio.sleep(0.005)
 
 
-def test_without_the_labs_extra_the_lab_says_what_is_missing() -> None:
-    """It was a bare traceback."""
+def test_lab_command_without_its_dependencies_names_what_to_install() -> None:
+    """Guards against a bare traceback of the failed import."""
     code = (
         "import sys\n"
         "sys.modules['numpy'] = None\n"
--- a/tests/test_folder.py
+++ b/tests/test_folder.py
@@ -15,7 +15,7 @@
 import pytest
 import structlog
 from click.testing import CliRunner
-from gateways import House
+from gateways import GatewayHarness
 from test_flight import connect
 
 from saffronlane.cli import main
@@ -42,8 +42,8 @@
 
 
 @pytest.fixture
-def house(tmp_path: Path) -> Iterator[House]:
-    house = House(tmp_path, 2, KEPT, 0.0)
+def house(tmp_path: Path) -> Iterator[GatewayHarness]:
+    house = GatewayHarness(tmp_path, 2, KEPT, 0.0)
     yield house
     house.close()
 
@@ -52,43 +52,43 @@
     return recover(RealFiles(folder, create_missing=False))
 
 
-def ask(house: House, count: int = 1) -> None:
+def ask(house: GatewayHarness, count: int = 1) -> None:
     with connect(house) as connection, connection.cursor() as cursor:
         for _ in range(count):
             cursor.execute("SELECT 1 /* lab work=0.01 */")
             assert cursor.fetchall()
 
 
-def change(house: House, key: str) -> None:
+def change(house: GatewayHarness, key: str) -> None:
     headers = {"saffronlane-class": "change", "saffronlane-key": key}
     with connect(house, **headers) as connection, connection.cursor() as cursor:
         cursor.adbc_statement.set_sql_query("INSERT INTO plays VALUES (1) /* lab work=0.01 */")
         assert cursor.adbc_statement.execute_update() == 1
 
 
-def begin(house: House) -> Daemon:
+def begin(house: GatewayHarness) -> Daemon:
     def start() -> Daemon:
-        daemon = Daemon(parse_config(house.raw, "test", house.folder))
+        daemon = Daemon(parse_config(house.settings, "test", house.directory))
         daemon.start()
         return daemon
 
-    return house.call(start)
+    return house.call_in_loop(start)
 
 
-def end(house: House) -> None:
-    house.call(house.daemon.stop)
-    house.wait(house.daemon.run())
+def end(house: GatewayHarness) -> None:
+    house.call_in_loop(house.daemon.stop)
+    house.run_coroutine(house.daemon.run())
 
 
-def working(house: House, yes: bool = True) -> None:
-    house.until(
+def working(house: GatewayHarness, yes: bool = True) -> None:
+    house.wait_until(
         lambda: (
             house.daemon.state_directory is not None and house.daemon.state_directory.status.is_working is yes
         )
     )
 
 
-def test_a_daemon_that_comes_back_knows_what_it_knew(house: House, folder: Path) -> None:
+def test_a_daemon_that_comes_back_knows_what_it_knew(house: GatewayHarness, folder: Path) -> None:
     ask(house, 30)
     end(house)
     kept = k.decode(k.CLASS + b"lookup", read(folder).state[k.CLASS + b"lookup"])
@@ -100,7 +100,7 @@
 
 
 def test_a_full_or_broken_disk_harms_no_query_and_is_left_when_it_is_well(
-    house: House, folder: Path, monkeypatch: pytest.MonkeyPatch
+    house: GatewayHarness, folder: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     working(house)
     for code in (errno.ENOSPC, errno.EIO):
@@ -127,7 +127,7 @@
 
 def test_a_path_that_is_no_folder_is_told_and_harms_nothing(tmp_path: Path) -> None:
     (tmp_path / "kept").write_text("a file")
-    house = House(tmp_path, 2, KEPT, 0.0)
+    house = GatewayHarness(tmp_path, 2, KEPT, 0.0)
     try:
         change(house, "x")
         ask(house, 3)
@@ -137,14 +137,16 @@
     assert (tmp_path / "kept").read_text() == "a file"
 
 
-def test_a_folder_that_vanishes_is_made_again_with_all_that_is_known(house: House, folder: Path) -> None:
+def test_a_folder_that_vanishes_is_made_again_with_all_that_is_known(
+    house: GatewayHarness, folder: Path
+) -> None:
     """Guards against going on with files that have no name any more: nothing would tell."""
     ask(house, 20)
     change(house, "before")
     working(house)
     shutil.rmtree(folder)
     change(house, "after")
-    house.until(lambda: folder.exists() and read(folder).has_snapshot)
+    house.wait_until(lambda: folder.exists() and read(folder).has_snapshot)
     working(house)
     names = {k.kind_of(key) for key in dict(read(folder).state.items())}
     assert {k.CLASS, k.ENGINE, k.IDEMPOTENCY, k.RUN} <= names
@@ -152,7 +154,7 @@
 
 
 def test_a_disk_that_hangs_holds_an_unsafe_query_up_for_a_moment_and_others_not_at_all(
-    house: House, monkeypatch: pytest.MonkeyPatch
+    house: GatewayHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     working(house)
     gate = threading.Event()
@@ -166,7 +168,7 @@
 
 
 def test_a_second_daemon_on_a_folder_goes_without_until_the_first_has_ended(
-    house: House, folder: Path
+    house: GatewayHarness, folder: Path
 ) -> None:
     ask(house, 20)
     change(house, "mine")
@@ -179,7 +181,7 @@
     working(house)
     assert first.state_directory is not None and first.state_directory._lock is None
     ledger = second.dispatcher.checkpointer.ledger
-    house.until(lambda: len(ledger) == 1)  # the first one's unsafe query is known to the second
+    house.wait_until(lambda: len(ledger) == 1)  # the first one's unsafe query is known to the second
     ask(house, 3)
 
 
@@ -209,10 +211,10 @@
     return result.exit_code, result.output
 
 
-def test_show_check_and_export_on_a_folder_in_use_and_after(house: House, folder: Path) -> None:
+def test_show_check_and_export_on_a_folder_in_use_and_after(house: GatewayHarness, folder: Path) -> None:
     ask(house, 20)
     change(house, "mine")
-    house.until(lambda: k.CLASS + b"lookup" in dict(read(folder).state.items()))
+    house.wait_until(lambda: k.CLASS + b"lookup" in dict(read(folder).state.items()))
     for used in (str(os.getpid()), ""):
         code, out = run("show", folder, "--json")
         told = json.loads(out)
@@ -228,11 +230,11 @@
     house.daemon = begin(house)
 
 
-def test_check_names_what_is_damaged_and_what_it_would_count_for(house: House, folder: Path) -> None:
+def test_check_names_what_is_damaged_and_what_it_would_count_for(house: GatewayHarness, folder: Path) -> None:
     ask(house, 20)
     end(house)
-    (house.folder / "gateway.json").write_text(json.dumps(house.raw))
-    code, out = run("check", folder, "--config", house.folder / "gateway.json")
+    (house.directory / "gateway.json").write_text(json.dumps(house.settings))
+    code, out = run("check", folder, "--config", house.directory / "gateway.json")
     assert code == 0 and "exact True, weight 1" in out
     log = max(p for p in folder.iterdir() if p.name.startswith("log"))
     log.write_bytes(log.read_bytes() + b"\0" * 30)
@@ -245,7 +247,7 @@
     assert newer.read_bytes() == b"later"
 
 
-def test_forget_in_a_folder_that_is_free(house: House, folder: Path) -> None:
+def test_forget_in_a_folder_that_is_free(house: GatewayHarness, folder: Path) -> None:
     ask(house, 20)
     change(house, "mine")
     end(house)
@@ -259,15 +261,17 @@
     house.daemon = begin(house)
 
 
-def test_forget_asks_a_running_gateway_and_never_for_its_ledgers(house: House, folder: Path) -> None:
+def test_forget_asks_a_running_gateway_and_never_for_its_ledgers(house: GatewayHarness, folder: Path) -> None:
     ask(house, 20)
-    house.until(lambda: k.CLASS + b"lookup" in dict(read(folder).state.items()))
+    house.wait_until(lambda: k.CLASS + b"lookup" in dict(read(folder).state.items()))
     code, out = run("forget", folder, "all")
     assert code == 2 and "stop it first" in out
     code, out = run("forget", folder, "classes", "engines")
     assert (code, out.strip()) == (0, "the running gateway has accepted the purge request")
-    house.until(lambda: house.daemon.dispatcher.gateway.workload_estimates.estimators[0].answer_count == 0)
-    house.until(lambda: k.CLASS + b"lookup" not in dict(read(folder).state.items()))
+    house.wait_until(
+        lambda: house.daemon.dispatcher.gateway.workload_estimates.estimators[0].answer_count == 0
+    )
+    house.wait_until(lambda: k.CLASS + b"lookup" not in dict(read(folder).state.items()))
 
 
 def test_no_folder_and_no_choice_are_told() -> None:
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 
 import grpc
-from gateways import house, write_config
-from test_flight import Raw
+from gateways import running_harness, write_config
+from test_flight import GrpcClient
 
 from saffronlane.config import load_config
 from saffronlane.lab.up import write_list
@@ -30,7 +30,7 @@
 
 
 def test_a_dead_worker_is_started_again_and_a_stop_ends_all(tmp_path: Path) -> None:
-    with house(tmp_path, engines=1) as built:
+    with running_harness(tmp_path, engines=1) as built:
         outer = tmp_path / "outer"
         outer.mkdir()
         write_list(outer / "engines.json", [{"id": "e0", "address": built.engines["e0"].address}], 1)
@@ -55,14 +55,14 @@
         assert len(children) == 2
         os.kill(int(children[0]), signal.SIGKILL)
         assert listening() == ports[0]  # on the same port
-        raw = Raw.__new__(Raw)
+        raw = GrpcClient.__new__(GrpcClient)
         end = time.monotonic() + 10.0
         served = 0
         while served < 6 and time.monotonic() < end:
             options = [("grpc.use_local_subchannel_pool", 1)]  # a connection of its own each time
             with grpc.insecure_channel(f"127.0.0.1:{ports[0]}", options) as channel:
                 raw.channel = channel
-                served += len(raw.many("DoGet", raw.ticket("SELECT 1"))) == 2
+                served += len(raw.call_stream("DoGet", raw.get_ticket("SELECT 1"))) == 2
         assert served == 6
         parent.send_signal(signal.SIGTERM)
         assert parent.wait(15.0) == 0
