--- a/saffronlane/config/settings.py
+++ b/saffronlane/config/settings.py
@@ -18,10 +18,10 @@
     """Assigns a query class, a tenant or both to the queries that meet all of its conditions.
 
     Attributes:
-        user: The condition that this user has logged in. None for any user.
-        statement_kind: The condition on `Statement.kind`: "read" or "write". None for both.
-        tables: The condition that the statement names one of these tables. Empty for any.
-        pattern: The condition that the expression is found in the SQL text. None for any text.
+        user: The user whose queries match. None matches every user.
+        statement_kind: The kind of statement that matches: "read" or "write". None matches both.
+        tables: Tables of which a matching statement names at least one. Empty matches every statement.
+        pattern: An expression that is found in the text of matching statements. None matches every statement.
         class_index: The index of the assigned query class, or None to assign none.
         tenant_index: The index of the assigned tenant, or None to assign none.
     """
@@ -47,7 +47,7 @@
         seed: The seed of random decisions, or None for a random seed.
         workers: The number of gateway processes that share the port.
         drain_grace_period: The time that a shutdown leaves running requests to end.
-        matchers: The rules that assign query classes and tenants. The first match applies.
+        matchers: The rules that assign query classes and tenants, in order of precedence.
         dialect: The sqlglot name of the SQL dialect. Empty for sqlglot's default dialect.
         strict_sql: Whether to reject statements that cannot be parsed.
         max_cached_statements: The maximum number of parsed statements in the cache.
--- a/saffronlane/flight/service.py
+++ b/saffronlane/flight/service.py
@@ -303,7 +303,10 @@
         number = self._submit(call, handle, (statement, identity), sink)
         call.on_abandoned = lambda: self._executor.disconnect_client(number)
         log.debug(
-            "request", request=number, session=session.log_id if session else "", cls=identity.class_index
+            "request submitted",
+            request=number,
+            session=session.log_id if session else "",
+            cls=identity.class_index,
         )
         self._running_requests.setdefault(handle.nonce, set()).add(number)
         try:
@@ -346,13 +349,13 @@
             )
         polled_query.last_polled_at = self._loop.time()
         self._polled_queries.move_to_end(handle.nonce)
-        wait = (
+        timeout = (
             0.2
             if call.deadline is None
             else max(0.0, min(0.2, (call.deadline - polled_query.last_polled_at) / 2))
         )
         with contextlib.suppress(TimeoutError):  # the short wait saves clients of fast queries a second poll
-            await asyncio.wait_for(polled_query.sink.ready.wait(), wait)
+            await asyncio.wait_for(polled_query.sink.ready.wait(), timeout)
         status = polled_query.sink.status
         if status is not None and not status.ok:
             self._polled_queries.pop(handle.nonce, None)
--- a/saffronlane/members/file.py
+++ b/saffronlane/members/file.py
@@ -53,9 +53,8 @@
             # The file is invalid or partly written. It is read again next time.
             self._log_problem(str(error), error)
             return False
-        if (
-            stamp_after_read == stamp
-        ):  # otherwise the file changed while it was read, so it is read again next time
+        # If the file changed while it was read, the list is used but the file is read again next time.
+        if stamp_after_read == stamp:
             self._stamp = stamp
         self._last_problem = ""
         self._on_list(version, records)
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -260,7 +260,7 @@
         assert child.wait(10.0) == 0
         by_event = {line["event"]: line for line in lines}
         assert by_event["attempt ended"]["engine"] == "e0" and by_event["attempt ended"]["attempt"] == 0
-        assert by_event["request answered"]["request"] == by_event["request"]["request"] == 1
+        assert by_event["request answered"]["request"] == by_event["request submitted"]["request"] == 1
 
 
 def test_lab_up_prints_its_addresses_and_ends_on_a_signal() -> None:
