--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -172,7 +172,7 @@
     [
         ("", "line 1, column 1"),
         ('{"a": 1,}', "line 1"),
-        ('{"a": 1, "a": 2}', "'a' stands there twice"),
+        ('{"a": 1, "a": 2}', "duplicate key 'a'"),
         ('{"a": NaN}', "NaN"),
         ("[" * 100_000, "not JSON"),
         ("\xff\xfe", "not JSON"),
@@ -253,16 +253,16 @@
 def test_unreadable_or_invalid_engine_list_is_ignored(tmp_path: Path) -> None:
     """While the file is missing, empty, truncated or invalid, the last valid list stays in use."""
     file_source, path, received_lists = make_source(tmp_path)
-    assert not file_source.look()
+    assert not file_source.reload_if_changed()
     path.write_text(json.dumps(ENGINE_LIST))
-    assert file_source.look() and not file_source.look()
+    assert file_source.reload_if_changed() and not file_source.reload_if_changed()
     for text in ("", json.dumps(ENGINE_LIST)[:40], '{"engines": 3}', "\0"):
         path.write_text(text)
-        assert not file_source.look()
+        assert not file_source.reload_if_changed()
     path.unlink()
-    assert not file_source.look()
+    assert not file_source.reload_if_changed()
     path.write_text(json.dumps(ENGINE_LIST | {"version": 4, "engines": []}))
-    assert file_source.look()
+    assert file_source.reload_if_changed()
     assert received_lists == [(3, 2), (4, 0)]
 
 
--- a/tests/test_folder.py
+++ b/tests/test_folder.py
@@ -15,7 +15,7 @@
 import pytest
 import structlog
 from click.testing import CliRunner
-from gateways import House
+from gateways import GatewayHarness
 from test_flight import connect
 
 from saffronlane.cli import main
@@ -42,67 +42,70 @@
 
 
 @pytest.fixture
-def house(tmp_path: Path) -> Iterator[House]:
-    house = House(tmp_path, 2, STATE_DIRECTORY_CONFIG, 0.0)
-    yield house
-    house.close()
+def harness(tmp_path: Path) -> Iterator[GatewayHarness]:
+    harness = GatewayHarness(tmp_path, 2, STATE_DIRECTORY_CONFIG, 0.0)
+    yield harness
+    harness.close()
 
 
 def read_directory(folder: Path) -> Recovery:
     return recover(RealFiles(folder, create_missing=False))
 
 
-def run_queries(house: House, count: int = 1) -> None:
-    with connect(house) as connection, connection.cursor() as cursor:
+def run_queries(harness: GatewayHarness, count: int = 1) -> None:
+    with connect(harness) as connection, connection.cursor() as cursor:
         for _ in range(count):
             cursor.execute("SELECT 1 /* lab work=0.01 */")
             assert cursor.fetchall()
 
 
-def run_write(house: House, key: str) -> None:
+def run_write(harness: GatewayHarness, key: str) -> None:
     headers = {"saffronlane-class": "change", "saffronlane-key": key}
-    with connect(house, **headers) as connection, connection.cursor() as cursor:
+    with connect(harness, **headers) as connection, connection.cursor() as cursor:
         cursor.adbc_statement.set_sql_query("INSERT INTO plays VALUES (1) /* lab work=0.01 */")
         assert cursor.adbc_statement.execute_update() == 1
 
 
-def start_daemon(house: House) -> Daemon:
+def start_daemon(harness: GatewayHarness) -> Daemon:
     def start() -> Daemon:
-        daemon = Daemon(parse_config(house.raw, "test", house.folder))
+        daemon = Daemon(parse_config(harness.settings, "test", harness.directory))
         daemon.start()
         return daemon
 
-    return house.call(start)
+    return harness.call_in_loop(start)
 
 
-def stop_daemon(house: House) -> None:
-    house.call(house.daemon.stop)
-    house.wait(house.daemon.run())
+def stop_daemon(harness: GatewayHarness) -> None:
+    harness.call_in_loop(harness.daemon.stop)
+    harness.run_coroutine(harness.daemon.run())
 
 
-def wait_for_store(house: House, is_working: bool = True) -> None:
-    house.until(
-        lambda: house.daemon.folder is not None and house.daemon.folder.status.is_working is is_working
+def wait_for_store(harness: GatewayHarness, is_working: bool = True) -> None:
+    harness.wait_until(
+        lambda: (
+            harness.daemon.state_directory is not None
+            and harness.daemon.state_directory.status.is_working is is_working
+        )
     )
 
 
-def test_restarted_daemon_restores_its_learned_state(house: House, folder: Path) -> None:
-    run_queries(house, 30)
-    stop_daemon(house)
+def test_restarted_daemon_restores_its_learned_state(harness: GatewayHarness, folder: Path) -> None:
+    run_queries(harness, 30)
+    stop_daemon(harness)
     class_record = records.decode(
         records.CLASS + b"lookup", read_directory(folder).state[records.CLASS + b"lookup"]
     )
     assert isinstance(class_record, records.ClassRecord) and class_record.answer_count == 30
-    house.daemon = start_daemon(house)
-    summary = house.daemon.dispatcher.checkpointer.summary
+    harness.daemon = start_daemon(harness)
+    summary = harness.daemon.dispatcher.checkpointer.summary
     assert summary.has_complete_ledgers and summary.classes["lookup"] > 10.0 and summary.engines == 2
-    run_queries(house)
+    run_queries(harness)
 
 
 def test_queries_succeed_during_disk_errors_and_the_store_is_repaired_afterwards(
-    house: House, folder: Path, monkeypatch: pytest.MonkeyPatch
+    harness: GatewayHarness, folder: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    wait_for_store(house)
+    wait_for_store(harness)
     for code in (errno.ENOSPC, errno.EIO):
 
         def fail_write(self: object, data: bytes, code: int = code) -> None:
@@ -110,77 +113,77 @@
 
         with monkeypatch.context() as patched:
             patched.setattr(files_module._RealHandle, "write", fail_write)
-            run_write(house, f"key {code}")
-            wait_for_store(house, False)
-            run_queries(house, 3)
+            run_write(harness, f"key {code}")
+            wait_for_store(harness, False)
+            run_queries(harness, 3)
             assert (
-                house.daemon.folder is not None
-                and os.strerror(code) in house.daemon.folder.status.failure_reason
+                harness.daemon.state_directory is not None
+                and os.strerror(code) in harness.daemon.state_directory.status.failure_reason
             )
-        wait_for_store(house)
-    run_write(house, "after")
-    stop_daemon(house)
+        wait_for_store(harness)
+    run_write(harness, "after")
+    stop_daemon(harness)
     # Changes that could not be written during the errors were written by the repair.
     assert sum(key.startswith(records.IDEMPOTENCY) for key in dict(read_directory(folder).state.items())) == 3
-    house.daemon = start_daemon(house)
+    harness.daemon = start_daemon(harness)
 
 
 def test_queries_succeed_if_the_state_directory_path_is_a_file(tmp_path: Path) -> None:
     (tmp_path / "kept").write_text("a file")
-    house = House(tmp_path, 2, STATE_DIRECTORY_CONFIG, 0.0)
+    harness = GatewayHarness(tmp_path, 2, STATE_DIRECTORY_CONFIG, 0.0)
     try:
-        run_write(house, "x")
-        run_queries(house, 3)
-        assert not house.daemon.folder.status.is_working  # type: ignore[union-attr]
+        run_write(harness, "x")
+        run_queries(harness, 3)
+        assert not harness.daemon.state_directory.status.is_working  # type: ignore[union-attr]
     finally:
-        house.close()
+        harness.close()
     assert (tmp_path / "kept").read_text() == "a file"
 
 
-def test_removed_state_directory_is_recreated_with_all_records(house: House, folder: Path) -> None:
+def test_removed_state_directory_is_recreated_with_all_records(harness: GatewayHarness, folder: Path) -> None:
     """Guards against writing to unlinked files, which reports no error although the data is lost."""
-    run_queries(house, 20)
-    run_write(house, "before")
-    wait_for_store(house)
+    run_queries(harness, 20)
+    run_write(harness, "before")
+    wait_for_store(harness)
     shutil.rmtree(folder)
-    run_write(house, "after")
-    house.until(lambda: folder.exists() and read_directory(folder).has_snapshot)
-    wait_for_store(house)
+    run_write(harness, "after")
+    harness.wait_until(lambda: folder.exists() and read_directory(folder).has_snapshot)
+    wait_for_store(harness)
     kinds = {records.kind_of(key) for key in dict(read_directory(folder).state.items())}
     assert {records.CLASS, records.ENGINE, records.IDEMPOTENCY, records.RUN} <= kinds
-    run_queries(house, 3)
+    run_queries(harness, 3)
 
 
 def test_hanging_disk_blocks_no_query_and_the_write_is_counted_as_non_durable(
-    house: House, monkeypatch: pytest.MonkeyPatch
+    harness: GatewayHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    wait_for_store(house)
+    wait_for_store(harness)
     sync_gate = threading.Event()
     with monkeypatch.context() as patched:
         patched.setattr(files_module._RealHandle, "sync", lambda self: sync_gate.wait(30.0))
-        run_write(house, "hangs")
-        run_queries(house, 3)
-        assert house.daemon.executor.non_durable_count == 1
+        run_write(harness, "hangs")
+        run_queries(harness, 3)
+        assert harness.daemon.executor.non_durable_count == 1
         sync_gate.set()
-    wait_for_store(house)
+    wait_for_store(harness)
 
 
 def test_second_daemon_opens_the_state_directory_after_the_first_has_stopped(
-    house: House, folder: Path
+    harness: GatewayHarness, folder: Path
 ) -> None:
-    run_queries(house, 20)
-    run_write(house, "mine")
-    wait_for_store(house)
-    second, first = start_daemon(house), house.daemon
-    assert second.folder is not None and not second.folder.status.is_working
-    assert "in use by process" in second.folder.last_error
-    stop_daemon(house)
-    house.daemon = second
-    wait_for_store(house)
-    assert first.folder is not None and first.folder._lock is None
+    run_queries(harness, 20)
+    run_write(harness, "mine")
+    wait_for_store(harness)
+    second, first = start_daemon(harness), harness.daemon
+    assert second.state_directory is not None and not second.state_directory.status.is_working
+    assert "in use by process" in second.state_directory.last_error
+    stop_daemon(harness)
+    harness.daemon = second
+    wait_for_store(harness)
+    assert first.state_directory is not None and first.state_directory._lock is None
     ledger = second.dispatcher.checkpointer.ledger
-    house.until(lambda: len(ledger) == 1)  # the second daemon has restored the record of the write
-    run_queries(house, 3)
+    harness.wait_until(lambda: len(ledger) == 1)  # the second daemon has restored the record of the write
+    run_queries(harness, 3)
 
 
 def test_each_worker_has_its_own_state_directory() -> None:
@@ -195,7 +198,7 @@
         "knowledge": {"folder": "kept"},
     }
     config = parse_config(raw, "test", Path("/somewhere"))
-    folders = [as_worker(config, n, 1).knowledge for n in range(2)]
+    folders = [as_worker(config, n, 1).state_directory_path for n in range(2)]
     assert folders == [Path("/somewhere/kept/worker-0"), Path("/somewhere/kept/worker-1")]
 
 
@@ -209,10 +212,12 @@
     return result.exit_code, result.output
 
 
-def test_show_check_and_export_work_during_and_after_use_by_a_gateway(house: House, folder: Path) -> None:
-    run_queries(house, 20)
-    run_write(house, "mine")
-    house.until(lambda: records.CLASS + b"lookup" in dict(read_directory(folder).state.items()))
+def test_show_check_and_export_work_during_and_after_use_by_a_gateway(
+    harness: GatewayHarness, folder: Path
+) -> None:
+    run_queries(harness, 20)
+    run_write(harness, "mine")
+    harness.wait_until(lambda: records.CLASS + b"lookup" in dict(read_directory(folder).state.items()))
     for expected_holder in (str(os.getpid()), ""):
         code, output = run_command("show", folder, "--json")
         summary = json.loads(output)
@@ -228,15 +233,17 @@
         code, output = run_command("check", folder)
         assert (code, output.splitlines()[-1]) == (0, "whole")
         if expected_holder:
-            stop_daemon(house)
-    house.daemon = start_daemon(house)
+            stop_daemon(harness)
+    harness.daemon = start_daemon(harness)
 
 
-def test_check_reports_damage_newer_files_and_weight_after_a_restart(house: House, folder: Path) -> None:
-    run_queries(house, 20)
-    stop_daemon(house)
-    (house.folder / "gateway.json").write_text(json.dumps(house.raw))
-    code, output = run_command("check", folder, "--config", house.folder / "gateway.json")
+def test_check_reports_damage_newer_files_and_weight_after_a_restart(
+    harness: GatewayHarness, folder: Path
+) -> None:
+    run_queries(harness, 20)
+    stop_daemon(harness)
+    (harness.directory / "gateway.json").write_text(json.dumps(harness.settings))
+    code, output = run_command("check", folder, "--config", harness.directory / "gateway.json")
     assert code == 0 and "exact True, weight 1" in output
     log_file = max(path for path in folder.iterdir() if path.name.startswith("log"))
     log_file.write_bytes(log_file.read_bytes() + b"\0" * 30)
@@ -249,15 +256,15 @@
         and "byte 24" in output
         and f"{newer_file.name}: of a newer version" in output
     )
-    house.daemon = start_daemon(house)
-    run_queries(house)
+    harness.daemon = start_daemon(harness)
+    run_queries(harness)
     assert newer_file.read_bytes() == b"later"
 
 
-def test_forget_removes_records_from_an_unused_directory(house: House, folder: Path) -> None:
-    run_queries(house, 20)
-    run_write(house, "mine")
-    stop_daemon(house)
+def test_forget_removes_records_from_an_unused_directory(harness: GatewayHarness, folder: Path) -> None:
+    run_queries(harness, 20)
+    run_write(harness, "mine")
+    stop_daemon(harness)
     assert run_command("forget", folder, "classes")[0] == 0
     state = dict(read_directory(folder).state.items())
     assert not [key for key in state if key.startswith(records.CLASS)] and [
@@ -265,7 +272,7 @@
     ]
     assert run_command("forget", folder, "all")[0] == 0
     assert not len(read_directory(folder).state)
-    house.daemon = start_daemon(house)
+    harness.daemon = start_daemon(harness)
 
 
 def test_forget_all_leaves_no_purged_bytes_in_an_unused_directory(tmp_path: Path) -> None:
@@ -288,16 +295,18 @@
 
 
 def test_forget_requests_a_purge_from_a_running_gateway_but_not_of_all_records(
-    house: House, folder: Path
+    harness: GatewayHarness, folder: Path
 ) -> None:
-    run_queries(house, 20)
-    house.until(lambda: records.CLASS + b"lookup" in dict(read_directory(folder).state.items()))
+    run_queries(harness, 20)
+    harness.wait_until(lambda: records.CLASS + b"lookup" in dict(read_directory(folder).state.items()))
     code, output = run_command("forget", folder, "all")
     assert code == 2 and "stop that gateway first" in output
     code, output = run_command("forget", folder, "classes", "engines")
     assert (code, output.strip()) == (0, "the running gateway has accepted the purge request")
-    house.until(lambda: house.daemon.dispatcher.gateway.workload_estimates.estimators[0].answer_count == 0)
-    house.until(lambda: records.CLASS + b"lookup" not in dict(read_directory(folder).state.items()))
+    harness.wait_until(
+        lambda: harness.daemon.dispatcher.gateway.workload_estimates.estimators[0].answer_count == 0
+    )
+    harness.wait_until(lambda: records.CLASS + b"lookup" not in dict(read_directory(folder).state.items()))
 
 
 def test_missing_directory_and_missing_category_are_errors() -> None:
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 
 import grpc
-from gateways import house, write_config
-from test_flight import Raw
+from gateways import running_harness, write_config
+from test_flight import GrpcClient
 
 from saffronlane.config import load_config
 from saffronlane.lab.up import write_list
@@ -30,12 +30,12 @@
 
 
 def test_killed_worker_is_restarted_and_sigterm_stops_all_workers(tmp_path: Path) -> None:
-    with house(tmp_path, engines=1) as running_house:
+    with running_harness(tmp_path, engines=1) as harness:
         supervisor_directory = tmp_path / "supervisor"
         supervisor_directory.mkdir()
         write_list(
             supervisor_directory / "engines.json",
-            [{"id": "e0", "address": running_house.engines["e0"].address}],
+            [{"id": "e0", "address": harness.engines["e0"].address}],
             1,
         )
         config = write_config(supervisor_directory, gateway={"count": 2, "workers": 2, "grace_s": 1})
@@ -59,14 +59,14 @@
         assert len(children) == 2
         os.kill(int(children[0]), signal.SIGKILL)
         assert next_listening_port() == ports[0]  # the restarted worker uses the same port
-        client = Raw.__new__(Raw)
+        client = GrpcClient.__new__(GrpcClient)
         deadline = time.monotonic() + 10.0
         served_count = 0
         while served_count < 6 and time.monotonic() < deadline:
             options = [("grpc.use_local_subchannel_pool", 1)]  # a new connection for each query
             with grpc.insecure_channel(f"127.0.0.1:{ports[0]}", options) as channel:
                 client.channel = channel
-                served_count += len(client.many("DoGet", client.ticket("SELECT 1"))) == 2
+                served_count += len(client.call_stream("DoGet", client.get_ticket("SELECT 1"))) == 2
         assert served_count == 6
         supervisor.send_signal(signal.SIGTERM)
         assert supervisor.wait(15.0) == 0
