--- a/saffronlane/groups/__init__.py
+++ b/saffronlane/groups/__init__.py
@@ -1,4 +1,4 @@
-"""Resource groups: a tree of shares and limits over queries that wait. Pure: no I/O, no clock, no draws."""
+"""Resource groups: a tree of shares and limits for waiting queries. Free of I/O, clocks and randomness."""
 
 from .errors import Full
 from .spec import GroupSpec, check_tree
--- a/saffronlane/groups/errors.py
+++ b/saffronlane/groups/errors.py
@@ -1,4 +1,4 @@
-"""Errors of groups."""
+"""Errors of resource groups."""
 
 from __future__ import annotations
 
@@ -6,6 +6,6 @@
 
 
 class Full(SaffronlaneError):
-    """A group takes no more queries; its path is in the text."""
+    """The queue of a group is at its limit. The message contains the path of the group."""
 
-    remedy = "Raise the queue limit of the group in the text, or let its clients come back later."
+    remedy = "Raise the queue limit of the group in the message, or have its clients retry later."
--- a/saffronlane/groups/schedule.py
+++ b/saffronlane/groups/schedule.py
@@ -1,8 +1,9 @@
-"""Windows of time that change weights and limits: cron starts with a zone, seasons, named days.
+"""Schedules: time windows that change weights and limits, with cron starts, time zones, seasons and dates.
 
-Times are aware datetimes given by the caller; nothing here reads a clock. Starts follow cron's own rules on
-days whose clocks change (a start in the skipped hour comes right after it, one in the repeated hour comes
-once; see cronsim); a window then lasts its seconds, whatever clocks on the wall do meanwhile.
+Callers pass times as aware datetimes. Nothing here reads a clock. Starts follow cron's own rules on days on
+which the clocks change (see cronsim): a start within the skipped hour comes right after it, and a start
+within the repeated hour comes once. A window then lasts its number of seconds, whatever local time does
+meanwhile.
 """
 
 from __future__ import annotations
@@ -17,25 +18,27 @@
 from ..config.check import Problem
 from .spec import GroupSpec, check_tree
 
-Path = tuple[str, ...]
-Changes = Mapping[Path, Mapping[str, float]]
-CHANGEABLE = frozenset(f.name for f in fields(GroupSpec)) - {"name", "children", "each", "most"}
-MOST_BACK = 1000  # starts looked back at: a window longer than so many periods is always on
-MOST_AHEAD = 100_000
+GroupPath = tuple[str, ...]
+Changes = Mapping[GroupPath, Mapping[str, float]]
+CHANGEABLE_FIELDS = frozenset(f.name for f in fields(GroupSpec)) - {"name", "children", "each", "most"}
+# A window that is longer than this many of its periods is always active.
+MAX_PAST_STARTS = 1000
+MAX_FUTURE_STARTS = 100_000
 
 
 @dataclass(frozen=True, slots=True)
 class Window:
-    """One rule of a schedule. Of two that are on at once, the later in the list has the last word.
+    """One rule of a schedule. If two active windows change the same field, the later in the list applies.
 
     Attributes:
-        name: for people.
-        cron: five fields; when it starts.
-        seconds: how long it is on.
-        zone: of its starts, season and days.
-        season: first and last day of the year that a start may have, as (month, day); may span the new year.
-        days: if any, a start counts only on these dates.
-        changes: by the path of a group, fields of `GroupSpec` and their values meanwhile.
+        name: A unique name, for display.
+        cron: A cron expression of five fields that gives the starts of the window.
+        seconds: The duration of the window.
+        zone: The time zone of the starts, the season and the days.
+        season: The first and the last day of the year on which the window may start, as (month, day). A
+            season may span the new year. If it is None, the window may start on any day of the year.
+        days: The only dates on which the window may start. If it is empty, dates are not restricted.
+        changes: The `GroupSpec` fields that the window changes, with their values, by the path of the group.
     """
 
     name: str
@@ -44,148 +47,175 @@
     zone: str = "UTC"
     season: tuple[tuple[int, int], tuple[int, int]] | None = None
     days: frozenset[date] = frozenset()
-    changes: tuple[tuple[Path, tuple[tuple[str, float], ...]], ...] = ()
+    changes: tuple[tuple[GroupPath, tuple[tuple[str, float], ...]], ...] = ()
 
-    def _counts(self, start: datetime) -> bool:
+    def _may_start(self, start: datetime) -> bool:
         day = start.date()
         if self.days and day not in self.days:
             return False
         if self.season is None:
             return True
         first, last = self.season
-        here = (day.month, day.day)
-        return first <= here <= last if first <= last else here >= first or here <= last
+        month_day = (day.month, day.day)
+        return first <= month_day <= last if first <= last else month_day >= first or month_day <= last
 
-    def _starts(self, when: datetime, back: bool) -> Iterator[datetime]:
+    def _starts(self, when: datetime, backward: bool) -> Iterator[datetime]:
         local = when.astimezone(ZoneInfo(self.zone))
-        most = MOST_BACK if back else MOST_AHEAD
+        max_starts = MAX_PAST_STARTS if backward else MAX_FUTURE_STARTS
         try:
-            for number, start in enumerate(CronSim(self.cron, local, reverse=back)):
-                if number >= most:
+            for index, start in enumerate(CronSim(self.cron, local, reverse=backward)):
+                if index >= max_starts:
                     return
                 yield start
         except CronSimError:
             return  # no start in the next decades
 
-    def on_until(self, when: datetime) -> datetime | None:
-        """The end of the window that is on, in UTC; None: none is."""
-        lasting = timedelta(seconds=self.seconds)
-        moment = when.astimezone(UTC)
-        for start in self._starts(when + timedelta(seconds=1), back=True):
-            begun = start.astimezone(UTC)
-            if begun + lasting <= moment:
+    def active_until(self, when: datetime) -> datetime | None:
+        """Returns the end of this window in UTC if the window is active at a moment, otherwise None."""
+        duration = timedelta(seconds=self.seconds)
+        when_utc = when.astimezone(UTC)
+        for start in self._starts(when + timedelta(seconds=1), backward=True):
+            start_utc = start.astimezone(UTC)
+            if start_utc + duration <= when_utc:
                 return None
-            if begun <= moment and self._counts(start):
-                return begun + lasting
+            if start_utc <= when_utc and self._may_start(start):
+                return start_utc + duration
         return None
 
-    def next_start(self, when: datetime, most: datetime) -> datetime | None:
-        """The first start after a moment and not after `most`, in UTC."""
-        for start in self._starts(when, back=False):
-            begun = start.astimezone(UTC)
-            if begun > most:
+    def next_start(self, when: datetime, latest: datetime) -> datetime | None:
+        """Returns the first start after `when` and not after `latest`, in UTC. None if there is none."""
+        for start in self._starts(when, backward=False):
+            start_utc = start.astimezone(UTC)
+            if start_utc > latest:
                 return None
-            if self._counts(start):
-                return begun
+            if self._may_start(start):
+                return start_utc
         return None
 
 
 @dataclass(frozen=True, slots=True)
-class Stretch:
-    """A time in which the same windows are on, in UTC, their names in order, and who overrides whom."""
+class Interval:
+    """A time interval within which the set of active windows does not change.
+
+    Attributes:
+        begin: The begin of the interval in UTC.
+        end: The end of the interval in UTC.
+        active_windows: The names of the active windows, in the order of the schedule.
+        conflicts: One text for each field that one active window overrides in another.
+    """
 
     begin: datetime
     end: datetime
-    on: tuple[str, ...]
+    active_windows: tuple[str, ...]
     conflicts: tuple[str, ...]
 
 
-def changed(spec: GroupSpec, path: Path, values: Mapping[str, float]) -> GroupSpec:
-    """The tree with some fields of one group replaced. KeyError names a group that is not there."""
+def replace_fields(spec: GroupSpec, path: GroupPath, values: Mapping[str, float]) -> GroupSpec:
+    """Returns the tree with some fields of one group replaced.
+
+    Raises:
+        KeyError: The tree has no group of this path. The argument of the error names the missing group.
+    """
     if not path:
         return replace(spec, **values)  # type: ignore[arg-type]
     names = [child.name for child in spec.children]
     if path[0] not in names:
         raise KeyError("/".join(path))
-    children = tuple(changed(c, path[1:], values) if c.name == path[0] else c for c in spec.children)
+    children = tuple(replace_fields(c, path[1:], values) if c.name == path[0] else c for c in spec.children)
     return replace(spec, children=children)
 
 
-def effective(spec: GroupSpec, windows: Sequence[Window], when: datetime) -> GroupSpec:
-    """The tree as it is at a moment."""
+def effective_spec(spec: GroupSpec, windows: Sequence[Window], when: datetime) -> GroupSpec:
+    """Returns the tree with the changes of all windows that are active at a moment."""
     for window in windows:
-        if window.on_until(when) is not None:
+        if window.active_until(when) is not None:
             for path, values in window.changes:
-                spec = changed(spec, path, dict(values))
+                spec = replace_fields(spec, path, dict(values))
     return spec
 
 
-def next_change(windows: Sequence[Window], when: datetime, most: datetime) -> datetime:
-    """When the tree may be another one, after `when`; `most` if not before."""
-    times = [most.astimezone(UTC)]
+def next_change(windows: Sequence[Window], when: datetime, latest: datetime) -> datetime:
+    """Returns the next time after `when` at which the tree may change, or `latest` if that is earlier."""
+    times = [latest.astimezone(UTC)]
     for window in windows:
-        end = window.on_until(when)
-        start = window.next_start(when, most)
+        end = window.active_until(when)
+        start = window.next_start(when, latest)
         times += [t for t in (end, start) if t is not None and t > when]
     return min(times)
 
 
-def plan(windows: Sequence[Window], when: datetime, days: float = 7.0) -> Iterator[Stretch]:
-    """What the schedule does from a moment on, stretch by stretch."""
-    most = when.astimezone(UTC) + timedelta(days=days)
-    at = when.astimezone(UTC)
-    while at < most:
-        end = next_change(windows, at, most)
-        on = [w for w in windows if w.on_until(at) is not None]
-        yield Stretch(at, end, tuple(w.name for w in on), tuple(_conflicts(on)))
-        at = end
+def plan(windows: Sequence[Window], when: datetime, days: float = 7.0) -> Iterator[Interval]:
+    """Returns the intervals of the schedule, in order, for a number of days from a moment on."""
+    plan_end = when.astimezone(UTC) + timedelta(days=days)
+    begin = when.astimezone(UTC)
+    while begin < plan_end:
+        end = next_change(windows, begin, plan_end)
+        active = [w for w in windows if w.active_until(begin) is not None]
+        yield Interval(begin, end, tuple(w.name for w in active), tuple(_conflicts(active)))
+        begin = end
 
 
-def _conflicts(on: Sequence[Window]) -> Iterator[str]:
-    last: dict[tuple[Path, str], str] = {}
-    for window in on:
+def _conflicts(active: Sequence[Window]) -> Iterator[str]:
+    last_window_names: dict[tuple[GroupPath, str], str] = {}
+    for window in active:
         for path, values in window.changes:
             for name, _ in values:
-                before = last.get((path, name))
-                if before is not None:
-                    place = "/".join(path) or "/"
-                    yield f"{name} of {place}: {window.name} overrides {before}"
-                last[path, name] = window.name
+                overridden = last_window_names.get((path, name))
+                if overridden is not None:
+                    group = "/".join(path) or "/"
+                    yield f"{name} of {group}: {window.name} overrides {overridden}"
+                last_window_names[path, name] = window.name
+
 
+def check_windows(spec: GroupSpec, windows: Sequence[Window], pointer: str = "/schedule") -> list[Problem]:
+    """Returns every problem of a schedule, each with its JSON pointer.
 
-def check_windows(spec: GroupSpec, windows: Sequence[Window], at: str = "/schedule") -> list[Problem]:
-    """Everything that is wrong with a schedule, each with its JSON pointer."""
+    Args:
+        spec: The tree that the windows change.
+        windows: The windows of the schedule.
+        pointer: The JSON pointer of the schedule.
+    """
     problems = []
     names: dict[str, int] = {}
     for index, window in enumerate(windows):
-        here = f"{at}/{index}"
+        window_pointer = f"{pointer}/{index}"
         if window.name in names:
-            problems.append(Problem(f"{here}/name", f"{window.name!r} is window {names[window.name]} too"))
+            problems.append(
+                Problem(
+                    f"{window_pointer}/name",
+                    f"{window.name!r} is already the name of window {names[window.name]}",
+                )
+            )
         names.setdefault(window.name, index)
         if not window.seconds > 0.0:
-            problems.append(Problem(f"{here}/seconds", "a window lasts more than 0 seconds"))
+            problems.append(Problem(f"{window_pointer}/seconds", "expected a duration above 0 seconds"))
         try:
             ZoneInfo(window.zone)
         except (KeyError, ValueError, OSError):
-            problems.append(Problem(f"{here}/zone", f"{window.zone!r} is no time zone"))
+            problems.append(Problem(f"{window_pointer}/zone", f"{window.zone!r} is not a known time zone"))
         try:
             CronSim(window.cron, datetime(2024, 1, 1, tzinfo=UTC))
         except CronSimError as error:
-            problems.append(Problem(f"{here}/cron", f"{window.cron!r}: {error}"))
-        problems += _check_changes(spec, window, here)
+            problems.append(
+                Problem(f"{window_pointer}/cron", f"invalid cron expression {window.cron!r}: {error}")
+            )
+        problems += _check_changes(spec, window, window_pointer)
     return problems
 
 
-def _check_changes(spec: GroupSpec, window: Window, here: str) -> Iterator[Problem]:
+def _check_changes(spec: GroupSpec, window: Window, window_pointer: str) -> Iterator[Problem]:
     for path, values in window.changes:
-        place = f"{here}/changes/{'~1'.join(path)}"
-        unknown = [name for name, _ in values if name not in CHANGEABLE]
+        pointer = f"{window_pointer}/changes/{'~1'.join(path)}"
+        unknown = [name for name, _ in values if name not in CHANGEABLE_FIELDS]
         if unknown:
-            yield Problem(place, f"{', '.join(unknown)} cannot be changed")
+            yield Problem(pointer, f"a window cannot change these fields: {', '.join(unknown)}")
             continue
         try:
-            alone = changed(spec, path, dict(values))
+            changed_spec = replace_fields(spec, path, dict(values))
         except KeyError as error:
-            yield Problem(place, f"there is no group {error.args[0]}")
+            yield Problem(pointer, f"unknown group {error.args[0]}")
             continue
-        yield from (Problem(place, f"with it, {p.pointer}: {p.text}") for p in check_tree(alone))
+        yield from (
+            Problem(pointer, f"the changed tree is invalid at {p.pointer}: {p.text}")
+            for p in check_tree(changed_spec)
+        )
--- a/saffronlane/groups/select.py
+++ b/saffronlane/groups/select.py
@@ -1,6 +1,7 @@
-"""Which group a query belongs to. The first selector that matches wins; nothing is scored.
+"""Selection of the group of a query: the first selector that matches determines the group.
 
-A selector may capture parts of what it matches, `(?P<team>...)`; its group's path may name them, `{team}`.
+A pattern of a selector may capture parts of the values that it matches, with named groups such as
+`(?P<team>...)`. The selector's group path may contain them as placeholders, such as `{team}`.
 """
 
 from __future__ import annotations
@@ -11,14 +12,25 @@
 
 from ..config.check import Problem
 
-MOST_NAME = 64  # characters of a captured name that become part of a group's
-_PLACE = re.compile(r"\{([a-z_][a-z0-9_]*)\}")
-_UNFIT = re.compile(r"[^\w.@+-]")
+MAX_CAPTURED_LENGTH = 64  # characters of a captured value that become part of a group's name
+_PLACEHOLDER = re.compile(r"\{([a-z_][a-z0-9_]*)\}")
+_DISALLOWED_CHARACTER = re.compile(r"[^\w.@+-]")
 
 
 @dataclass(frozen=True, slots=True)
 class Query:
-    """What selectors see of a query. `options` are those of its session and its own headers."""
+    """The properties of a query that selectors can match.
+
+    Attributes:
+        user: The user who sent the query.
+        team: The team of the user.
+        source: The source of the query.
+        cls: The query class.
+        kind: The kind of the query, such as `read` or `write`.
+        tables: The tables that the query uses.
+        text: The text of the query.
+        options: The options of the query's session and the query's own headers, by name.
+    """
 
     user: str = ""
     team: str = ""
@@ -32,7 +44,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Selector:
-    """All that is set must hold. Patterns must match as a whole, but for `text`, which may match anywhere."""
+    """A rule that assigns queries to a group. A query matches if it meets every condition that is set.
+
+    Attributes:
+        group: The path of the group, with placeholders for captured values.
+        name: A name for display.
+        user: A pattern that the whole user must match.
+        team: A pattern that the whole team must match.
+        source: A pattern that the whole source must match.
+        text: A pattern that must match anywhere in the text of the query.
+        cls: The required query class.
+        kind: The required kind.
+        tables: Tables of which the query must use at least one. If it is empty, tables are not restricted.
+        options: The name of an option and a pattern that its whole value must match, for any number of
+            options.
+    """
 
     group: str
     name: str = ""
@@ -42,123 +68,160 @@
     text: re.Pattern[str] | None = None
     cls: str | None = None
     kind: str | None = None
-    tables: frozenset[str] = frozenset()  # one of them is enough
+    tables: frozenset[str] = frozenset()
     options: tuple[tuple[str, re.Pattern[str]], ...] = ()
 
     @property
     def patterns(self) -> list[re.Pattern[str]]:
+        """All patterns that are set."""
         named = [self.user, self.team, self.source, self.text]
         return [p for p in named if p is not None] + [p for _, p in self.options]
 
     def match(self, query: Query) -> tuple[dict[str, str] | None, str]:
-        """What it captured, or None and what did not hold."""
-        found: dict[str, str] = {}
-        plain = (("class", self.cls, query.cls), ("kind", self.kind, query.kind))
-        for name, wanted, given in plain:
-            if wanted is not None and wanted != given:
-                return None, f"{name} is {given!r}, not {wanted!r}"
+        """Matches a query.
+
+        Returns:
+            If the query matches, the captured values by name and an empty text. Otherwise None and a text
+            that names a condition that the query does not meet.
+        """
+        captures: dict[str, str] = {}
+        exact_checks = (("class", self.cls, query.cls), ("kind", self.kind, query.kind))
+        for name, expected, actual in exact_checks:
+            if expected is not None and expected != actual:
+                return None, f"{name} is {actual!r}, not {expected!r}"
         if self.tables and not self.tables & query.tables:
-            return None, f"no table of {', '.join(sorted(self.tables))}"
-        checks = [("user", self.user, query.user), ("team", self.team, query.team)]
-        checks += [("source", self.source, query.source)]
-        checks += [(f"option {name}", p, query.options.get(name, "")) for name, p in self.options]
-        for name, pattern, given in checks:
+            return None, f"the query uses none of the tables {', '.join(sorted(self.tables))}"
+        pattern_checks = [("user", self.user, query.user), ("team", self.team, query.team)]
+        pattern_checks += [("source", self.source, query.source)]
+        pattern_checks += [(f"option {name}", p, query.options.get(name, "")) for name, p in self.options]
+        for name, pattern, actual in pattern_checks:
             if pattern is None:
                 continue
-            hit = pattern.fullmatch(given)
-            if hit is None:
-                return None, f"{name} {given!r} does not match {pattern.pattern!r}"
-            found |= {k: v for k, v in hit.groupdict().items() if v is not None}
+            match = pattern.fullmatch(actual)
+            if match is None:
+                return None, f"{name} {actual!r} does not match {pattern.pattern!r}"
+            captures |= {k: v for k, v in match.groupdict().items() if v is not None}
         if self.text is not None:
-            hit = self.text.search(query.text)
-            if hit is None:
+            match = self.text.search(query.text)
+            if match is None:
                 return None, f"the text does not match {self.text.pattern!r}"
-            found |= {k: v for k, v in hit.groupdict().items() if v is not None}
-        return found, ""
+            captures |= {k: v for k, v in match.groupdict().items() if v is not None}
+        return captures, ""
 
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """The selector that won, by its place, and the group's path."""
+    """The selector that was chosen for a query.
+
+    Attributes:
+        index: The position of the selector in the list.
+        path: The path of the group.
+    """
 
     index: int
     path: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
-    """One selector's verdict on a query, for `groups explain`."""
+class SelectorVerdict:
+    """The result of matching one selector against a query.
+
+    Attributes:
+        index: The position of the selector in the list.
+        name: The name of the selector.
+        is_match: Whether the selector matches the query.
+        is_chosen: Whether the selector is the first one that matches.
+        reason: The path of the group if the selector is chosen, otherwise the reason why it is not.
+    """
 
     index: int
     name: str
-    matched: bool
-    won: bool
-    why: str
+    is_match: bool
+    is_chosen: bool
+    reason: str
+
 
+def expand_path(template: str, captures: Mapping[str, str]) -> tuple[str, ...]:
+    """Returns the path of a group with the captured values in place of the placeholders.
 
-def path_of(template: str, captured: Mapping[str, str]) -> tuple[str, ...]:
-    """A group's path. What was captured cannot name another place in the tree: unfit signs become `_`."""
+    A captured value cannot lead to another part of the tree, because characters that are not allowed in names
+    of groups, such as slashes, are replaced by `_`.
+    """
 
-    def put(place: re.Match[str]) -> str:
-        text = _UNFIT.sub("_", captured.get(place[1], ""))[:MOST_NAME]
+    def substitute(placeholder: re.Match[str]) -> str:
+        text = _DISALLOWED_CHARACTER.sub("_", captures.get(placeholder[1], ""))[:MAX_CAPTURED_LENGTH]
         return text if text.strip(".") else "_"
 
-    return tuple(_PLACE.sub(put, part) for part in template.split("/") if part)
+    return tuple(_PLACEHOLDER.sub(substitute, part) for part in template.split("/") if part)
 
 
 def choose(selectors: Sequence[Selector], query: Query) -> Choice | None:
-    """The first selector that matches; None: none does."""
+    """Returns the first selector that matches a query, or None if no selector matches."""
     for index, selector in enumerate(selectors):
-        captured, _ = selector.match(query)
-        if captured is not None:
-            return Choice(index, path_of(selector.group, captured))
+        captures, _ = selector.match(query)
+        if captures is not None:
+            return Choice(index, expand_path(selector.group, captures))
     return None
 
 
-def explain(selectors: Sequence[Selector], query: Query) -> list[Line]:
-    """Every selector's verdict, in order; those behind the winner are told too."""
-    lines, won = [], False
+def explain(selectors: Sequence[Selector], query: Query) -> list[SelectorVerdict]:
+    """Returns the verdict of every selector, in order, including the selectors after the chosen one."""
+    verdicts, is_decided = [], False
     for index, selector in enumerate(selectors):
-        captured, why = selector.match(query)
-        matched = captured is not None
-        if captured is not None:
-            path = "/".join(path_of(selector.group, captured))
-            why = f"an earlier one has won; would be {path}" if won else path
-        lines.append(Line(index, selector.name, matched, matched and not won, why))
-        won = won or matched
-    return lines
+        captures, reason = selector.match(query)
+        is_match = captures is not None
+        if captures is not None:
+            path = "/".join(expand_path(selector.group, captures))
+            reason = f"an earlier selector matches; this one would choose {path}" if is_decided else path
+        verdicts.append(SelectorVerdict(index, selector.name, is_match, is_match and not is_decided, reason))
+        is_decided = is_decided or is_match
+    return verdicts
 
 
 def check_selectors(
-    selectors: Sequence[Selector], at: str = "/selectors"
+    selectors: Sequence[Selector], pointer: str = "/selectors"
 ) -> tuple[list[Problem], list[Problem]]:
-    """Problems, and warnings of selectors that can never win because an earlier one asks for less."""
+    """Returns the problems of a list of selectors, and warnings, each with its JSON pointer.
+
+    A warning names a selector that can never be chosen, because an earlier selector matches the same queries
+    under fewer conditions.
+
+    Args:
+        selectors: The selectors, in order.
+        pointer: The JSON pointer of the list.
+    """
     problems, warnings = [], []
     for index, selector in enumerate(selectors):
-        places = set(_PLACE.findall(selector.group))
-        missing = places - {name for pattern in selector.patterns for name in pattern.groupindex}
+        placeholders = set(_PLACEHOLDER.findall(selector.group))
+        missing = placeholders - {name for pattern in selector.patterns for name in pattern.groupindex}
         if missing:
-            text = f"nothing captures {', '.join(sorted(missing))}"
-            problems.append(Problem(f"{at}/{index}/group", text))
-        if not path_of(selector.group, {}):
-            problems.append(Problem(f"{at}/{index}/group", "names no group"))
-        for before, earlier in enumerate(selectors[:index]):
-            if _asks(earlier) <= _asks(selector):
-                text = f"never wins: selector {before} matches all that it does"
-                warnings.append(Problem(f"{at}/{index}", text))
+            text = f"no pattern captures {', '.join(sorted(missing))}"
+            problems.append(Problem(f"{pointer}/{index}/group", text))
+        if not expand_path(selector.group, {}):
+            problems.append(Problem(f"{pointer}/{index}/group", "expected the path of a group, got no names"))
+        for earlier_index, earlier in enumerate(selectors[:index]):
+            if _conditions(earlier) <= _conditions(selector):
+                text = f"never chosen: selector {earlier_index} matches every query that this one matches"
+                warnings.append(Problem(f"{pointer}/{index}", text))
                 break
     return problems, warnings
 
 
-def _asks(selector: Selector) -> frozenset[tuple[str, object]]:
-    """What must hold, as a set: fewer demands match more. Patterns are told apart by their text only."""
-    demands: set[tuple[str, object]] = set()
+def _conditions(selector: Selector) -> frozenset[tuple[str, object]]:
+    """Returns the conditions of a selector as a set.
+
+    A selector with a subset of the conditions matches at least the same queries. Two patterns are the same
+    condition only if their text and flags are equal.
+    """
+    conditions: set[tuple[str, object]] = set()
     for name in ("user", "team", "source", "text"):
         pattern = getattr(selector, name)
         if pattern is not None and pattern.pattern not in (".*", "(?s).*"):
-            demands.add((name, (pattern.pattern, pattern.flags)))
-    demands |= {(name, value) for name in ("cls", "kind") if (value := getattr(selector, name)) is not None}
+            conditions.add((name, (pattern.pattern, pattern.flags)))
+    conditions |= {
+        (name, value) for name in ("cls", "kind") if (value := getattr(selector, name)) is not None
+    }
     if selector.tables:
-        demands.add(("tables", selector.tables))
-    demands |= {(f"option {name}", (p.pattern, p.flags)) for name, p in selector.options}
-    return frozenset(demands)
+        conditions.add(("tables", selector.tables))
+    conditions |= {(f"option {name}", (p.pattern, p.flags)) for name, p in selector.options}
+    return frozenset(conditions)
--- a/saffronlane/groups/spec.py
+++ b/saffronlane/groups/spec.py
@@ -1,4 +1,4 @@
-"""What operators say of groups: immutable, checked as a whole, swapped as a whole."""
+"""Settings of resource groups. A tree is immutable, and is checked and replaced as a whole."""
 
 from __future__ import annotations
 
@@ -8,28 +8,32 @@
 
 from ..config.check import Problem
 
-MOST_DEPTH = 16
-MOST_WEIGHT = 1e6
-OTHER = "(other)"  # where queries go that no group of their own is for
+MAX_DEPTH = 16
+MAX_WEIGHT = 1e6
+OTHER_GROUP = "(other)"  # the child group for queries whose path names no existing group
 
 
 @dataclass(frozen=True, slots=True)
 class GroupSpec:
-    """One group and those below it.
+    """The settings of one group and of the groups below it.
 
     Attributes:
-        name: among its siblings.
-        weight: of its share of engine work beside its siblings that have work.
-        guaranteed: share of the fleet's threads under which it goes before siblings of its priority.
-        largest: share of the fleet's threads that it may have out at most, also where engines idle.
-        threads: that it may have out at most.
-        memory_mb: that its running queries may ask for at most.
-        queued: queries that may wait in it at most.
-        queue_time: seconds that a query may wait in it at most.
-        priority: among siblings; a higher one goes first whatever the shares.
-        children: queries wait only in groups without children.
-        each: the shape of groups made on demand below this one; its name is not used. None: none are made.
-        most: groups made on demand at once; past them queries share the group OTHER.
+        name: The name of the group, unique among its siblings.
+        weight: The group's share of engine work, relative to the siblings that have work.
+        guaranteed: A share of the fleet's threads. While the group uses less, it is served before siblings of
+            the same priority.
+        largest: The maximum share of the fleet's threads that the group may use, even if engines are idle.
+        threads: The maximum number of threads that the running queries of the group may use.
+        memory_mb: The maximum memory that the running queries of the group may request, in MB.
+        queued: The maximum number of queries that may wait in the group.
+        queue_time: The maximum time that a query may wait in the group, in seconds.
+        priority: The priority among siblings. A group of higher priority is served first, whatever the
+            shares.
+        children: The groups below this one. Queries wait only in groups without children.
+        each: The template of groups that are created on demand below this one. Its name is not used. If it is
+            None, no groups are created on demand.
+        most: The maximum number of groups created on demand at a time. Queries for further groups share the
+            child group `OTHER_GROUP`.
     """
 
     name: str
@@ -46,44 +50,55 @@
     most: int = 1000
 
 
-def check_tree(spec: GroupSpec, at: str = "/groups") -> list[Problem]:
-    """Everything that is wrong with a tree, each with its JSON pointer."""
-    return list(_problems(spec, at, 1, 1.0))
+def check_tree(spec: GroupSpec, pointer: str = "/groups") -> list[Problem]:
+    """Returns every problem of a tree, each with its JSON pointer.
+
+    Args:
+        spec: The root of the tree.
+        pointer: The JSON pointer of the root.
+    """
+    return list(_find_problems(spec, pointer, 1, 1.0))
 
 
-def _problems(spec: GroupSpec, at: str, depth: int, most: float) -> Iterator[Problem]:
+def _find_problems(spec: GroupSpec, pointer: str, depth: int, root_guarantee: float) -> Iterator[Problem]:
     if not spec.name or "/" in spec.name:
-        yield Problem(f"{at}/name", f"{spec.name!r} is no name: it needs a letter, and no slash")
-    if not 0.0 < spec.weight <= MOST_WEIGHT:
-        yield Problem(f"{at}/weight", f"{spec.weight:g} does not lie between 0 and {MOST_WEIGHT:g}")
+        yield Problem(
+            f"{pointer}/name", f"{spec.name!r} is not a valid name: it is empty or contains a slash"
+        )
+    if not 0.0 < spec.weight <= MAX_WEIGHT:
+        yield Problem(f"{pointer}/weight", f"{spec.weight:g} is not above 0 and at most {MAX_WEIGHT:g}")
     if not 0.0 < spec.largest <= 1.0:
-        yield Problem(f"{at}/largest", f"{spec.largest:g} does not lie between 0 and 1")
+        yield Problem(f"{pointer}/largest", f"{spec.largest:g} is not above 0 and at most 1")
     if not 0.0 <= spec.guaranteed <= spec.largest:
-        text = f"{spec.guaranteed:g} does not lie between 0 and its largest share of {spec.largest:g}"
-        yield Problem(f"{at}/guaranteed", text)
+        text = f"{spec.guaranteed:g} is not between 0 and the group's largest share, {spec.largest:g}"
+        yield Problem(f"{pointer}/guaranteed", text)
     for name in ("threads", "memory_mb", "queued", "queue_time"):
         if not getattr(spec, name) > 0.0:
-            yield Problem(f"{at}/{name}", f"{getattr(spec, name):g} is not above 0: nothing could ever run")
-    if depth > MOST_DEPTH:
-        yield Problem(at, f"deeper than {MOST_DEPTH} groups")
+            yield Problem(f"{pointer}/{name}", f"{getattr(spec, name):g} is not above 0: no query could run")
+    if depth > MAX_DEPTH:
+        yield Problem(pointer, f"the tree is deeper than {MAX_DEPTH} groups")
         return
-    part = sum(child.guaranteed for child in spec.children)
-    room = spec.guaranteed if depth > 1 else most
-    if part > room + 1e-9:
-        text = f"guarantees add up to {part:g}, and {room:g} is there to be given"
-        yield Problem(f"{at}/children", text)
+    guaranteed_sum = sum(child.guaranteed for child in spec.children)
+    available = spec.guaranteed if depth > 1 else root_guarantee
+    if guaranteed_sum > available + 1e-9:
+        text = f"the guaranteed shares add up to {guaranteed_sum:g}, but only {available:g} is available"
+        yield Problem(f"{pointer}/children", text)
     if spec.each is not None:
-        shape = replace(spec.each, name="each")
-        if shape.guaranteed:
+        template = replace(spec.each, name="each")
+        if template.guaranteed:
             yield Problem(
-                f"{at}/each/guaranteed", "groups made on demand are without number: none is guaranteed"
+                f"{pointer}/each/guaranteed",
+                "groups created on demand cannot have a guaranteed share: their number is not fixed",
             )
-        yield from _problems(shape, f"{at}/each", depth + 1, most)
+        yield from _find_problems(template, f"{pointer}/each", depth + 1, root_guarantee)
         if spec.most < 1:
-            yield Problem(f"{at}/most", f"{spec.most} is not above 0")
+            yield Problem(f"{pointer}/most", f"{spec.most} is not above 0")
     names: dict[str, int] = {}
     for index, child in enumerate(spec.children):
         if child.name in names:
-            yield Problem(f"{at}/children/{index}/name", f"{child.name!r} is group {names[child.name]} too")
+            yield Problem(
+                f"{pointer}/children/{index}/name",
+                f"{child.name!r} is already the name of group {names[child.name]}",
+            )
         names.setdefault(child.name, index)
-        yield from _problems(child, f"{at}/children/{index}", depth + 1, most)
+        yield from _find_problems(child, f"{pointer}/children/{index}", depth + 1, root_guarantee)
--- a/saffronlane/groups/tree.py
+++ b/saffronlane/groups/tree.py
@@ -1,12 +1,14 @@
-"""Which waiting query is next: hierarchical fair sharing of engine work, under limits.
+"""The order in which waiting queries run: hierarchical fair sharing of engine work, under limits.
 
-At each level, the group goes on that has had the least work for its weight. This is start-time fair queueing
-(Goyal, Vin and Cheng, 1996) over a tree: each group has a start tag; the one with the least is served and its
-tag grows by work / weight; one that comes back from idleness starts at its parent's virtual time, so that it
-has no credit from before, while an overdraft stays. Of two siblings that wait all the time, work over weight
-differs by at most the largest query of each over its weight.
+At each level of the tree, the group that has received the least work for its weight is served next. The
+algorithm is start-time fair queueing (Goyal, Vin and Cheng, 1996). Each group has a start tag. The group with
+the smallest tag is served, and its tag grows by work / weight. The tag of a group that becomes active after
+an idle period is raised to the virtual time of its parent, unless it is larger already. So a group gains no
+credit while it is idle, but work that it received beyond its share still counts. For any two siblings that
+always have waiting queries, the values of received work / weight differ by at most the sum of each one's
+largest query / weight.
 
-Queries of one group leave by deadline, so that the design's group EDF finds them in its own order.
+Within a group, queries run by deadline, which is the order that group EDF uses too.
 """
 
 from __future__ import annotations
@@ -18,21 +20,34 @@
 from dataclasses import dataclass, field, replace
 
 from .errors import Full
-from .spec import OTHER, GroupSpec
+from .spec import OTHER_GROUP, GroupSpec
 
-Path = tuple[str, ...]
+GroupPath = tuple[str, ...]
 
 
 @dataclass(slots=True, eq=False)
 class Item:
-    """A query as groups see it. `work` is in thread seconds, estimated; what it was is told at its end."""
+    """A query in the tree.
+
+    Attributes:
+        id: A unique number.
+        deadline: The deadline on the caller's clock. Queries of one group run in the order of their
+            deadlines.
+        work: The estimated work in thread seconds. `Tree.ended` is given the measured work.
+        threads: The number of threads that the query uses while it runs.
+        memory_mb: The memory that the query uses while it runs, in MB.
+        enqueued_at: The time on the caller's clock at which the query joined the tree.
+        node: The group in which the query waits or runs.
+        running: Whether the query is running.
+        gone: Whether the query has left the tree, either at its end or before it ran.
+    """
 
     id: int
     deadline: float
     work: float
     threads: float = 1.0
     memory_mb: float = 0.0
-    since: float = 0.0  # when it came, on the caller's clock
+    enqueued_at: float = 0.0
     node: Node | None = field(default=None, repr=False)
     running: bool = False
     gone: bool = False
@@ -40,36 +55,62 @@
 
 @dataclass(slots=True, eq=False)
 class Node:
-    """One group's state: what it has out, what waits below it, and its start tag."""
+    """The state of one group.
+
+    Attributes:
+        spec: The settings of the group.
+        parent: The group above this one. None for the root.
+        sequence_number: The order of creation. It decides between siblings that are equal otherwise.
+        children: The groups below this one, by name.
+        start_tag: The start tag of fair queueing, in seconds of work per unit of weight.
+        virtual_time: The virtual time of the children.
+        waiting: The number of waiting queries in this group and below it.
+        pending: The estimated work of the waiting queries, in thread seconds.
+        threads: The threads of the running queries in this group and below it.
+        memory: The memory of these running queries, in MB.
+        running: The number of these running queries.
+        work: The total work that the group was charged with, in thread seconds.
+        queue: The heap of waiting queries of a leaf, by deadline. It may contain queries that are gone.
+        ready_heap: The heap of children that may have a query to run. Entries of an old version are ignored.
+        entry_version: The version of this group's entry in the heap of the parent.
+        blocked_children: Children whose next query does not fit into the limits of this group at present.
+        first: The child that was blocked first. None if there is none.
+        bypass_allowance: The work of other queries that may still run before the query of `first`.
+        on_demand_count: The number of children that were created on demand.
+        is_on_demand: Whether this group was created on demand.
+        is_parked: Whether the group is absent from the heap of the parent, because it has no waiting queries
+            or because a limit applies.
+    """
 
     spec: GroupSpec
     parent: Node | None
-    order: int
+    sequence_number: int
     children: dict[str, Node] = field(default_factory=dict)
-    start: float = 0.0  # tag, in seconds of work a unit of weight
-    clock: float = 0.0  # virtual time of its children
+    start_tag: float = 0.0
+    virtual_time: float = 0.0
     waiting: int = 0
-    pending: float = 0.0  # work of what waits
+    pending: float = 0.0
     threads: float = 0.0
     memory: float = 0.0
     running: int = 0
-    work: float = 0.0  # of all that it was charged with
-    queue: list[tuple[float, int, Item]] = field(default_factory=list)  # heap, of a leaf
-    ready: list[tuple[int, int, float, int, int, Node]] = field(default_factory=list)  # heap of children
-    version: int = 0  # of its entry in the parent's heap
-    held: list[Node] = field(default_factory=list)  # children whose next query finds no room here
-    first: Node | None = None  # the first of them, and the work that may still pass it
-    room: float = 0.0
-    made: int = 0  # children made on demand
-    on_demand: bool = False
-    parked: bool = True  # not in the parent's heap: nothing waits, or a limit binds
+    work: float = 0.0
+    queue: list[tuple[float, int, Item]] = field(default_factory=list)
+    ready_heap: list[tuple[int, int, float, int, int, Node]] = field(default_factory=list)
+    entry_version: int = 0
+    blocked_children: list[Node] = field(default_factory=list)
+    first: Node | None = None
+    bypass_allowance: float = 0.0
+    on_demand_count: int = 0
+    is_on_demand: bool = False
+    is_parked: bool = True
 
     @property
-    def path(self) -> Path:
+    def path(self) -> GroupPath:
+        """The names of the groups on the way from the root to this one. The root itself is not included."""
         return (*self.parent.path, self.spec.name) if self.parent is not None else ()
 
     def line(self) -> Iterator[Node]:
-        """This group and those above it, the root last."""
+        """Returns this group and its ancestors, the root last."""
         node: Node | None = self
         while node is not None:
             yield node
@@ -77,110 +118,136 @@
 
 
 class Tree:
-    """All groups of one gateway. `capacity` is the threads that it may have out, over all engines."""
+    """All groups of one gateway.
+
+    Args:
+        spec: The settings of the root.
+        capacity: The number of threads that the gateway's running queries may use, over all engines.
+    """
 
     def __init__(self, spec: GroupSpec, capacity: float) -> None:
         self.capacity = capacity
-        self._orders = itertools.count()
+        self._sequence_numbers = itertools.count()
         self._entries = itertools.count()
-        self.root = self._make(spec, None)
-        self._items: dict[int, Item] = {}  # that wait or run
-        self._ends: list[tuple[float, int, Item]] = []  # heap of the times at which queue times are over
+        self.root = self._build(spec, None)
+        self._items: dict[int, Item] = {}  # waiting and running queries
+        self._queue_expirations: list[tuple[float, int, Item]] = []  # heap by time
 
-    def _make(self, spec: GroupSpec, parent: Node | None) -> Node:
-        node = Node(spec, parent, next(self._orders))
-        node.children = {child.name: self._make(child, node) for child in spec.children}
+    def _build(self, spec: GroupSpec, parent: Node | None) -> Node:
+        node = Node(spec, parent, next(self._sequence_numbers))
+        node.children = {child.name: self._build(child, node) for child in spec.children}
         return node
 
-    def find(self, path: Path) -> Node:
-        """KeyError where there is no such group."""
+    def find(self, path: GroupPath) -> Node:
+        """Returns the group of a path.
+
+        Raises:
+            KeyError: The tree has no such group.
+        """
         node = self.root
         for name in path:
             node = node.children[name]
         return node
 
-    def place(self, path: Path) -> Node:
-        """The group for a query: made where a shape says so, else as far down as there is one.
+    def find_leaf(self, path: GroupPath) -> Node:
+        """Returns the group in which a query with a given path waits, and creates it if necessary.
 
-        Where the way ends in a group with others below it, queries wait in its group OTHER.
+        A missing group on the path is created if its parent has a template for groups created on demand.
+        Otherwise the search ends at the last existing group. A query whose search ends at a group with
+        children, or with a template, waits in the child `OTHER_GROUP` of that group.
         """
         node = self.root
         for name in path:
-            child = node.children.get(name) or self._on_demand(node, name)
+            child = node.children.get(name) or self._create_on_demand(node, name)
             if child is None:
                 break
             node = child
         while node.children or node.spec.each is not None:
-            node = node.children.get(OTHER) or self._add(node, GroupSpec(OTHER))
+            node = node.children.get(OTHER_GROUP) or self._add_child(node, GroupSpec(OTHER_GROUP))
         return node
 
-    def _on_demand(self, node: Node, name: str) -> Node | None:
-        shape = node.spec.each
-        if shape is None:
+    def _create_on_demand(self, node: Node, name: str) -> Node | None:
+        template = node.spec.each
+        if template is None:
             return None
-        if node.made >= node.spec.most:
-            self._collect(node)
-        if node.made >= node.spec.most:
+        if node.on_demand_count >= node.spec.most:
+            self._collect_idle(node)
+        if node.on_demand_count >= node.spec.most:
             return None
-        node.made += 1
-        child = self._add(node, replace(shape, name=name))
-        child.on_demand = True
+        node.on_demand_count += 1
+        child = self._add_child(node, replace(template, name=name))
+        child.is_on_demand = True
         return child
 
-    def _add(self, node: Node, spec: GroupSpec) -> Node:
-        child = node.children[spec.name] = self._make(spec, node)
-        child.start = node.clock
+    def _add_child(self, node: Node, spec: GroupSpec) -> Node:
+        child = node.children[spec.name] = self._build(spec, node)
+        child.start_tag = node.virtual_time
         return child
 
     @staticmethod
-    def _collect(node: Node) -> None:
-        """Forget groups made on demand that are idle and owe nothing: a new one would be just the same."""
+    def _collect_idle(node: Node) -> None:
+        """Removes idle groups that were created on demand, unless they received more than their share.
+
+        A new group of the same name would have the same state, so that the removal changes no shares.
+        """
         idle = [
             name
-            for name, one in node.children.items()
-            if one.on_demand and not one.waiting and not one.running and one.start <= node.clock
+            for name, child in node.children.items()
+            if child.is_on_demand
+            and not child.waiting
+            and not child.running
+            and child.start_tag <= node.virtual_time
         ]
         for name in idle:
-            node.children.pop(name).version += 1
-        node.made -= len(idle)
+            node.children.pop(name).entry_version += 1
+        node.on_demand_count -= len(idle)
+
+    # --- arrival and end of queries ---
 
-    # --- queries come and go ---
+    def join(self, item: Item, path: GroupPath) -> None:
+        """Adds a query to the queue of a group.
 
-    def join(self, item: Item, path: Path) -> None:
-        """Let a query wait in a group. Full where that or one above it takes no more."""
-        leaf = self.place(path)
+        Raises:
+            Full: The queue of the group or of one of its ancestors is at its limit.
+        """
+        leaf = self.find_leaf(path)
         for node in leaf.line():
             if node.waiting + 1 > node.spec.queued:
-                raise Full(f"{int(node.spec.queued)} queries wait in group {'/'.join(node.path) or '/'}")
+                raise Full(
+                    f"queue limit reached: {int(node.spec.queued)} queries wait in group"
+                    f" {'/'.join(node.path) or '/'}"
+                )
         item.node = leaf
         self._items[item.id] = item
         heapq.heappush(leaf.queue, (item.deadline, item.id, item))
         for node in leaf.line():
             node.waiting += 1
             node.pending += item.work
-        self._limit_wait(item, leaf)
-        self._wake(leaf)
-
-    def _limit_wait(self, item: Item, leaf: Node) -> None:
-        end = item.since + min(node.spec.queue_time for node in leaf.line())
-        if end < math.inf:
-            heapq.heappush(self._ends, (end, item.id, item))
-            if len(self._ends) > 2 * self.root.waiting + 16:
-                self._ends = [e for e in self._ends if not e[2].running and not e[2].gone]
-                heapq.heapify(self._ends)
-
-    def overdue(self, now: float) -> list[Item]:
-        """Queries that have waited longer than one of their groups allows; they are given up here."""
-        found = []
-        while self._ends and self._ends[0][0] <= now:
-            item = heapq.heappop(self._ends)[2]
+        self._track_queue_time(item, leaf)
+        self._refresh_ancestors(leaf)
+
+    def _track_queue_time(self, item: Item, leaf: Node) -> None:
+        expires_at = item.enqueued_at + min(node.spec.queue_time for node in leaf.line())
+        if expires_at < math.inf:
+            heapq.heappush(self._queue_expirations, (expires_at, item.id, item))
+            if len(self._queue_expirations) > 2 * self.root.waiting + 16:
+                self._queue_expirations = [
+                    entry for entry in self._queue_expirations if not entry[2].running and not entry[2].gone
+                ]
+                heapq.heapify(self._queue_expirations)
+
+    def remove_overdue(self, now: float) -> list[Item]:
+        """Removes and returns the queries that have waited longer than one of their groups allows."""
+        overdue = []
+        while self._queue_expirations and self._queue_expirations[0][0] <= now:
+            item = heapq.heappop(self._queue_expirations)[2]
             if not item.running and not item.gone:
                 self.leave(item)
-                found.append(item)
-        return found
+                overdue.append(item)
+        return overdue
 
     def leave(self, item: Item) -> None:
-        """A query that waits is given up."""
+        """Removes a waiting query. A query that is running or gone is ignored."""
         if item.node is None or item.running or item.gone:
             return
         item.gone = True
@@ -188,12 +255,15 @@
         for node in item.node.line():
             node.waiting -= 1
             node.pending = node.pending - item.work if node.waiting else 0.0
-        self._tidy(item.node)
-        self._wake(item.node)  # the one behind it may fit where it did not
+        self._compact_queue(item.node)
+        self._refresh_ancestors(item.node)  # the next query of the group may fit into the limits
 
     def next(self) -> Item | None:
-        """The query whose turn it is, charged to its groups; None: nothing waits that limits let run."""
-        leaf = self._peek(self.root)
+        """Returns the query to run next and charges its groups with its estimated work.
+
+        Returns None if no query waits, or if limits prevent all waiting queries from running.
+        """
+        leaf = self._peek_leaf(self.root)
         if leaf is None:
             return None
         _, _, item = heapq.heappop(leaf.queue)
@@ -205,19 +275,25 @@
             node.threads += item.threads
             node.memory += item.memory_mb
             if node.parent is not None:
-                node.parent.clock = max(node.parent.clock, node.start)
+                node.parent.virtual_time = max(node.parent.virtual_time, node.start_tag)
             self._charge(node, item.work)
         for child, node in itertools.pairwise(leaf.line()):
             if child is node.first:
                 node.first = None
             elif node.first is not None:
-                node.room -= item.work
-        self._tidy(leaf)
-        self._wake(leaf)
+                node.bypass_allowance -= item.work
+        self._compact_queue(leaf)
+        self._refresh_ancestors(leaf)
         return item
 
     def ended(self, item: Item, work: float | None = None) -> None:
-        """A query that ran is over. `work` is what it took; None: it never ran, and costs nothing."""
+        """Records the end of a query that was running.
+
+        Args:
+            item: The query. Ignored unless it is running.
+            work: The measured work in thread seconds, charged in place of the estimate. None if no engine ran
+                the query, so that it costs nothing.
+        """
         if item.node is None or not item.running:
             return
         item.running, item.gone = False, True
@@ -225,49 +301,54 @@
         correction = (work if work is not None else 0.0) - item.work
         for node in item.node.line():
             node.running -= 1
-            # Sums of many floats never come back to nothing by themselves, and limits look at them.
+            # Limits are compared with these sums. Rounding errors would keep them from returning to exactly
+            # 0.
             node.threads = node.threads - item.threads if node.running else 0.0
             node.memory = node.memory - item.memory_mb if node.running else 0.0
             self._charge(node, correction)
-        self._wake(item.node)
+        self._refresh_ancestors(item.node)
 
     def resize(self, capacity: float) -> None:
-        """The fleet has grown or shrunk: shares of it are others now, for what runs too."""
+        """Sets the capacity after a change of the fleet. Running queries count against the new limits."""
         self.capacity = capacity
         for node in self._all(self.root):
-            self._free(node)
-            self._push(node)
+            self._unblock_children(node)
+            self._update_in_parent(node)
+
+    def replace_spec(self, spec: GroupSpec, path_of: Callable[[Item], GroupPath]) -> None:
+        """Replaces the settings of all groups. No query is ended, and the accounts of groups are kept.
 
-    def swap(self, spec: GroupSpec, where: Callable[[Item], Path]) -> None:
-        """Go on with another tree: nothing is killed, and no account is forgiven.
+        A running query counts in the group of its path, or in the nearest ancestor that still exists. A
+        waiting query moves to the group that `path_of` returns, even if that exceeds the new limits on
+        waiting queries. The work that a group received beyond its share is kept, even if its weight changes.
 
-        What runs counts in the group of its path, or in the nearest one above that is still there. What waits
-        goes where `where` says, whatever the new limits on waiting are. A group keeps what it owes beside its
-        siblings, in work, whatever its weight was and is.
+        Args:
+            spec: The settings of the new root.
+            path_of: Returns the new path of a waiting query.
         """
-        old, items = self.root, sorted(self._items.values(), key=lambda i: i.id)
-        self._ends = []
-        self.root = self._make(spec, None)
-        self._inherit(old, self.root)
+        old_root, items = self.root, sorted(self._items.values(), key=lambda i: i.id)
+        self._queue_expirations = []
+        self.root = self._build(spec, None)
+        self._transfer_accounts(old_root, self.root)
         for item in items:
             assert item.node is not None
             if item.running:
-                item.node = self._nearest(item.node.path)
+                item.node = self._find_nearest(item.node.path)
                 for node in item.node.line():
                     node.running += 1
                     node.threads += item.threads
                     node.memory += item.memory_mb
             else:
-                item.node = leaf = self.place(where(item))
+                item.node = leaf = self.find_leaf(path_of(item))
                 heapq.heappush(leaf.queue, (item.deadline, item.id, item))
                 for node in leaf.line():
                     node.waiting += 1
                     node.pending += item.work
-                self._limit_wait(item, leaf)
+                self._track_queue_time(item, leaf)
         for node in self._all(self.root):
-            self._push(node)
+            self._update_in_parent(node)
 
-    def _nearest(self, path: Path) -> Node:
+    def _find_nearest(self, path: GroupPath) -> Node:
         node = self.root
         for name in path:
             if name not in node.children:
@@ -275,39 +356,44 @@
             node = node.children[name]
         return node
 
-    def _inherit(self, old: Node, new: Node) -> None:
-        """Accounts by path; groups made on demand live on where their shape does."""
-        new.clock, new.work = old.clock, old.work
-        for name, before in old.children.items():
+    def _transfer_accounts(self, old: Node, new: Node) -> None:
+        """Copies accounts between groups of the same path.
+
+        Groups that were created on demand are created again if their parent still has a template.
+        """
+        new.virtual_time, new.work = old.virtual_time, old.work
+        for name, old_child in old.children.items():
             child = new.children.get(name)
-            if child is None and (before.on_demand and new.spec.each is not None):
-                child = self._on_demand(new, name)
-            elif child is None and name == OTHER and (new.children or new.spec.each is not None):
-                child = self._add(new, GroupSpec(OTHER))
+            if child is None and (old_child.is_on_demand and new.spec.each is not None):
+                child = self._create_on_demand(new, name)
+            elif child is None and name == OTHER_GROUP and (new.children or new.spec.each is not None):
+                child = self._add_child(new, GroupSpec(OTHER_GROUP))
             if child is None:
                 continue
-            owed = max(0.0, before.start - old.clock) * before.spec.weight
-            child.start = new.clock + owed / child.spec.weight
-            self._inherit(before, child)
+            excess_work = max(0.0, old_child.start_tag - old.virtual_time) * old_child.spec.weight
+            child.start_tag = new.virtual_time + excess_work / child.spec.weight
+            self._transfer_accounts(old_child, child)
         for child in new.children.values():
-            child.start = max(child.start, new.clock)
+            child.start_tag = max(child.start_tag, new.virtual_time)
 
-    def drain_time(self, path: Path, rate: float) -> float:
-        """Seconds in which what waits in a group would have run, at the share that weights give it now.
+    def drain_time(self, path: GroupPath, rate: float) -> float:
+        """Returns the seconds until the waiting queries of a group have run, at its present share by weight.
 
-        `rate` is the thread seconds that the gateway gets done in a second.
+        Args:
+            path: The path of the group. If it does not exist, its nearest existing ancestor is used.
+            rate: The thread seconds of work that the gateway completes per second.
         """
-        node = self._nearest(path)
+        node = self._find_nearest(path)
         share = 1.0
-        for one in node.line():
-            if one.parent is not None:
-                others = [
-                    c for c in one.parent.children.values() if c is not one and (c.waiting or c.running)
+        for group in node.line():
+            if group.parent is not None:
+                siblings = [
+                    c for c in group.parent.children.values() if c is not group and (c.waiting or c.running)
                 ]
-                share *= one.spec.weight / (one.spec.weight + sum(c.spec.weight for c in others))
+                share *= group.spec.weight / (group.spec.weight + sum(c.spec.weight for c in siblings))
         return node.pending / (rate * share) if rate > 0.0 else math.inf
 
-    # --- inside ---
+    # --- internal ---
 
     def _all(self, node: Node) -> Iterator[Node]:
         yield node
@@ -317,77 +403,101 @@
     @staticmethod
     def _charge(node: Node, work: float) -> None:
         node.work += work
-        node.start += work / node.spec.weight
+        node.start_tag += work / node.spec.weight
 
     def _fits(self, node: Node, item: Item) -> bool:
-        """Whether limits let it run. One alone always may: else what is larger than a limit never could."""
+        """Returns whether the limits of a group allow a query to run.
+
+        A query always fits into a group without running queries. Otherwise a query larger than a limit could
+        never run.
+        """
         if not node.running:
             return True
         spec = node.spec
-        most = min(spec.threads, spec.largest * self.capacity)
-        return node.threads + item.threads <= most and node.memory + item.memory_mb <= spec.memory_mb
+        max_threads = min(spec.threads, spec.largest * self.capacity)
+        return node.threads + item.threads <= max_threads and node.memory + item.memory_mb <= spec.memory_mb
 
-    def _peek(self, node: Node) -> Node | None:
-        """The group whose first query is next below a node; children that a limit binds are parked."""
+    def _peek_leaf(self, node: Node) -> Node | None:
+        """Returns the leaf below a group whose first query is next. None if there is none.
+
+        Children that cannot run a query at present are removed from the heap.
+        """
         if not node.children:
             if not node.queue or not self._fits(node, node.queue[0][2]):
                 return None
             return node
-        while node.ready:
-            *_, version, child = node.ready[0]
-            leaf = self._peek(child) if version == child.version and child.waiting else None
+        while node.ready_heap:
+            *_, version, child = node.ready_heap[0]
+            leaf = self._peek_leaf(child) if version == child.entry_version and child.waiting else None
             if leaf is not None:
-                head = leaf.queue[0][2]
-                if self._fits(node, head):
-                    return leaf if child is node.first or self._may_pass(node, head) else None
-                node.held.append(child)  # too large for what is left here: smaller ones may go meanwhile
+                item = leaf.queue[0][2]
+                if self._fits(node, item):
+                    return leaf if child is node.first or self._may_bypass(node, item) else None
+                # The query is too large at present, but smaller queries of other children may fit.
+                node.blocked_children.append(child)
                 if node.first is None:
-                    node.first, node.room = child, head.work
-            heapq.heappop(node.ready)
-            child.parked = child.parked or version == child.version
+                    node.first, node.bypass_allowance = child, item.work
+            heapq.heappop(node.ready_heap)
+            child.is_parked = child.is_parked or version == child.entry_version
         return None
 
     @staticmethod
-    def _may_pass(node: Node, item: Item) -> bool:
-        """Others pass a query that finds no room by as much work as its own: then it is let in first."""
-        return node.first is None or item.work <= node.room
+    def _may_bypass(node: Node, item: Item) -> bool:
+        """Returns whether a query may run before the first query that is blocked in a group.
 
-    def _wake(self, leaf: Node) -> None:
-        """Something changed on this line: what was parked there is looked at again, with its new place."""
+        Other queries may run before the blocked query until their work adds up to its own work. Then they
+        wait until the blocked query fits, so that it does not starve.
+        """
+        return node.first is None or item.work <= node.bypass_allowance
+
+    def _refresh_ancestors(self, leaf: Node) -> None:
+        """Unblocks the children of a leaf's ancestors and updates the heaps after a change in the leaf."""
         for node in leaf.line():
-            self._free(node)
-            self._push(node)
+            self._unblock_children(node)
+            self._update_in_parent(node)
 
-    def _free(self, node: Node) -> None:
-        """Look again at the children that found no room here."""
+    def _unblock_children(self, node: Node) -> None:
+        """Adds the blocked children of a group to its heap again."""
         if node.first is not None and not node.first.waiting:
             node.first = None
-        held, node.held = node.held, []
-        for child in held:
-            child.parked = False  # it keeps its place: not its own limit held it
-            self._push(child)
-
-    def _push(self, node: Node) -> None:
+        unblocked_children, node.blocked_children = node.blocked_children, []
+        for child in unblocked_children:
+            # Not parked, so that the child keeps its start tag: a limit of this group blocked it, not its
+            # own.
+            child.is_parked = False
+            self._update_in_parent(child)
+
+    def _update_in_parent(self, node: Node) -> None:
         if node.parent is None or not node.waiting:
-            node.version += 1
-            node.parked = True
+            node.entry_version += 1
+            node.is_parked = True
             return
-        node.version += 1
-        if node.parked:  # a limit held it, or nothing waited: no credit for what it could not have used
-            node.start = max(node.start, node.parent.clock)
-            node.parked = False
-        short = node.threads < node.spec.guaranteed * self.capacity
-        entry = (-node.spec.priority, not short, node.start, node.order, node.version, node)
-        heapq.heappush(node.parent.ready, entry)
-        if len(node.parent.ready) > 4 * len(node.parent.children) + 16:  # entries of old versions
-            valid = [e for e in node.parent.ready if e[4] == e[5].version]
-            heapq.heapify(valid)
-            node.parent.ready = valid
+        node.entry_version += 1
+        # The group gets no credit for the time in which it had no waiting query or was at a limit.
+        if node.is_parked:
+            node.start_tag = max(node.start_tag, node.parent.virtual_time)
+            node.is_parked = False
+        is_below_guarantee = node.threads < node.spec.guaranteed * self.capacity
+        entry = (
+            -node.spec.priority,
+            not is_below_guarantee,
+            node.start_tag,
+            node.sequence_number,
+            node.entry_version,
+            node,
+        )
+        heapq.heappush(node.parent.ready_heap, entry)
+        # Removes entries of old versions.
+        if len(node.parent.ready_heap) > 4 * len(node.parent.children) + 16:
+            current_entries = [e for e in node.parent.ready_heap if e[4] == e[5].entry_version]
+            heapq.heapify(current_entries)
+            node.parent.ready_heap = current_entries
 
     @staticmethod
-    def _tidy(leaf: Node) -> None:
+    def _compact_queue(leaf: Node) -> None:
         while leaf.queue and leaf.queue[0][2].gone:
             heapq.heappop(leaf.queue)
-        if len(leaf.queue) > 2 * leaf.waiting + 16:  # given up further behind
+        # Removes queries that are gone from behind the head of the queue.
+        if len(leaf.queue) > 2 * leaf.waiting + 16:
             leaf.queue = [entry for entry in leaf.queue if not entry[2].gone]
             heapq.heapify(leaf.queue)
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -1,4 +1,4 @@
-"""The tree of groups: shares of work, limits, nothing hoarded, nothing stuck, and accounts that balance."""
+"""Tests of the tree of groups: shares of work, limits, bounded memory, progress and accounting."""
 
 from __future__ import annotations
 
@@ -15,258 +15,265 @@
 from saffronlane.groups.tree import Node
 
 
-def tree(*groups: GroupSpec, capacity: float = 100.0, **root: float) -> Tree:
+def make_tree(*groups: GroupSpec, capacity: float = 100.0, **root: float) -> Tree:
     spec = GroupSpec("root", children=groups, **root)  # type: ignore[arg-type]
     assert check_tree(spec) == []
     return Tree(spec, capacity)
 
 
-class Feed:
-    """Keeps groups backlogged, and counts what each was given."""
+class TreeDriver:
+    """Adds queries to a tree and runs them, and records the work that each group received."""
 
     def __init__(self, tree: Tree, seed: int = 1) -> None:
-        self.tree, self.draw = tree, random.Random(seed)
-        self.number = 0
-        self.given: dict[tuple[str, ...], float] = {}
-        self.largest: dict[tuple[str, ...], float] = {}
+        self.tree, self.random = tree, random.Random(seed)
+        self.last_id = 0
+        self.work_by_path: dict[tuple[str, ...], float] = {}
+        self.largest_work: dict[tuple[str, ...], float] = {}
 
     def join(self, path: tuple[str, ...], work: float, **fields: float) -> Item:
-        self.number += 1
-        item = Item(self.number, fields.pop("deadline", float(self.number)), work, **fields)
+        self.last_id += 1
+        item = Item(self.last_id, fields.pop("deadline", float(self.last_id)), work, **fields)
         self.tree.join(item, path)
-        self.largest[path] = max(self.largest.get(path, 0.0), work)
+        self.largest_work[path] = max(self.largest_work.get(path, 0.0), work)
         return item
 
-    def take(self, count: int, end: bool = True) -> list[Item]:
-        taken = []
+    def run_next(self, count: int, end: bool = True) -> list[Item]:
+        started = []
         for _ in range(count):
             item = self.tree.next()
             if item is None:
                 break
             assert item.node is not None
             path = item.node.path
-            self.given[path] = self.given.get(path, 0.0) + item.work
-            taken.append(item)
+            self.work_by_path[path] = self.work_by_path.get(path, 0.0) + item.work
+            started.append(item)
             if end:
                 self.tree.ended(item, item.work)
-        return taken
+        return started
 
 
 @pytest.mark.parametrize("weights", [(1.0, 1.0), (1.0, 3.0, 6.0), (1.0, 10_000.0), (0.5, 2.0, 2.0, 100.0)])
-def test_siblings_that_always_wait_get_work_by_weight_within_the_stated_bound(weights):
-    """|W/w - V/v| <= largest/w + largest/v at every moment, whatever the sizes of the queries."""
+def test_backlogged_siblings_receive_work_by_weight_within_the_documented_bound(weights):
+    """|W/w - V/v| <= largest_w/w + largest_v/v at all times, for any sizes of queries.
+
+    W and V are the work that two groups received, w and v their weights.
+    """
     names = [f"g{n}" for n in range(len(weights))]
-    feed = Feed(tree(*(GroupSpec(n, weight=w) for n, w in zip(names, weights, strict=True))))
+    driver = TreeDriver(make_tree(*(GroupSpec(n, weight=w) for n, w in zip(names, weights, strict=True))))
     waiting = dict.fromkeys(names, 0)
     for _ in range(3000):
         for name in names:
             while waiting[name] < 3:
-                feed.join((name,), feed.draw.lognormvariate(-2.0, 1.5))
+                driver.join((name,), driver.random.lognormvariate(-2.0, 1.5))
                 waiting[name] += 1
-        (item,) = feed.take(1)
+        (item,) = driver.run_next(1)
         assert item.node is not None
         waiting[item.node.spec.name] -= 1
         for a, w in zip(names, weights, strict=True):
             for b, v in zip(names, weights, strict=True):
-                lag = feed.given.get((a,), 0.0) / w - feed.given.get((b,), 0.0) / v
-                assert lag <= feed.largest[(a,)] / w + feed.largest[(b,)] / v + 1e-9
+                lag = driver.work_by_path.get((a,), 0.0) / w - driver.work_by_path.get((b,), 0.0) / v
+                assert lag <= driver.largest_work[(a,)] / w + driver.largest_work[(b,)] / v + 1e-9
 
 
-def test_shares_hold_at_each_level_of_a_tree():
+def test_shares_hold_at_each_level_of_the_tree():
     teams = GroupSpec("teams", weight=3.0, children=(GroupSpec("a"), GroupSpec("b", weight=2.0)))
-    feed = Feed(tree(teams, GroupSpec("night")))
+    driver = TreeDriver(make_tree(teams, GroupSpec("night")))
     for _ in range(6000):
         for path in (("teams", "a"), ("teams", "b"), ("night",)):
-            feed.join(path, 0.1)
-    feed.take(4000)
-    whole = sum(feed.given.values())
-    shares = {path: given / whole for path, given in feed.given.items()}
+            driver.join(path, 0.1)
+    driver.run_next(4000)
+    total = sum(driver.work_by_path.values())
+    shares = {path: work / total for path, work in driver.work_by_path.items()}
     assert shares[("night",)] == pytest.approx(0.25, abs=0.01)
     assert shares[("teams", "a")] == pytest.approx(0.25, abs=0.01)
     assert shares[("teams", "b")] == pytest.approx(0.5, abs=0.01)
 
 
-def test_what_a_sibling_does_not_use_goes_to_the_others_and_comes_back_without_credit():
-    """A group that was idle for an hour gets its share from now on, and not the hour."""
-    feed = Feed(tree(GroupSpec("a"), GroupSpec("b")))
+def test_unused_share_goes_to_siblings_and_idle_time_gives_no_credit():
+    """Guards against a group that receives the work of its idle period at once when it becomes active."""
+    driver = TreeDriver(make_tree(GroupSpec("a"), GroupSpec("b")))
     for _ in range(1000):
-        feed.join(("a",), 1.0)
-    feed.take(500)
-    assert feed.given == {("a",): 500.0}
+        driver.join(("a",), 1.0)
+    driver.run_next(500)
+    assert driver.work_by_path == {("a",): 500.0}
     for _ in range(200):
-        feed.join(("b",), 1.0)
-    feed.given.clear()
-    feed.take(100)
-    assert abs(feed.given[("a",)] - feed.given[("b",)]) <= 2.0
+        driver.join(("b",), 1.0)
+    driver.work_by_path.clear()
+    driver.run_next(100)
+    assert abs(driver.work_by_path[("a",)] - driver.work_by_path[("b",)]) <= 2.0
 
 
-def test_a_limit_that_held_a_group_gives_it_no_credit_either():
-    feed = Feed(tree(GroupSpec("a", threads=1.0), GroupSpec("b")))
+def test_time_at_a_limit_gives_no_credit():
+    driver = TreeDriver(make_tree(GroupSpec("a", threads=1.0), GroupSpec("b")))
     for _ in range(600):
-        feed.join(("a",), 1.0)
-        feed.join(("b",), 1.0)
-    held = feed.take(1, end=False)
-    assert held[0].node is not None and held[0].node.spec.name == "a"
-    feed.take(300)
-    assert feed.given[("b",)] == 300.0
-    feed.tree.ended(held[0], 1.0)
-    feed.given.clear()
-    feed.take(100)
-    assert abs(feed.given[("a",)] - feed.given[("b",)]) <= 2.0
-
-
-def test_an_estimate_wrong_by_twenty_times_is_paid_for_at_the_end():
-    feed = Feed(tree(GroupSpec("a"), GroupSpec("b")))
+        driver.join(("a",), 1.0)
+        driver.join(("b",), 1.0)
+    running = driver.run_next(1, end=False)
+    assert running[0].node is not None and running[0].node.spec.name == "a"
+    driver.run_next(300)
+    assert driver.work_by_path[("b",)] == 300.0
+    driver.tree.ended(running[0], 1.0)
+    driver.work_by_path.clear()
+    driver.run_next(100)
+    assert abs(driver.work_by_path[("a",)] - driver.work_by_path[("b",)]) <= 2.0
+
+
+def test_measured_work_replaces_an_estimate_that_is_20_times_too_low():
+    driver = TreeDriver(make_tree(GroupSpec("a"), GroupSpec("b")))
     for _ in range(400):
-        feed.join(("a",), 0.1)
-        feed.join(("b",), 2.0)
+        driver.join(("a",), 0.1)
+        driver.join(("b",), 2.0)
     used = {"a": 0.0, "b": 0.0}
     for _ in range(200):
-        item = feed.tree.next()
+        item = driver.tree.next()
         assert item is not None and item.node is not None
-        used[item.node.spec.name] += 2.0  # whatever was estimated
-        feed.tree.ended(item, 2.0)
+        used[item.node.spec.name] += 2.0  # independent of the estimate
+        driver.tree.ended(item, 2.0)
     assert abs(used["a"] - used["b"]) <= 6.0
 
 
-def test_what_never_ran_costs_nothing():
-    feed = Feed(tree(GroupSpec("a"), GroupSpec("b")))
+def test_query_that_no_engine_ran_is_not_charged():
+    driver = TreeDriver(make_tree(GroupSpec("a"), GroupSpec("b")))
     for _ in range(10):
-        feed.join(("a",), 1.0)
-    before = feed.tree.find(("a",)).start
-    item = feed.tree.next()
+        driver.join(("a",), 1.0)
+    initial_start_tag = driver.tree.find(("a",)).start_tag
+    item = driver.tree.next()
     assert item is not None
-    feed.tree.ended(item)
-    node = feed.tree.find(("a",))
-    assert (node.start, node.work, node.threads, node.running) == (before, 0.0, 0.0, 0)
-    feed.tree.ended(item)  # told twice
+    driver.tree.ended(item)
+    node = driver.tree.find(("a",))
+    assert (node.start_tag, node.work, node.threads, node.running) == (initial_start_tag, 0.0, 0.0, 0)
+    driver.tree.ended(item)  # a second report of the end is ignored
     assert node.work == 0.0
 
 
-def test_a_query_larger_than_its_groups_limit_runs_at_last_and_alone():
-    feed = Feed(tree(GroupSpec("a", threads=4.0), GroupSpec("b")))
-    small = feed.join(("a",), 1.0, deadline=1.0)
-    huge = feed.join(("a",), 50.0, deadline=2.0, threads=40.0)
-    feed.join(("b",), 1.0)
-    first = feed.take(5, end=False)
+def test_query_larger_than_the_limit_of_its_group_runs_alone():
+    driver = TreeDriver(make_tree(GroupSpec("a", threads=4.0), GroupSpec("b")))
+    small = driver.join(("a",), 1.0, deadline=1.0)
+    huge = driver.join(("a",), 50.0, deadline=2.0, threads=40.0)
+    driver.join(("b",), 1.0)
+    first = driver.run_next(5, end=False)
     assert small in first and huge not in first and len(first) == 2
-    feed.tree.ended(small, 1.0)
-    assert feed.take(5, end=False) == [huge]
-    feed.join(("b",), 1.0)
-    assert len(feed.take(5, end=False)) == 1  # its siblings go on meanwhile
-
-
-def test_a_query_that_finds_no_room_is_passed_by_its_own_work_and_then_let_in():
-    """Guards both: engines that idle because a large query does not fit yet, and one that never gets in."""
-    feed = Feed(tree(GroupSpec("a"), GroupSpec("b"), capacity=10.0))
-    small = [feed.join(("b",), 1.0, threads=2.0) for _ in range(40)]
-    running = feed.take(4, end=False)
-    huge = feed.join(("a",), 8.0, threads=9.0)
-    passed = 0
+    driver.tree.ended(small, 1.0)
+    assert driver.run_next(5, end=False) == [huge]
+    driver.join(("b",), 1.0)
+    assert len(driver.run_next(5, end=False)) == 1  # the sibling group is not blocked meanwhile
+
+
+def test_blocked_query_runs_after_others_have_run_as_much_work_as_its_own():
+    """Guards against idle engines while a large query does not fit, and against starvation of that query."""
+    driver = TreeDriver(make_tree(GroupSpec("a"), GroupSpec("b"), capacity=10.0))
+    small = [driver.join(("b",), 1.0, threads=2.0) for _ in range(40)]
+    running = driver.run_next(4, end=False)
+    huge = driver.join(("a",), 8.0, threads=9.0)
+    bypass_count = 0
     while not huge.running:
-        item = feed.tree.next()
+        item = driver.tree.next()
         if item is None:
-            feed.tree.ended(running.pop(0), 1.0)
+            driver.tree.ended(running.pop(0), 1.0)
         else:
             running.append(item)
-            passed += item is not huge
-        assert passed <= 8
-    assert passed == 8 and huge.running and sum(i.running for i in small) == 0
+            bypass_count += item is not huge
+        assert bypass_count <= 8
+    assert bypass_count == 8 and huge.running and sum(i.running for i in small) == 0
 
 
-def test_a_parent_at_its_limit_holds_its_children_and_nobody_else():
+def test_parent_at_its_limit_blocks_only_its_own_children():
     parent = GroupSpec("p", threads=2.0, children=(GroupSpec("x"), GroupSpec("y")))
-    feed = Feed(tree(parent, GroupSpec("q")))
+    driver = TreeDriver(make_tree(parent, GroupSpec("q")))
     for _ in range(5):
         for path in (("p", "x"), ("p", "y"), ("q",)):
-            feed.join(path, 1.0)
-    taken = feed.take(20, end=False)
-    names = [i.node.path for i in taken if i.node is not None]
-    assert names.count(("q",)) == 5 and len(names) == 7
+            driver.join(path, 1.0)
+    started = driver.run_next(20, end=False)
+    paths = [i.node.path for i in started if i.node is not None]
+    assert paths.count(("q",)) == 5 and len(paths) == 7
 
 
-def test_a_guarantee_goes_before_shares_and_a_priority_before_both():
+def test_priority_precedes_guarantee_and_guarantee_precedes_shares():
     groups = (
         GroupSpec("low", weight=100.0),
         GroupSpec("sure", guaranteed=0.02),
         GroupSpec("top", priority=1),
     )
-    feed = Feed(tree(*groups))
+    driver = TreeDriver(make_tree(*groups))
     for name in ("low", "sure", "top"):
         for _ in range(10):
-            feed.join((name,), 1.0)
-    order = [i.node.spec.name for i in feed.take(30, end=False) if i.node is not None]
+            driver.join((name,), 1.0)
+    order = [i.node.spec.name for i in driver.run_next(30, end=False) if i.node is not None]
     assert order[:10] == ["top"] * 10
-    assert order[10:12] == ["sure", "sure"] and order[12:22] == ["low"] * 10  # 2 of 100 threads, then shares
+    assert (
+        order[10:12] == ["sure", "sure"] and order[12:22] == ["low"] * 10
+    )  # guaranteed are 2 of 100 threads
 
 
-def test_a_fleet_that_shrinks_counts_what_runs_and_kills_nothing():
-    feed = Feed(tree(GroupSpec("a", largest=0.5), GroupSpec("b"), capacity=30.0))
+def test_smaller_capacity_counts_running_queries_and_ends_none():
+    driver = TreeDriver(make_tree(GroupSpec("a", largest=0.5), GroupSpec("b"), capacity=30.0))
     for _ in range(40):
-        feed.join(("a",), 1.0)
-    out = feed.take(40, end=False)
-    assert len(out) == 15
-    feed.tree.resize(10.0)
-    assert feed.take(5) == []
-    for item in out[:11]:
-        feed.tree.ended(item, 1.0)
-    assert len(feed.take(5, end=False)) == 1
-
-
-def test_queries_leave_a_group_by_deadline_and_given_up_ones_hold_nothing_up():
-    feed = Feed(tree(GroupSpec("a", threads=2.0, queued=6.0)))
-    items = [feed.join(("a",), 1.0, deadline=d) for d in (5.0, 1.0, 3.0, 2.0)]
-    big = feed.join(("a",), 1.0, deadline=0.5, threads=3.0)
-    feed.take(1, end=False)
-    assert feed.take(3) == []  # the large one runs alone
-    feed.tree.ended(big, 1.0)
-    feed.tree.leave(items[1])
-    assert [i.deadline for i in feed.take(5)] == [2.0, 3.0, 5.0]
-
-
-def test_no_query_waits_longer_than_its_groups_allow():
-    quick = GroupSpec(
+        driver.join(("a",), 1.0)
+    running = driver.run_next(40, end=False)
+    assert len(running) == 15
+    driver.tree.resize(10.0)
+    assert driver.run_next(5) == []
+    for item in running[:11]:
+        driver.tree.ended(item, 1.0)
+    assert len(driver.run_next(5, end=False)) == 1
+
+
+def test_queries_run_by_deadline_and_withdrawn_queries_block_nothing():
+    driver = TreeDriver(make_tree(GroupSpec("a", threads=2.0, queued=6.0)))
+    items = [driver.join(("a",), 1.0, deadline=d) for d in (5.0, 1.0, 3.0, 2.0)]
+    big = driver.join(("a",), 1.0, deadline=0.5, threads=3.0)
+    driver.run_next(1, end=False)
+    assert driver.run_next(3) == []  # the large query runs alone
+    driver.tree.ended(big, 1.0)
+    driver.tree.leave(items[1])
+    assert [i.deadline for i in driver.run_next(5)] == [2.0, 3.0, 5.0]
+
+
+def test_query_is_removed_after_the_queue_time_of_its_groups():
+    short_queue_time = GroupSpec(
         "p", queue_time=2.0, threads=1.0, children=(GroupSpec("x", queue_time=5.0), GroupSpec("y"))
     )
-    feed = Feed(tree(quick, GroupSpec("q")))
+    driver = TreeDriver(make_tree(short_queue_time, GroupSpec("q")))
     for at in (0.0, 1.0):
         for path in (("p", "x"), ("p", "y"), ("q",)):
-            feed.join(path, 1.0, since=at)
-    out = feed.take(3, end=False)
-    assert [i.node.path[0] for i in out if i.node is not None] == ["p", "q", "q"]
-    assert [i.since for i in feed.tree.overdue(2.5)] == [0.0]
-    feed.tree.swap(GroupSpec("root", children=(replace(quick, queue_time=9.0),)), lambda i: ("p", "y"))
-    assert feed.tree.overdue(4.0) == [] and len(feed.tree.overdue(10.0)) == 2
-    assert feed.tree.root.waiting == 0
+            driver.join(path, 1.0, enqueued_at=at)
+    running = driver.run_next(3, end=False)
+    assert [i.node.path[0] for i in running if i.node is not None] == ["p", "q", "q"]
+    assert [i.enqueued_at for i in driver.tree.remove_overdue(2.5)] == [0.0]
+    driver.tree.replace_spec(
+        GroupSpec("root", children=(replace(short_queue_time, queue_time=9.0),)), lambda i: ("p", "y")
+    )
+    assert driver.tree.remove_overdue(4.0) == [] and len(driver.tree.remove_overdue(10.0)) == 2
+    assert driver.tree.root.waiting == 0
     for n in range(3000):
-        feed.tree.leave(feed.join(("p", "x"), 1.0, since=float(n)))
-    assert len(feed.tree._ends) <= 18
-
-
-def test_a_full_group_names_itself():
-    feed = Feed(tree(GroupSpec("p", queued=2.0, children=(GroupSpec("x"), GroupSpec("y")))))
-    gone = feed.join(("p", "x"), 1.0)
-    feed.join(("p", "y"), 1.0)
-    with pytest.raises(Full, match="2 queries wait in group p"):
-        feed.join(("p", "x"), 1.0)
-    feed.tree.leave(gone)
-    feed.join(("p", "x"), 1.0)
-    feed.tree.leave(feed.tree._items[2])
-    feed.join(("p",), 1.0)  # it names no group to wait in
-    assert feed.tree.find(("p", "(other)")).waiting == 1
-
-
-def test_memory_of_what_was_given_up_is_bounded():
-    feed = Feed(tree(GroupSpec("a", threads=1.0)))
-    feed.join(("a",), 1.0, deadline=0.0)
-    feed.take(1, end=False)
+        driver.tree.leave(driver.join(("p", "x"), 1.0, enqueued_at=float(n)))
+    assert len(driver.tree._queue_expirations) <= 18
+
+
+def test_full_group_is_named_in_the_error():
+    driver = TreeDriver(make_tree(GroupSpec("p", queued=2.0, children=(GroupSpec("x"), GroupSpec("y")))))
+    withdrawn = driver.join(("p", "x"), 1.0)
+    driver.join(("p", "y"), 1.0)
+    with pytest.raises(Full, match="queue limit reached: 2 queries wait in group p"):
+        driver.join(("p", "x"), 1.0)
+    driver.tree.leave(withdrawn)
+    driver.join(("p", "x"), 1.0)
+    driver.tree.leave(driver.tree._items[2])
+    driver.join(("p",), 1.0)  # the path ends above the leaves
+    assert driver.tree.find(("p", "(other)")).waiting == 1
+
+
+def test_memory_of_withdrawn_queries_is_bounded():
+    driver = TreeDriver(make_tree(GroupSpec("a", threads=1.0)))
+    driver.join(("a",), 1.0, deadline=0.0)
+    driver.run_next(1, end=False)
     for n in range(5000):
-        feed.tree.leave(feed.join(("a",), 1.0, deadline=float(n)))
-    node = feed.tree.find(("a",))
-    assert len(node.queue) <= 16 and len(feed.tree.root.ready) <= 20 and node.waiting == 0
+        driver.tree.leave(driver.join(("a",), 1.0, deadline=float(n)))
+    node = driver.tree.find(("a",))
+    assert len(node.queue) <= 16 and len(driver.tree.root.ready_heap) <= 20 and node.waiting == 0
 
 
-def test_every_fault_of_a_tree_has_its_place():
+def test_every_problem_of_a_tree_has_its_json_pointer():
     spec = GroupSpec(
         "root",
         children=(
@@ -275,8 +282,8 @@
             GroupSpec("p", guaranteed=0.1, children=(GroupSpec("x/y", guaranteed=0.2, threads=0.0),)),
         ),
     )
-    found = {p.pointer for p in check_tree(spec)}
-    assert found == {
+    pointers = {p.pointer for p in check_tree(spec)}
+    assert pointers == {
         "/groups/children",
         "/groups/children/0/weight",
         "/groups/children/1/guaranteed",
@@ -291,81 +298,86 @@
     assert any("deeper" in p.text for p in check_tree(deep))
 
 
-def test_groups_on_demand_are_bounded_and_collected_when_they_owe_nothing():
+def test_groups_created_on_demand_are_limited_and_removed_unless_they_received_excess_work():
     teams = GroupSpec("teams", each=GroupSpec("", weight=2.0), most=3)
-    feed = Feed(tree(teams))
+    driver = TreeDriver(make_tree(teams))
     for name in "abc":
-        feed.join(("teams", name), 1.0)
-    feed.join(("teams", "d"), 1.0)  # all three are in use
-    node = feed.tree.find(("teams",))
+        driver.join(("teams", name), 1.0)
+    driver.join(("teams", "d"), 1.0)  # the three possible groups are in use
+    node = driver.tree.find(("teams",))
     assert set(node.children) == {"a", "b", "c", "(other)"} and node.children["a"].spec.weight == 2.0
-    feed.take(20)
-    assert feed.tree.root.waiting == 0
+    driver.run_next(20)
+    assert driver.tree.root.waiting == 0
     for _ in range(10):
-        feed.join(("teams", "a"), 1.0)
-        feed.take(1)
-    owing = node.children["a"].start > node.clock
-    feed.join(("teams", "e"), 1.0)
-    assert "e" in node.children and ("a" in node.children) is owing and len(node.children) <= 4
+        driver.join(("teams", "a"), 1.0)
+        driver.run_next(1)
+    has_excess_work = node.children["a"].start_tag > node.virtual_time
+    driver.join(("teams", "e"), 1.0)
+    assert "e" in node.children and ("a" in node.children) is has_excess_work and len(node.children) <= 4
 
 
-def test_thousands_of_idle_groups_cost_nothing_and_leave_nothing():
-    feed = Feed(tree(GroupSpec("teams", each=GroupSpec(""), most=5000)))
+def test_memory_of_thousands_of_idle_groups_is_bounded():
+    driver = TreeDriver(make_tree(GroupSpec("teams", each=GroupSpec(""), most=5000)))
     for n in range(20_000):
-        feed.join(("teams", f"t{n}"), 0.5)
-        feed.take(1)
-    node = feed.tree.find(("teams",))
-    assert len(node.children) <= 5001 and len(node.ready) <= 4 * 5001 + 16
+        driver.join(("teams", f"t{n}"), 0.5)
+        driver.run_next(1)
+    node = driver.tree.find(("teams",))
+    assert len(node.children) <= 5001 and len(node.ready_heap) <= 4 * 5001 + 16
 
 
-def test_a_new_tree_forgives_nothing_and_kills_nothing():
-    feed = Feed(tree(GroupSpec("a"), GroupSpec("b"), GroupSpec("old")))
+def test_new_tree_keeps_accounts_and_running_queries():
+    driver = TreeDriver(make_tree(GroupSpec("a"), GroupSpec("b"), GroupSpec("old")))
     for _ in range(40):
-        feed.join(("a",), 1.0)
-    feed.join(("old",), 1.0)
-    out = feed.take(11, end=False)
-    gone = next(i for i in out if i.node is not None and i.node.spec.name == "old")
-    owed = feed.tree.find(("a",)).start - feed.tree.root.clock
+        driver.join(("a",), 1.0)
+    driver.join(("old",), 1.0)
+    running = driver.run_next(11, end=False)
+    orphan = next(i for i in running if i.node is not None and i.node.spec.name == "old")
+    excess_work = driver.tree.find(("a",)).start_tag - driver.tree.root.virtual_time
     for _ in range(40):
-        feed.join(("b",), 1.0)
-    fresh = GroupSpec("root", children=(GroupSpec("a", weight=4.0), GroupSpec("b"), GroupSpec("new")))
-    feed.tree.swap(fresh, lambda item: item.node.path if item.node else ("new",))
-    a = feed.tree.find(("a",))
-    assert (a.running, a.threads, feed.tree.root.running) == (10, 10.0, 11)
-    assert a.start - feed.tree.root.clock == pytest.approx(owed / 4.0)
-    assert gone.node is feed.tree.root  # its group is gone; it counts above
-    for item in out:
-        feed.tree.ended(item, 1.0)
-    assert feed.tree.root.running == 0 and feed.tree.root.threads == 0.0
-    feed.given.clear()
-    feed.take(30)
-    assert feed.given[("a",)] == pytest.approx(4.0 * feed.given[("b",)], abs=6.0)
-
-
-def test_a_change_back_and_forth_lets_no_group_burst_or_starve():
-    feed = Feed(tree(GroupSpec("a"), GroupSpec("b")))
+        driver.join(("b",), 1.0)
+    new_spec = GroupSpec("root", children=(GroupSpec("a", weight=4.0), GroupSpec("b"), GroupSpec("new")))
+    driver.tree.replace_spec(new_spec, lambda item: item.node.path if item.node else ("new",))
+    node = driver.tree.find(("a",))
+    assert (node.running, node.threads, driver.tree.root.running) == (10, 10.0, 11)
+    assert node.start_tag - driver.tree.root.virtual_time == pytest.approx(excess_work / 4.0)
+    assert orphan.node is driver.tree.root  # its group no longer exists, so it counts in the parent
+    for item in running:
+        driver.tree.ended(item, 1.0)
+    assert driver.tree.root.running == 0 and driver.tree.root.threads == 0.0
+    driver.work_by_path.clear()
+    driver.run_next(30)
+    assert driver.work_by_path[("a",)] == pytest.approx(4.0 * driver.work_by_path[("b",)], abs=6.0)
+
+
+def test_repeated_weight_changes_let_no_group_burst_or_starve():
+    driver = TreeDriver(make_tree(GroupSpec("a"), GroupSpec("b")))
     for _ in range(2000):
-        feed.join(("a",), 1.0)
-        feed.join(("b",), 1.0)
-    light, heavy = (
-        feed.tree.root.spec,
+        driver.join(("a",), 1.0)
+        driver.join(("b",), 1.0)
+    equal_weights, heavy_a = (
+        driver.tree.root.spec,
         GroupSpec("root", children=(GroupSpec("a", weight=1000.0), GroupSpec("b"))),
     )
     for _ in range(50):
-        feed.tree.swap(heavy, lambda item: item.node.path if item.node else ())
-        feed.tree.swap(light, lambda item: item.node.path if item.node else ())
-        feed.take(10)
-    assert abs(feed.given[("a",)] - feed.given[("b",)]) <= 60.0 and min(feed.given.values()) > 200.0
+        driver.tree.replace_spec(heavy_a, lambda item: item.node.path if item.node else ())
+        driver.tree.replace_spec(equal_weights, lambda item: item.node.path if item.node else ())
+        driver.run_next(10)
+    assert (
+        abs(driver.work_by_path[("a",)] - driver.work_by_path[("b",)]) <= 60.0
+        and min(driver.work_by_path.values()) > 200.0
+    )
 
 
-def test_the_time_to_come_back_follows_the_share():
-    feed = Feed(tree(GroupSpec("a"), GroupSpec("b", weight=3.0)))
+def test_drain_time_follows_the_share():
+    driver = TreeDriver(make_tree(GroupSpec("a"), GroupSpec("b", weight=3.0)))
     for _ in range(10):
-        feed.join(("a",), 1.0)
-    assert feed.tree.drain_time(("a",), 5.0) == pytest.approx(2.0)  # alone, it has all of it
-    feed.join(("b",), 1.0)
-    assert feed.tree.drain_time(("a",), 5.0) == pytest.approx(8.0)
-    assert feed.tree.drain_time(("a",), 0.0) == float("inf")
+        driver.join(("a",), 1.0)
+    assert driver.tree.drain_time(("a",), 5.0) == pytest.approx(
+        2.0
+    )  # the only active group has the whole rate
+    driver.join(("b",), 1.0)
+    assert driver.tree.drain_time(("a",), 5.0) == pytest.approx(8.0)
+    assert driver.tree.drain_time(("a",), 0.0) == float("inf")
 
 
 class Machine(RuleBasedStateMachine):
--- a/tests/test_selectors.py
+++ b/tests/test_selectors.py
@@ -1,4 +1,4 @@
-"""Selectors and schedules: first match wins and is explained; windows are right when clocks change."""
+"""Tests of selectors and schedules: choice and its explanation, windows, and changes of the clocks."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 import pytest
 
 from saffronlane.groups import GroupSpec
-from saffronlane.groups.schedule import Window, check_windows, effective, next_change, plan
-from saffronlane.groups.select import Query, Selector, check_selectors, choose, explain, path_of
+from saffronlane.groups.schedule import Window, check_windows, effective_spec, next_change, plan
+from saffronlane.groups.select import Query, Selector, check_selectors, choose, expand_path, explain
 
 TREE = GroupSpec(
     "root", children=(GroupSpec("museums", children=(GroupSpec("night"),)), GroupSpec("curators"))
@@ -31,20 +31,24 @@
         (Query(user="who", team="42"), 2, ("rest",)),
     ],
 )
-def test_the_first_selector_that_matches_wins(query, index, path):
+def test_first_matching_selector_is_chosen(query, index, path):
     choice = choose(SELECTORS, query)
     assert choice is not None and (choice.index, choice.path) == (index, path)
 
 
-def test_explain_tells_why_each_did_or_did_not_win():
-    lines = explain(SELECTORS, Query(user="cur-1", team="x", cls="report"))
-    assert [(line.matched, line.won) for line in lines] == [(True, True), (True, False), (True, False)]
-    assert lines[1].why == "an earlier one has won; would be teams/x"
-    lines = explain(SELECTORS, Query(user="someone", team="x", cls="report"))
-    assert lines[0].why == "user 'someone' does not match 'cur-.*'" and lines[1].won
+def test_explain_gives_the_reason_of_each_verdict():
+    verdicts = explain(SELECTORS, Query(user="cur-1", team="x", cls="report"))
+    assert [(verdict.is_match, verdict.is_chosen) for verdict in verdicts] == [
+        (True, True),
+        (True, False),
+        (True, False),
+    ]
+    assert verdicts[1].reason == "an earlier selector matches; this one would choose teams/x"
+    verdicts = explain(SELECTORS, Query(user="someone", team="x", cls="report"))
+    assert verdicts[0].reason == "user 'someone' does not match 'cur-.*'" and verdicts[1].is_chosen
 
 
-def test_options_tables_kind_and_text_select_too():
+def test_options_tables_kind_and_text_are_matched():
     selector = Selector(
         "{app}/{what}",
         kind="read",
@@ -61,13 +65,13 @@
 
 
 @pytest.mark.parametrize("team", ["../curators", "a/b", "", "...", "x" * 500, "na\u00efve", "a b\n"])
-def test_what_is_captured_names_one_group_and_no_other_place(team):
-    path = path_of("teams/{team}", {"team": team})
+def test_captured_value_becomes_the_name_of_exactly_one_group(team):
+    path = expand_path("teams/{team}", {"team": team})
     assert len(path) == 2 and path[0] == "teams" and 0 < len(path[1]) <= 64
     assert "/" not in path[1] and path[1].strip(".")
 
 
-def test_selectors_that_cannot_win_are_warned_of_and_faults_have_their_place():
+def test_unreachable_selectors_are_warned_of_and_problems_have_json_pointers():
     problems, warnings = check_selectors(
         [
             Selector("a", cls="x"),
@@ -86,7 +90,7 @@
 # --- schedules ---
 
 
-def night(**changes: object) -> Window:
+def night_window(**changes: object) -> Window:
     values = {
         "name": "night",
         "cron": "0 18 * * FRI",
@@ -97,12 +101,12 @@
     return Window(**(values | changes))  # type: ignore[arg-type]
 
 
-def local(text: str, zone: str = "Europe/Zagreb") -> datetime:
+def local_time(text: str, zone: str = "Europe/Zagreb") -> datetime:
     return datetime.fromisoformat(text).replace(tzinfo=ZoneInfo(zone))
 
 
 @pytest.mark.parametrize(
-    ("when", "on"),
+    ("when", "is_active"),
     [
         ("2026-12-04T17:59:59", False),
         ("2026-12-04T18:00:00", True),
@@ -111,88 +115,108 @@
         ("2026-12-03T20:00:00", False),
     ],
 )
-def test_a_window_is_on_from_its_start_to_its_end(when, on):
-    tree = effective(TREE, [night()], local(when))
-    assert tree.children[0].children[0].weight == (8.0 if on else 1.0)
-    assert tree.children[1].threads == (4.0 if on else float("inf"))
-    assert TREE.children[0].children[0].weight == 1.0  # the tree itself is not touched
+def test_window_is_active_from_its_start_to_its_end(when, is_active):
+    tree = effective_spec(TREE, [night_window()], local_time(when))
+    assert tree.children[0].children[0].weight == (8.0 if is_active else 1.0)
+    assert tree.children[1].threads == (4.0 if is_active else float("inf"))
+    assert TREE.children[0].children[0].weight == 1.0  # the configured tree is unchanged
 
 
-def test_of_two_windows_the_later_in_the_list_has_the_last_word_and_the_plan_says_so():
+def test_later_window_overrides_earlier_one_and_plan_lists_the_conflict():
     windows = [
-        night(),
-        night(name="gala", cron="0 20 4 12 *", changes=((("museums", "night"), (("weight", 20.0),)),)),
+        night_window(),
+        night_window(name="gala", cron="0 20 4 12 *", changes=((("museums", "night"), (("weight", 20.0),)),)),
+    ]
+    at = local_time("2026-12-04T21:00:00")
+    assert effective_spec(TREE, windows, at).children[0].children[0].weight == 20.0
+    assert effective_spec(TREE, windows, at).children[1].threads == 4.0
+    assert effective_spec(TREE, windows[::-1], at).children[0].children[0].weight == 8.0
+    intervals = list(plan(windows, local_time("2026-12-04T12:00:00"), days=1.0))
+    assert [interval.active_windows for interval in intervals] == [
+        (),
+        ("night",),
+        ("night", "gala"),
+        ("gala",),
+        (),
     ]
-    at = local("2026-12-04T21:00:00")
-    assert effective(TREE, windows, at).children[0].children[0].weight == 20.0
-    assert effective(TREE, windows, at).children[1].threads == 4.0
-    assert effective(TREE, windows[::-1], at).children[0].children[0].weight == 8.0
-    stretches = list(plan(windows, local("2026-12-04T12:00:00"), days=1.0))
-    assert [s.on for s in stretches] == [(), ("night",), ("night", "gala"), ("gala",), ()]
-    assert stretches[2].conflicts == ("weight of museums/night: gala overrides night",)
-    for before, after in itertools.pairwise(stretches):
+    assert intervals[2].conflicts == ("weight of museums/night: gala overrides night",)
+    for before, after in itertools.pairwise(intervals):
         assert before.end == after.begin
 
 
-def test_seasons_may_span_the_new_year_and_named_days_stand_alone():
-    winter = night(cron="0 9 * * *", season=((12, 20), (1, 6)))
+def test_season_may_span_the_new_year_and_days_restrict_starts_to_dates():
+    winter_window = night_window(cron="0 9 * * *", season=((12, 20), (1, 6)))
     days = {
-        d: winter.on_until(local(f"{d}T10:00:00")) is not None
+        d: winter_window.active_until(local_time(f"{d}T10:00:00")) is not None
         for d in ("2026-12-19", "2026-12-20", "2027-01-06")
     }
     assert days == {"2026-12-19": False, "2026-12-20": True, "2027-01-06": True}
-    assert winter.on_until(local("2027-01-07T10:00:00")) is None
-    free = night(cron="0 18 * * *", days=frozenset({date(2026, 12, 9)}))
-    assert free.on_until(local("2026-12-09T19:00:00")) is not None
-    assert free.on_until(local("2026-12-10T19:00:00")) is None
-    assert free.next_start(local("2026-12-01T00:00:00"), local("2027-01-01T00:00:00")) == local(
-        "2026-12-09T18:00:00"
-    )
-
-
-def test_clocks_that_go_forward_and_back():
-    """29 March 2026: 02:00 to 03:00 is not there. 25 October 2026: 02:00 to 03:00 comes twice."""
-    early = night(cron="30 2 * * *", seconds=3600.0)
-    spring = [s for s in plan([early], local("2026-03-29T00:00:00"), days=0.9) if s.on]
-    assert len(spring) == 1 and spring[0].begin == local("2026-03-29T03:00:00")
+    assert winter_window.active_until(local_time("2027-01-07T10:00:00")) is None
+    single_day = night_window(cron="0 18 * * *", days=frozenset({date(2026, 12, 9)}))
+    assert single_day.active_until(local_time("2026-12-09T19:00:00")) is not None
+    assert single_day.active_until(local_time("2026-12-10T19:00:00")) is None
+    assert single_day.next_start(
+        local_time("2026-12-01T00:00:00"), local_time("2027-01-01T00:00:00")
+    ) == local_time("2026-12-09T18:00:00")
+
+
+def test_windows_last_their_duration_when_clocks_go_forward_or_back():
+    """02:00 to 03:00 is skipped on 29 March 2026, and comes twice on 25 October 2026."""
+    early_window = night_window(cron="30 2 * * *", seconds=3600.0)
+    spring = [
+        interval
+        for interval in plan([early_window], local_time("2026-03-29T00:00:00"), days=0.9)
+        if interval.active_windows
+    ]
+    assert len(spring) == 1 and spring[0].begin == local_time("2026-03-29T03:00:00")
     assert spring[0].end - spring[0].begin == timedelta(hours=1)
-    autumn = [s for s in plan([early], local("2026-10-25T00:00:00"), days=0.9) if s.on]
+    autumn = [
+        interval
+        for interval in plan([early_window], local_time("2026-10-25T00:00:00"), days=0.9)
+        if interval.active_windows
+    ]
     assert len(autumn) == 1 and autumn[0].end - autumn[0].begin == timedelta(hours=1)
-    # A window over the repeated hour lasts its seconds, not what the clock on the wall shows.
-    over = night(cron="0 1 * * *", seconds=3 * 3600.0)
-    (long,) = [s for s in plan([over], local("2026-10-25T00:00:00"), days=0.9) if s.on]
-    assert long.end.astimezone(ZoneInfo("Europe/Zagreb")).hour == 3
+    # A window over the repeated hour lasts its number of seconds, independent of local time.
+    over_repeated_hour = night_window(cron="0 1 * * *", seconds=3 * 3600.0)
+    (long_interval,) = [
+        interval
+        for interval in plan([over_repeated_hour], local_time("2026-10-25T00:00:00"), days=0.9)
+        if interval.active_windows
+    ]
+    assert long_interval.end.astimezone(ZoneInfo("Europe/Zagreb")).hour == 3
 
 
-def test_the_plan_agrees_with_every_moment():
-    """At no minute of two weeks around a change of clocks does a stretch say other than the moment itself."""
+def test_plan_agrees_with_the_windows_at_any_moment():
+    """Checks the begin, the middle and the end of each interval around a change of the clocks."""
     windows = [
-        night(),
-        night(name="early", cron="30 2 * * *", seconds=5400.0),
-        night(name="often", cron="*/7 9 * * *", seconds=60.0),
+        night_window(),
+        night_window(name="early", cron="30 2 * * *", seconds=5400.0),
+        night_window(name="often", cron="*/7 9 * * *", seconds=60.0),
     ]
-    start = local("2026-03-25T00:00:00").astimezone(UTC)
-    stretches = list(plan(windows, start, days=6.0))
-    assert stretches[0].begin == start and stretches[-1].end == start + timedelta(days=6)
-    for stretch in stretches:
+    start = local_time("2026-03-25T00:00:00").astimezone(UTC)
+    intervals = list(plan(windows, start, days=6.0))
+    assert intervals[0].begin == start and intervals[-1].end == start + timedelta(days=6)
+    for interval in intervals:
         for at in (
-            stretch.begin,
-            stretch.begin + (stretch.end - stretch.begin) / 2,
-            stretch.end - timedelta(seconds=1),
+            interval.begin,
+            interval.begin + (interval.end - interval.begin) / 2,
+            interval.end - timedelta(seconds=1),
         ):
-            assert tuple(w.name for w in windows if w.on_until(at) is not None) == stretch.on, at
-    assert next_change(windows, start, start + timedelta(days=6)) == stretches[0].end
+            assert (
+                tuple(w.name for w in windows if w.active_until(at) is not None) == interval.active_windows
+            ), at
+    assert next_change(windows, start, start + timedelta(days=6)) == intervals[0].end
 
 
-def test_every_fault_of_a_schedule_has_its_place():
+def test_every_problem_of_a_schedule_has_its_json_pointer():
     windows = [
-        night(cron="every day", zone="Europe/Nowhere", seconds=0.0),
-        night(changes=((("museums", "gone"), (("weight", 2.0),)), (("curators",), (("name", 1.0),)))),
-        night(name="third", changes=((("curators",), (("weight", 0.0),)),)),
-        night(name="never", cron="0 0 30 2 *"),
+        night_window(cron="every day", zone="Europe/Nowhere", seconds=0.0),
+        night_window(changes=((("museums", "gone"), (("weight", 2.0),)), (("curators",), (("name", 1.0),)))),
+        night_window(name="third", changes=((("curators",), (("weight", 0.0),)),)),
+        night_window(name="never", cron="0 0 30 2 *"),
     ]
-    found = {p.pointer for p in check_windows(TREE, windows)}
-    assert found == {
+    pointers = {p.pointer for p in check_windows(TREE, windows)}
+    assert pointers == {
         "/schedule/0/seconds",
         "/schedule/0/zone",
         "/schedule/0/cron",
