--- a/benchmarks/even.py
+++ b/benchmarks/even.py
@@ -1,9 +1,10 @@
-"""How evenly many dispatchers place, in virtual time, beside four plain policies on the same traffic.
+"""Measures how evenly dispatchers place queries, compared with four simple policies for the same traffic.
 
     python benchmarks/even.py --dispatchers 10,40,200 --nodes 24 --load 0.65 --fault "node replaced" --seeds 5
 
-One row for each count and policy: the mean over the seeds and half the width of its 95% interval (normal).
-Plain policies see no difference between counts but by what each dispatcher knows of its own.
+Runs in virtual time. Prints one row for each number of dispatchers and policy, with the mean over the seeds
+and half the width of its 95% confidence interval (normal distribution). The number of dispatchers affects a
+simple policy only through the state that each dispatcher learns by itself.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
     "hash order": HashOrder,
     "random": RandomChoice,
 }
-SHOWN = (
+REPORTED_MEASURES = (
     "worth_in_time",
     "refused",
     "idle_share",
@@ -45,42 +46,54 @@
 
 
 def faults(kind: str, nodes: int, dispatchers: int, seconds: float) -> tuple[Fault, ...]:
-    """Half of the nodes struck in the second quarter; `deaf`: no peer is heard, a fifth of the nodes goes."""
-    at, length = 0.25 * seconds, 0.15 * seconds
+    """Returns faults of half of the nodes that begin after a quarter of the time.
+
+    For the kind `deaf`, no dispatcher receives messages of its peers, and a fifth of the nodes crashes.
+    """
+    begin, length = 0.25 * seconds, 0.15 * seconds
     if kind == "none":
         return ()
     if kind == "deaf":
-        lost = Fault(at, length, "node crash", tuple(range(0, nodes, 5)), 0.5)
-        return Fault(at, 1.5 * length, "peers deaf", tuple(range(dispatchers))), lost
-    return (Fault(at, length, kind, tuple(range(0, nodes, 2)), 0.5),)
+        crashes = Fault(begin, length, "node crash", tuple(range(0, nodes, 5)), 0.5)
+        return Fault(begin, 1.5 * length, "peers deaf", tuple(range(dispatchers))), crashes
+    return (Fault(begin, length, kind, tuple(range(0, nodes, 2)), 0.5),)
 
 
-def interval(values: list[float]) -> tuple[float, float]:
-    spread = statistics.stdev(values) if len(values) > 1 else 0.0
-    return statistics.fmean(values), 1.96 * spread / math.sqrt(len(values))
+def confidence_interval(values: list[float]) -> tuple[float, float]:
+    deviation = statistics.stdev(values) if len(values) > 1 else 0.0
+    return statistics.fmean(values), 1.96 * deviation / math.sqrt(len(values))
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
-    parser.add_argument("--dispatchers", default="10,40", help="counts, with commas between")
+    parser.add_argument("--dispatchers", default="10,40", help="numbers of dispatchers, separated by commas")
     parser.add_argument("--nodes", type=int, default=24)
     parser.add_argument("--load", type=float, default=0.65)
     parser.add_argument("--seconds", type=float, default=30.0)
-    parser.add_argument("--fault", default="none", help="none, deaf, or a kind of lab/fleet/schedule.py")
+    parser.add_argument(
+        "--fault", default="none", help="none, deaf, or a kind of fault in lab/fleet/schedule.py"
+    )
     parser.add_argument("--seeds", type=int, default=5)
-    given = parser.parse_args()
-    for count in map(int, given.dispatchers.split(",")):
-        struck = faults(given.fault, given.nodes, count, given.seconds)
-        for name, make in POLICIES.items():
-            found: list[Measures] = []
-            for seed in range(1, given.seeds + 1):
+    options = parser.parse_args()
+    for count in map(int, options.dispatchers.split(",")):
+        schedule_faults = faults(options.fault, options.nodes, count, options.seconds)
+        for name, make_policy in POLICIES.items():
+            results: list[Measures] = []
+            for seed in range(1, options.seeds + 1):
                 shape = FleetShape(
-                    count, given.nodes, 8.0, given.load, 3 * given.nodes, seed, sorts=HEAVY_SORTS
+                    count, options.nodes, 8.0, options.load, 3 * options.nodes, seed, sorts=HEAVY_SORTS
+                )
+                results.append(
+                    VirtualFleet(
+                        shape, Schedule(seed, options.seconds, schedule_faults), make_policy(seed)
+                    ).play()
                 )
-                found.append(VirtualFleet(shape, Schedule(seed, given.seconds, struck), make(seed)).play())
-            plain = [msgspec.to_builtins(one) for one in found]
-            figures = {key: [round(x, 4) for x in interval([one[key] for one in plain])] for key in SHOWN}
-            row = {"dispatchers": count, "policy": name, "fault": given.fault} | figures
+            measures = [msgspec.to_builtins(result) for result in results]
+            intervals = {
+                key: [round(x, 4) for x in confidence_interval([run[key] for run in measures])]
+                for key in REPORTED_MEASURES
+            }
+            row = {"dispatchers": count, "policy": name, "fault": options.fault} | intervals
             print(json.dumps(row), flush=True)
 
 
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -1,11 +1,12 @@
-"""What a flood of idle connections costs a platform node, and what its usual clients feel of it.
+"""Measures what a flood of idle connections costs a platform node, and how it affects regular clients.
 
     python benchmarks/flood.py [--flood 3000] [--silent 0.0] [--usual 20] [--sockets 256]
 
-The node is a process of its own. A flood of connections comes as fast as it is accepted, asks once and
-stays, or says nothing; beside it, usual clients ask on connections of their own twice a second, and connect
-anew where theirs was closed. Prints one line: processor time for each that came, how many requests of
-the usual clients were answered, how often they had to connect anew, and how long their answers took.
+The node runs in its own process. The connections of the flood are opened as fast as the node accepts them.
+Each of them sends one request and stays open, or sends nothing. Meanwhile, regular clients send two requests
+per second on connections of their own, and reconnect if the node closes a connection. Prints one line: the
+processor time for each connection of the flood, the number of answered requests of the regular clients, the
+number of their reconnections, and the latency of their requests.
 """
 
 from __future__ import annotations
@@ -21,70 +22,72 @@
 import time
 from pathlib import Path
 
-from node import ROOT, process_cpu  # which also finds the stand-ins of the tests
+from node import ROOT, process_cpu  # importing node also puts tests/ on the path
 from platform_world import Client, Compute, FeedServer, config_text
 
-EVERY = 0.5  # seconds between the requests of a usual client: longer than idle connections are safe
+# Seconds between two requests of a regular client. The node may close a connection that is idle for a shorter
+# time.
+REQUEST_INTERVAL = 0.5
 
 
-class Usual:
-    """One usual client."""
+class RegularClient:
+    """A client that sends requests at regular intervals and reconnects if necessary."""
 
     def __init__(self, port: int, number: int) -> None:
-        self.port, self.number, self.anew = port, number, 0
-        self.took: list[float] = []
+        self.port, self.number, self.reconnections = port, number, 0
+        self.latencies: list[float] = []
 
     async def run(self) -> None:
         client: Client | None = None
-        for asked in range(1_000_000):
-            began = time.monotonic()
+        for request_number in range(1_000_000):
+            started_at = time.monotonic()
             for _ in range(20):
                 try:
                     if client is None:
                         client = Client(*await asyncio.open_connection("127.0.0.1", self.port))
-                    await client.answer(client.call("ask", f"{self.number:08x}{asked:08x}"))
+                    await client.answer(client.call("ask", f"{self.number:08x}{request_number:08x}"))
                     break
                 except ConnectionError:
-                    client, self.anew = None, self.anew + 1
-            self.took.append(time.monotonic() - began)
-            await asyncio.sleep(EVERY)
+                    client, self.reconnections = None, self.reconnections + 1
+            self.latencies.append(time.monotonic() - started_at)
+            await asyncio.sleep(REQUEST_INTERVAL)
 
 
-async def flood(port: int, count: int, silent: float) -> None:
-    held: list[socket.socket] = []
+async def flood(port: int, count: int, silent_share: float) -> None:
+    connections: list[socket.socket] = []
     loop = asyncio.get_running_loop()
     for number in range(count):
-        one = socket.socket()
-        one.setblocking(False)
-        held.append(one)
-        await loop.sock_connect(one, ("127.0.0.1", port))
-        if number * silent % 1.0 >= silent:
-            asking = Client(*await asyncio.open_connection(sock=one))
+        connection = socket.socket()
+        connection.setblocking(False)
+        connections.append(connection)
+        await loop.sock_connect(connection, ("127.0.0.1", port))
+        if number * silent_share % 1.0 >= silent_share:
+            client = Client(*await asyncio.open_connection(sock=connection))
             with contextlib.suppress(ConnectionError):
-                asking.call("ask", f"ffff{number:012x}")
+                client.call("ask", f"ffff{number:012x}")
     await asyncio.sleep(0.5)
-    for one in held:
-        one.close()
+    for connection in connections:
+        connection.close()
 
 
 async def main() -> None:
-    reader = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else "")
-    reader.add_argument("--flood", type=int, default=3000)
-    reader.add_argument("--silent", type=float, default=0.0, help="share of them that say nothing")
-    reader.add_argument("--usual", type=int, default=20)
-    reader.add_argument("--sockets", type=int, default=256)
-    asked = reader.parse_args()
+    parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else "")
+    parser.add_argument("--flood", type=int, default=3000)
+    parser.add_argument("--silent", type=float, default=0.0, help="share of the flood that sends no request")
+    parser.add_argument("--usual", type=int, default=20)
+    parser.add_argument("--sockets", type=int, default=256)
+    options = parser.parse_args()
     compute, feed = Compute(), FeedServer()
     await compute.start()
     await feed.start()
-    with socket.socket() as free:
-        free.bind(("127.0.0.1", 0))
-        port = free.getsockname()[1]
-    limits = {"cores": 1.0, "memory_mb": 96, "sockets": asked.sockets}
-    text = config_text([compute], feed.port, listen=f"127.0.0.1:{port}", limits=limits)
-    with tempfile.TemporaryDirectory() as name:
-        path = Path(name) / "config.json"
-        path.write_text(json.dumps(text))
+    with socket.socket() as port_probe:
+        port_probe.bind(("127.0.0.1", 0))
+        port = port_probe.getsockname()[1]
+    limits = {"cores": 1.0, "memory_mb": 96, "sockets": options.sockets}
+    config = config_text([compute], feed.port, listen=f"127.0.0.1:{port}", limits=limits)
+    with tempfile.TemporaryDirectory() as folder:
+        path = Path(folder) / "config.json"
+        path.write_text(json.dumps(config))
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -98,24 +101,26 @@
                     (await asyncio.open_connection("127.0.0.1", port))[1].close()
                     break
                 await asyncio.sleep(0.05)
-            usual = [Usual(port, n) for n in range(asked.usual)]
-            running = [asyncio.create_task(one.run()) for one in usual]
-            await asyncio.sleep(3.0 * EVERY)  # each has asked more than once
-            before = process_cpu(process.pid)
-            await flood(port, asked.flood, asked.silent)
-            spent = process_cpu(process.pid) - before
-            for task in running:
+            regular_clients = [RegularClient(port, n) for n in range(options.usual)]
+            client_tasks = [asyncio.create_task(client.run()) for client in regular_clients]
+            await asyncio.sleep(3.0 * REQUEST_INTERVAL)  # every regular client has sent several requests
+            cpu_before = process_cpu(process.pid)
+            await flood(port, options.flood, options.silent)
+            cpu_seconds = process_cpu(process.pid) - cpu_before
+            for task in client_tasks:
                 task.cancel()
         finally:
             process.kill()
             await process.wait()
             compute.close()
             feed.close()
-    took = sorted(span for one in usual for span in one.took)
+    latencies = sorted(latency for client in regular_clients for latency in client.latencies)
     print(
-        f"{asked.flood} came at {1000.0 * spent / asked.flood:.2f} ms of processor time each; usual clients:"
-        f" {len(took)} answered, {sum(one.anew for one in usual)} connected anew,"
-        f" median {1000.0 * took[len(took) // 2]:.1f} ms, 99th {1000.0 * took[len(took) * 99 // 100]:.1f} ms"
+        f"{options.flood} connections cost {1000.0 * cpu_seconds / options.flood:.2f} ms of processor time"
+        f" each; regular clients: {len(latencies)} answered,"
+        f" {sum(client.reconnections for client in regular_clients)} reconnections,"
+        f" median {1000.0 * latencies[len(latencies) // 2]:.1f} ms,"
+        f" p99 {1000.0 * latencies[len(latencies) * 99 // 100]:.1f} ms"
     )
 
 
--- a/benchmarks/keeping.py
+++ b/benchmarks/keeping.py
@@ -1,8 +1,8 @@
-"""What keeping costs: commits, a flood, recovery, and a gateway with and without a folder side by side.
+"""Measures the cost of persistence: commits, overload, recovery, and gateways with and without state on disk.
 
     python benchmarks/keeping.py [--seconds 4] [--rounds 5] [--no-gateway]
 
-The disk is that of the temporary folder (TMPDIR chooses another one).
+Writes to the disk of the temporary directory. TMPDIR selects another one.
 """
 
 from __future__ import annotations
@@ -22,78 +22,85 @@
 from saffronlane.storage import Change, Entry, RealFiles, Store, Writer, recover
 
 
-def commits(folder: Path, askers: int, seconds: float) -> tuple[float, float, float, float]:
-    """Changes a second, their 50th and 99th percentile in ms, and changes in a commit."""
+def commits(folder: Path, callers: int, seconds: float) -> tuple[float, float, float, float]:
+    """Returns changes per second, the p50 and p99 of their latency in ms, and changes per commit.
+
+    Each of the callers waits for the commit of its change before it makes the next one.
+    """
     writer = Writer(Store(RealFiles(folder)), print)
     writer.start()
-    took: list[float] = []
+    latencies: list[float] = []
     end = time.monotonic() + seconds
 
-    def ask(number: int) -> None:
-        n = 0
-        while (began := time.monotonic()) < end:
+    def call(number: int) -> None:
+        change_count = 0
+        while (started_at := time.monotonic()) < end:
             done = threading.Event()
-            n += 1
+            change_count += 1
             entry = Entry(1, bytes(100))
-            writer.put([Change(b"%d.%d" % (number, n % 500), entry)], lambda kept, done=done: done.set())
+            writer.put(
+                [Change(b"%d.%d" % (number, change_count % 500), entry)], lambda _, done=done: done.set()
+            )
             done.wait()
-            took.append(time.monotonic() - began)
+            latencies.append(time.monotonic() - started_at)
 
-    threads = [threading.Thread(target=ask, args=(n,)) for n in range(askers)]
+    threads = [threading.Thread(target=call, args=(n,)) for n in range(callers)]
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join()
-    count = writer.status.commits
+    commit_count = writer.status.commits
     writer.stop(10.0)
-    p50, p99 = np.percentile(took, [50, 99]) * 1e3
-    return len(took) / seconds, float(p50), float(p99), len(took) / max(1, count)
+    p50, p99 = np.percentile(latencies, [50, 99]) * 1e3
+    return len(latencies) / seconds, float(p50), float(p99), len(latencies) / max(1, commit_count)
 
 
 def flood(folder: Path, megabytes: float, seconds: float) -> tuple[float, float, float, float]:
-    """Changes of so many MB a second that nobody waits for, over 50,000 keys, and one asker beside them.
+    """Makes changes of 50,000 keys at a rate in MB/s without waiting for commits, and one caller that waits.
 
-    MB given, largest size on disk in MB, and the asker's 50th and 99th percentile in ms.
+    Returns:
+        The MB of all changes, the maximum size on disk in MB, and the 50th and 99th percentile of the waiting
+        caller's latency in ms.
     """
     store = Store(RealFiles(folder))
     writer = Writer(store, print)
     writer.start()
-    draw, given, largest = Random(1), 0, 0
-    took: list[float] = []
-    began = time.monotonic()
-    while (now := time.monotonic()) < began + seconds:
-        while given < megabytes * 1e6 * (now - began):
-            writer.put([Change(b"k%d" % draw.randrange(50_000), Entry(1, draw.randbytes(1000)))])
-            given += 1000
+    random, written, max_size = Random(1), 0, 0
+    latencies: list[float] = []
+    started_at = time.monotonic()
+    while (now := time.monotonic()) < started_at + seconds:
+        while written < megabytes * 1e6 * (now - started_at):
+            writer.put([Change(b"k%d" % random.randrange(50_000), Entry(1, random.randbytes(1000)))])
+            written += 1000
         done = threading.Event()
-        asked = time.monotonic()
-        writer.put([Change(b"asked", Entry(1, bytes(100)))], lambda kept, done=done: done.set())
+        sent_at = time.monotonic()
+        writer.put([Change(b"asked", Entry(1, bytes(100)))], lambda _, done=done: done.set())
         done.wait()
-        took.append(time.monotonic() - asked)
-        largest = max(largest, sum(p.stat().st_size for p in folder.iterdir()))
+        latencies.append(time.monotonic() - sent_at)
+        max_size = max(max_size, sum(p.stat().st_size for p in folder.iterdir()))
     writer.stop(30.0)
-    p50, p99 = np.percentile(took, [50, 99]) * 1e3
-    return given / 1e6, largest / 1e6, float(p50), float(p99)
+    p50, p99 = np.percentile(latencies, [50, 99]) * 1e3
+    return written / 1e6, max_size / 1e6, float(p50), float(p99)
 
 
 def recovery(folder: Path, megabytes: int) -> tuple[float, float]:
-    """Seconds to read so much, and to lay the ground anew, which is the first commit's wait."""
+    """Returns the seconds to read a store, and to write the snapshot that precedes its first commit."""
     store = Store(RealFiles(folder))
     store.begin()
-    draw = Random(1)
+    random = Random(1)
     for part in range(megabytes):
-        values = [Change(b"%d.%d" % (part, n), Entry(1, draw.randbytes(1000))) for n in range(1000)]
-        store.commit(values)
+        changes = [Change(b"%d.%d" % (part, n), Entry(1, random.randbytes(1000))) for n in range(1000)]
+        store.commit(changes)
         store.compact_step()
     store.close()
-    began = time.monotonic()
-    fresh = Store(RealFiles(folder))
-    fresh.load()
-    read = time.monotonic()
-    assert len(fresh.state) == 1000 * megabytes == len(recover(RealFiles(folder)).state)
-    laid = time.monotonic()
-    fresh.begin()
-    return read - began, time.monotonic() - laid
+    started_at = time.monotonic()
+    reopened = Store(RealFiles(folder))
+    reopened.load()
+    loaded_at = time.monotonic()
+    assert len(reopened.state) == 1000 * megabytes == len(recover(RealFiles(folder)).state)
+    begin_started_at = time.monotonic()
+    reopened.begin()
+    return loaded_at - started_at, time.monotonic() - begin_started_at
 
 
 def gateways(folder: Path, seconds: float, rounds: int, threads: int) -> None:
@@ -103,26 +110,26 @@
     for child in children:
         child.start()
     time.sleep(3.0)
-    off, off_port = gateway(folder / "off", engines, 1)
-    on, on_port = gateway(folder / "on", engines, 1, kept=True)
-    print(f"{'class':>8}{'threads':>8}{'folder':>8}{'per s':>9}{'p50 ms':>9}{'p99 ms':>9}{'to off':>8}")
+    gateway_without, port_without = gateway(folder / "off", engines, 1)
+    gateway_with, port_with = gateway(folder / "on", engines, 1, is_persistent=True)
+    print(f"{'class':>8}{'threads':>8}{'state':>8}{'per s':>9}{'p50 ms':>9}{'p99 ms':>9}{'to off':>8}")
     for cls in ("lookup", "change"):
         for count in (1, threads):
-            found: dict[str, list[dict[str, float]]] = {"off": [], "on": []}
-            for number in range(rounds):  # in turns, and each first in half of the rounds
-                ways = [("off", off_port), ("on", on_port)]
-                for way, port in ways if number % 2 else ways[::-1]:
-                    found[way].append(measure(port, count, seconds, cls))
-            for way, measured in found.items():
-                middle = {key: float(np.median([m[key] for m in measured])) for key in measured[0]}
-                pairs = zip(measured, found["off"], strict=True)
-                ratio = float(np.median([mine["per_s"] / other["per_s"] for mine, other in pairs]))
+            results: dict[str, list[dict[str, float]]] = {"off": [], "on": []}
+            for number in range(rounds):  # alternates which variant comes first
+                variants = [("off", port_without), ("on", port_with)]
+                for variant, port in variants if number % 2 else variants[::-1]:
+                    results[variant].append(measure(port, count, seconds, cls))
+            for variant, measured in results.items():
+                medians = {key: float(np.median([m[key] for m in measured])) for key in measured[0]}
+                pairs = zip(measured, results["off"], strict=True)
+                ratio = float(np.median([run["per_s"] / baseline["per_s"] for run, baseline in pairs]))
                 print(
-                    f"{cls:>8}{count:8}{way:>8}{middle['per_s']:9.0f}{middle['p50_ms']:9.2f}"
-                    f"{middle['p99_ms']:9.2f}{ratio:8.3f}",
+                    f"{cls:>8}{count:8}{variant:>8}{medians['per_s']:9.0f}{medians['p50_ms']:9.2f}"
+                    f"{medians['p99_ms']:9.2f}{ratio:8.3f}",
                     flush=True,
                 )
-    for process in (off, on):
+    for process in (gateway_without, gateway_with):
         process.terminate()
         process.wait(10)
     for child in children:
@@ -136,18 +143,18 @@
     parser.add_argument("--threads", type=int, default=16)
     parser.add_argument("--no-gateway", action="store_true")
     options = parser.parse_args()
-    with tempfile.TemporaryDirectory() as name:
-        folder = Path(name)
-        for askers in (1, 16, 64):
-            per_s, p50, p99, each = commits(folder / f"commits-{askers}", askers, options.seconds)
+    with tempfile.TemporaryDirectory() as temporary_folder:
+        folder = Path(temporary_folder)
+        for callers in (1, 16, 64):
+            per_s, p50, p99, per_commit = commits(folder / f"commits-{callers}", callers, options.seconds)
             latency = f"p50 {p50:.2f} ms, p99 {p99:.2f} ms"
-            print(f"{askers:3} askers: {per_s:7.0f} changes/s, {latency}, {each:.1f} a commit")
-        given, largest, p50, p99 = flood(folder / "flood", 10.0, 2.0 * options.seconds)
-        beside = f"p50 {p50:.2f} ms, p99 {p99:.2f} ms"
-        print(f"flood of {given:.0f} MB: at most {largest:.0f} MB on disk; beside it {beside}")
+            print(f"{callers:3} callers: {per_s:7.0f} changes/s, {latency}, {per_commit:.1f} per commit")
+        written, max_size, p50, p99 = flood(folder / "flood", 10.0, 2.0 * options.seconds)
+        latency = f"p50 {p50:.2f} ms, p99 {p99:.2f} ms"
+        print(f"overload of {written:.0f} MB: at most {max_size:.0f} MB on disk; waiting caller {latency}")
         for size in (1, 100):
-            read, laid = recovery(folder / f"size-{size}", size)
-            print(f"{size:4} MB: read in {read:.3f} s, ground laid anew in {laid:.3f} s")
+            load_s, begin_s = recovery(folder / f"size-{size}", size)
+            print(f"{size:4} MB: read in {load_s:.3f} s, first snapshot written in {begin_s:.3f} s")
         if not options.no_gateway:
             gateways(folder, options.seconds, options.rounds, options.threads)
 
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -1,4 +1,4 @@
-"""Memory of one gateway: 10,000 held queries, and a 1 GB result to a client that reads slowly.
+"""Measures the memory of one gateway with 10,000 queued queries, and with a 1 GB result to a slow client.
 
 python benchmarks/memory.py
 """
@@ -20,12 +20,12 @@
 from saffronlane.proto.commands import SERVICE, descriptor
 from saffronlane.rpc import Channel, ClientCall
 
-HELD = 10_000
+QUEUED_QUERIES = 10_000
 MB = 1024 * 1024
 
 
-def memory(pid: int) -> float:
-    """Resident memory of a process, MB."""
+def resident_mb(pid: int) -> float:
+    """Returns the resident memory of a process in MB."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS"):
             return int(line.split()[1]) / 1024
@@ -39,7 +39,7 @@
         "engines": {"file": "engines.json"},
         "kinds": [{"name": "any", "cores": 8}],
         "classes": [{"name": "lookup", "aim_s": 1.0, "deadline_s": deadline}],
-        "front": {"max_streams": 2 * HELD},
+        "front": {"max_streams": 2 * QUEUED_QUERIES},
         "limits": {"max_retry_after_s": 5.0},
     }
     path = folder / "gateway.json"
@@ -55,83 +55,86 @@
     return info.endpoint[0].ticket.SerializeToString()
 
 
-def start(channel: Channel, ticket: bytes) -> ClientCall:
-    """A ticket may be used any number of times: each use is a request of its own."""
+def start_do_get(channel: Channel, ticket: bytes) -> ClientCall:
+    """Starts a DoGet. A ticket may be used any number of times, and each use is a separate request."""
     call = channel.start(SERVICE + "DoGet")
     call.write_now(ticket, end=True)
     return call
 
 
-async def ended(call: ClientCall) -> str:
+async def read_to_end(call: ClientCall) -> str:
     while await call.read() is not None:
         pass
     return call.status.code.name if call.status is not None else "none"
 
 
-async def held(folder: Path) -> None:
-    """No engine at all: every query is held until its client's time is over, and all end at once."""
+async def measure_queued_queries(folder: Path) -> None:
+    """Measures queries that stay queued until their deadline, because the gateway has no engines."""
     process = await gateway(folder, [], deadline=20.0)
     assert process.process is not None
-    before = memory(process.process.pid)
+    before_mb = resident_mb(process.process.pid)
     channel = Channel("127.0.0.1", process.port)
     await channel.connect(2.0)
     while not channel.usable:
         await asyncio.sleep(0.01)
-    began = time.monotonic()
+    started_at = time.monotonic()
     ticket = await ticket_for(channel, "SELECT 1")
-    calls = [start(channel, ticket) for _ in range(HELD)]
-    while not await channel.ping(5.0):  # answered behind all of them
+    calls = [start_do_get(channel, ticket) for _ in range(QUEUED_QUERIES)]
+    while not await channel.ping(5.0):  # the response to the ping follows all of the requests
         pass
-    asked = time.monotonic() - began
-    most = memory(process.process.pid)
-    times: list[float] = []
+    send_seconds = time.monotonic() - started_at
+    peak_mb = resident_mb(process.process.pid)
+    end_times: list[float] = []
 
-    async def one(call: ClientCall) -> str:
-        code = await ended(call)
-        times.append(time.monotonic())
+    async def end_code(call: ClientCall) -> str:
+        code = await read_to_end(call)
+        end_times.append(time.monotonic())
         return code
 
-    codes = await asyncio.gather(*(one(c) for c in calls))
+    codes = await asyncio.gather(*(end_code(call) for call in calls))
     print(
-        f"{HELD} held queries: {most - before:.0f} MB over {before:.0f} MB, taken in {asked:.1f} s;", end=" "
+        f"{QUEUED_QUERIES} queued queries: {peak_mb - before_mb:.0f} MB over {before_mb:.0f} MB,"
+        f" accepted in {send_seconds:.1f} s;",
+        end=" ",
     )
-    print(f"all refused within {max(times) - min(times):.1f} s: {set(codes)}")
+    print(f"all rejected within {max(end_times) - min(end_times):.1f} s: {set(codes)}")
     process.send(signal.SIGKILL)
     channel.close()
 
 
-async def large(folder: Path) -> None:
-    """A result of 1 GB, read at about 100 MB/s."""
+async def measure_large_result(folder: Path) -> None:
+    """Measures a result of 1 GB that the client reads at about 100 MB/s."""
     engine = StandIn(EngineConfig("e0"))
     engine.start()
     process = await gateway(folder, [{"id": "e0", "address": engine.address}], deadline=120.0)
     assert process.process is not None
-    before = most = memory(process.process.pid)
+    before_mb = peak_mb = resident_mb(process.process.pid)
     channel = Channel("127.0.0.1", process.port)
     await channel.connect(2.0)
     while not channel.usable:
         await asyncio.sleep(0.01)
-    call = start(channel, await ticket_for(channel, "SELECT 1 /* lab rows=60000 batches=800 */"))
-    size, began = 0, time.monotonic()
+    call = start_do_get(channel, await ticket_for(channel, "SELECT 1 /* lab rows=60000 batches=800 */"))
+    size, started_at = 0, time.monotonic()
     while (message := await call.read()) is not None:
         size += len(message)
-        most = max(most, memory(process.process.pid))
-        await asyncio.sleep(max(0.0, began + size / (100 * MB) - time.monotonic()))
-    took = time.monotonic() - began
+        peak_mb = max(peak_mb, resident_mb(process.process.pid))
+        await asyncio.sleep(max(0.0, started_at + size / (100 * MB) - time.monotonic()))
+    duration = time.monotonic() - started_at
     print(
-        f"a result of {size / MB:.0f} MB to a slow client: {most - before:.0f} MB over {before:.0f} MB,",
+        f"a result of {size / MB:.0f} MB to a slow client:"
+        f" {peak_mb - before_mb:.0f} MB over {before_mb:.0f} MB,",
         end=" ",
     )
-    print(f"{size / MB / took:.0f} MB/s, {call.status}")
+    print(f"{size / MB / duration:.0f} MB/s, {call.status}")
     process.send(signal.SIGKILL)
     channel.close()
     engine.crash()
 
 
 async def main() -> None:
-    for part in (held, large):
-        with tempfile.TemporaryDirectory() as name:
-            await part(Path(name))
+    for measure in (measure_queued_queries, measure_large_result):
+        with tempfile.TemporaryDirectory() as folder:
+            await measure(Path(folder))
 
 
 if __name__ == "__main__":
--- a/benchmarks/node.py
+++ b/benchmarks/node.py
@@ -1,10 +1,11 @@
-"""CPU and memory of one platform node at a steady rate, on loopback with stand-in compute nodes.
+"""Measures CPU time and memory of one platform node at a constant rate, with simulated compute nodes.
 
     python benchmarks/node.py [--rate 260] [--seconds 10] [--pages 4]
 
-The node is a process of its own; clients and compute nodes run here. It prints one line: requests, CPU a
-request, resident memory at the start and at the end, latency. Stand-ins answer at once: only the node's work
-counts.
+The node runs in its own process. Clients and compute nodes run in this process and connect over loopback.
+Prints one line: the number of requests, the CPU time per request, the resident memory at the start and at the
+end, and the latency. The simulated compute nodes answer immediately, so that only the work of the node is
+measured.
 """
 
 from __future__ import annotations
@@ -26,19 +27,21 @@
 from platform_world import Client, Compute, FeedServer, Peer, config_text  # noqa: E402
 
 PAGE = b"abcdefgh\t12345\txyz\n" * 250
-NODES, CLIENTS = 5, 4
+COMPUTE_NODES, CLIENTS = 5, 4
 
 
 def process_cpu(pid: int) -> float:
+    """Returns the CPU time of a process in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def resident_mb(pid: int) -> float:
+    """Returns the resident memory of a process in MB."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * 4096 / 1e6
 
 
-def script(pages: int):  # type: ignore[no-untyped-def]
+def answer_script(pages: int):  # type: ignore[no-untyped-def]
     async def answer(peer: Peer, words: list[bytes]) -> None:
         if words[0] == b"fetch":
             peer.done(words[1], PAGE, pages)
@@ -49,14 +52,14 @@
 
 
 async def run(rate: float, seconds: float, pages: int) -> None:
-    computes = [Compute(script(pages)) for _ in range(NODES)]
+    computes = [Compute(answer_script(pages)) for _ in range(COMPUTE_NODES)]
     feed = FeedServer()
     await feed.start()
     for compute in computes:
         await compute.start()
-    with socket.socket() as free:
-        free.bind(("127.0.0.1", 0))
-        port = free.getsockname()[1]
+    with socket.socket() as port_probe:
+        port_probe.bind(("127.0.0.1", 0))
+        port = port_probe.getsockname()[1]
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
         path.write_text(json.dumps(config_text(computes, feed.port, listen=f"127.0.0.1:{port}")))
@@ -75,53 +78,54 @@
             feed.close()
 
 
-async def _clients(port: int) -> list[Client]:
+async def _connect_clients(port: int) -> list[Client]:
     for _ in range(200):
         try:
             return [Client(*await asyncio.open_connection("127.0.0.1", port)) for _ in range(CLIENTS)]
         except OSError:
             await asyncio.sleep(0.05)
-    raise SystemExit("the node does not listen")
+    raise SystemExit("the node did not accept connections within 10 s")
 
 
-async def _ask(client: Client, number: int, spans: list[float]) -> None:
-    began = time.monotonic()
-    msgid = client.call("ask", f"{number:016x}", b"SELECT n FROM sales_%d.orders" % (number % 20))
-    while msgid not in client.answers:
+async def _send_request(client: Client, number: int, latencies: list[float]) -> None:
+    started_at = time.monotonic()
+    message_id = client.call("ask", f"{number:016x}", b"SELECT n FROM sales_%d.orders" % (number % 20))
+    while message_id not in client.answers:
         await asyncio.sleep(0.001)
-    assert client.answers.pop(msgid)[0] is None
-    spans.append(time.monotonic() - began)
+    assert client.answers.pop(message_id)[0] is None
+    latencies.append(time.monotonic() - started_at)
 
 
-async def _pump(client: Client) -> None:
+async def _read_answers(client: Client) -> None:
     while data := await client.reader.read(262_144):
         client._buffer += data
         client._cut()
 
 
 async def _measure(pid: int, port: int, rate: float, seconds: float) -> None:
-    clients = await _clients(port)
-    pumps = [asyncio.create_task(_pump(client)) for client in clients]
-    cpu, memory = process_cpu(pid), resident_mb(pid)
-    spans: list[float] = []
-    began, number, tasks = time.monotonic(), 0, set()
-    while (now := time.monotonic()) < began + seconds:
-        while number < (now - began) * rate:
-            task = asyncio.create_task(_ask(clients[number % CLIENTS], number, spans))
+    clients = await _connect_clients(port)
+    reader_tasks = [asyncio.create_task(_read_answers(client)) for client in clients]
+    cpu_before, memory_before = process_cpu(pid), resident_mb(pid)
+    latencies: list[float] = []
+    started_at, number, tasks = time.monotonic(), 0, set()
+    while (now := time.monotonic()) < started_at + seconds:
+        while number < (now - started_at) * rate:
+            task = asyncio.create_task(_send_request(clients[number % CLIENTS], number, latencies))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
             number += 1
         await asyncio.sleep(0.002)
     await asyncio.gather(*tasks)
-    spent = process_cpu(pid) - cpu
-    spans.sort()
+    cpu_seconds = process_cpu(pid) - cpu_before
+    latencies.sort()
     print(
-        f"{number} requests at {rate:.0f}/s: {spent / number * 1e3:.2f} ms CPU each, "
-        f"{memory:.0f} to {resident_mb(pid):.0f} MB, p50 {spans[len(spans) // 2] * 1e3:.1f} ms, "
-        f"p99 {spans[int(len(spans) * 0.99)] * 1e3:.1f} ms"
+        f"{number} requests at {rate:.0f}/s: {cpu_seconds / number * 1e3:.2f} ms CPU each, "
+        f"{memory_before:.0f} to {resident_mb(pid):.0f} MB, "
+        f"p50 {latencies[len(latencies) // 2] * 1e3:.1f} ms, "
+        f"p99 {latencies[int(len(latencies) * 0.99)] * 1e3:.1f} ms"
     )
-    for pump in pumps:
-        pump.cancel()
+    for task in reader_tasks:
+        task.cancel()
     for client in clients:
         client.close()
 
--- a/benchmarks/ready.py
+++ b/benchmarks/ready.py
@@ -1,9 +1,10 @@
-"""Time until platform nodes are ready when many start at once on shared cores.
+"""Measures the time until platform nodes are ready when many of them start at the same time on shared cores.
 
     python benchmarks/ready.py [--starting 70] [--resting 30] [--python PATH]
 
-`--resting` nodes run already; `--starting` begin at one moment. Ready is the line `listening`. Prints, in
-seconds, how long one takes alone, and the median, the ninth decile and the last of those that begin at once.
+First, `--resting` nodes start one after the other and keep running. Then `--starting` nodes start at the same
+time. A node is ready when it has logged `listening`. Prints the seconds of the fastest single start, and the
+median, the 90th percentile and the maximum of the simultaneous starts.
 """
 
 from __future__ import annotations
@@ -29,10 +30,10 @@
 }
 
 
-def config(folder: Path, number: int, nodes: int) -> Path:
-    """A configuration with so many compute nodes that nobody runs, and a feed that nobody is."""
+def write_config(folder: Path, number: int, nodes: int) -> Path:
+    """Writes a configuration with a number of compute nodes and a feed, none of which exist."""
     members = [{"id": f"n{i}", "host_port": f"127.0.0.1:{2 + i}", "flavor": "std"} for i in range(nodes)]
-    told = {"revision": 1, "complete": True, "members": members}
+    endpoint_list = {"revision": 1, "complete": True, "members": members}
     path = folder / f"{number}.json"
     path.write_text(
         json.dumps(
@@ -40,7 +41,7 @@
                 "name": f"n{number}",
                 "listen": f"127.1.{number // 250}.{number % 250 + 1}:4100",
                 "feed": "127.0.0.1:1",
-                "known": {"n": 1, "events": [{"n": 1, "members": told}]},
+                "known": {"n": 1, "events": [{"n": 1, "members": endpoint_list}]},
                 "settings": SETTINGS,
             }
         )
@@ -48,9 +49,9 @@
     return path
 
 
-async def start(python: str, path: Path, begun: list[asyncio.subprocess.Process]) -> float:
-    """Seconds until it is ready; it stands in `begun` from its start on."""
-    began = time.monotonic()
+async def start(python: str, path: Path, processes: list[asyncio.subprocess.Process]) -> float:
+    """Starts a node, adds it to `processes` at once, and returns the seconds until it is ready."""
+    started_at = time.monotonic()
     process = await asyncio.create_subprocess_exec(
         python,
         "-m",
@@ -58,39 +59,43 @@
         env=os.environ | {"BALANCER_CONFIG": str(path)},
         stderr=asyncio.subprocess.PIPE,
     )
-    begun.append(process)
+    processes.append(process)
     assert process.stderr is not None
     while line := await process.stderr.readline():
         if b"listening" in line:
-            return time.monotonic() - began
-    raise SystemExit(f"a node ended with {await process.wait()}")
+            return time.monotonic() - started_at
+    raise SystemExit(f"a node exited before it was ready, with status {await process.wait()}")
 
 
 async def main() -> None:
-    reader = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else "")
-    reader.add_argument("--starting", type=int, default=70)
-    reader.add_argument("--resting", type=int, default=30)
-    reader.add_argument("--nodes", type=int, default=80)
-    reader.add_argument("--python", default=sys.executable)
-    asked = reader.parse_args()
-    begun: list[asyncio.subprocess.Process] = []
-    with tempfile.TemporaryDirectory() as name:
-        paths = [config(Path(name), n, asked.nodes) for n in range(asked.starting + asked.resting)]
+    parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else "")
+    parser.add_argument("--starting", type=int, default=70)
+    parser.add_argument("--resting", type=int, default=30)
+    parser.add_argument("--nodes", type=int, default=80)
+    parser.add_argument("--python", default=sys.executable)
+    options = parser.parse_args()
+    processes: list[asyncio.subprocess.Process] = []
+    with tempfile.TemporaryDirectory() as folder:
+        paths = [
+            write_config(Path(folder), n, options.nodes) for n in range(options.starting + options.resting)
+        ]
         try:
-            alone = min(
-                [await start(asked.python, path, begun) for path in paths[: asked.resting]], default=0.0
+            single_start = min(
+                [await start(options.python, path, processes) for path in paths[: options.resting]],
+                default=0.0,
             )
-            starts = (start(asked.python, path, begun) for path in paths[asked.resting :])
-            spans = sorted(await asyncio.gather(*starts))
-        finally:  # whatever failed, none of them stays
-            for process in begun:
+            starts = (start(options.python, path, processes) for path in paths[options.resting :])
+            durations = sorted(await asyncio.gather(*starts))
+        finally:  # ends all nodes, also after a failure
+            for process in processes:
                 if process.returncode is None:
                     process.kill()
-            await asyncio.gather(*(process.wait() for process in begun))
-    tenth = spans[max(0, -(-9 * len(spans) // 10) - 1)]
+            await asyncio.gather(*(process.wait() for process in processes))
+    p90 = durations[max(0, -(-9 * len(durations) // 10) - 1)]
     print(
-        f"one alone {alone:.2f} s; {asked.starting} at once beside {asked.resting} on {os.cpu_count()} cores:"
-        f" median {spans[len(spans) // 2]:.2f}, nine in ten {tenth:.2f}, last {spans[-1]:.2f} s"
+        f"single start {single_start:.2f} s; {options.starting} simultaneous starts beside"
+        f" {options.resting} running nodes on {os.cpu_count()} cores:"
+        f" median {durations[len(durations) // 2]:.2f}, p90 {p90:.2f}, max {durations[-1]:.2f} s"
     )
 
 
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -1,11 +1,14 @@
-"""What knowledge is worth after a restart: worth served in the first 5, 15 and 30 s, with and without it.
-
-Everything runs in one process on a virtual clock: dispatchers as they are, engines that share their cores as
-the laboratory's stand-ins do. All gateways of a fleet are killed at once, in a quiet time, in an overload and
-amid a rolling deploy, and come back with nothing, with what they kept, with the same an hour, a day or a
-month old, and with knowledge that is wrong: paces ten times too long or too short, half of the engines marked
-ill. `- classes` and the like leave one kind out; `no kill` is the same fleet without any restart.
-Runs of one seed see the same queries and the same engines; differences to `none` are within a seed.
+"""Measures the value of learned state after a restart, with and without it.
+
+The measure is the priority weight of served requests relative to that of all submitted requests, in the first
+5, 15 and 30 s after the restart. A late response counts with the late priority weight of its class.
+Everything runs in one process on a virtual clock: real dispatchers, and engines that share their cores like
+the simulated engines of the lab. All gateways of a fleet are killed at the same time, during low load, during
+an overload and during a rolling deployment. They restart without state, with the state that they stored, with
+the same state at an age of an hour, a day or a month, and with wrong state: exec times ten times too long or
+too short, and half of the engines ejected. The condition `- classes` and similar conditions leave out one
+kind of record. The condition `no kill` is the same fleet without a restart. All runs of one seed have the
+same queries and the same engines, and differences to `none` are computed per seed.
 
     python benchmarks/restart.py [--seeds 6] [--jobs 8] [--json FILE]
 """
@@ -28,14 +31,14 @@
 from saffronlane import dispatch
 from saffronlane import interface as api
 from saffronlane.lab.model import EngineShape, Machine, Run
-from saffronlane.learned_state import PersistedState, Timestamp
-from saffronlane.learned_state import records as k
+from saffronlane.learned_state import PersistedState, Timestamp, records
 from saffronlane.storage import Entry
 
 GATEWAYS, ENGINES, CORES = 3, 8, 4.0
-KILL, GAP, AFTER = 25.0, 0.8, 30.0  # seconds: of warm-up, of the gap, and measured
-NOTES = 0.3  # seconds between two notes of progress from an engine
-SPANS = (5.0, 15.0, 30.0)
+# Seconds before the kill, without gateways, and measured after the restart.
+KILL_AT, DOWNTIME, MEASURED_TIME = 25.0, 0.8, 30.0
+PROGRESS_INTERVAL = 0.3  # seconds between two progress reports of an engine
+MEASURED_SPANS = (5.0, 15.0, 30.0)
 SETTINGS = api.Settings(
     classes=(
         api.ClassSettings("lookup", latency_objective=0.6, deadline=3.0, latency_objective_per_work=2.0),
@@ -58,271 +61,291 @@
         slow_start_duration=8.0,
     ),
     limits=api.Limits(can_cancel=True, max_attempts=3, sends_retry_after=True, max_retry_after=2.0),
-    progress_interval=NOTES,
+    progress_interval=PROGRESS_INTERVAL,
     reports_work=True,
     report_columns=("active",),
 )
-WORKS = ((0.05, 0.6), (0.8, 0.7))  # mean work in seconds, and its deviation as a logarithm
-REPORTS = 0.15
-SITUATIONS = {"quiet": 0.35, "overload": 1.4, "rolling": 0.85}  # load, of what the engines can do
-Folder = dict[bytes, Entry]
+# The mean work in seconds and the standard deviation of its logarithm, by class.
+CLASS_WORK = ((0.05, 0.6), (0.8, 0.7))
+REPORT_SHARE = 0.15  # share of the requests that are of the class report
+# The load relative to the capacity of the engines.
+SITUATION_LOADS = {"quiet": 0.35, "overload": 1.4, "rolling": 0.85}
+StoredEntries = dict[bytes, Entry]
 
 
 @dataclass(slots=True, eq=False)
-class Running:
+class RunningAttempt:
+    """An attempt that runs on an engine."""
+
     gateway: int
     request: int
     attempt: int
     engine: int
     run: Run
-    began: float
-    ended: bool = False
+    started_at: float
+    is_ended: bool = False
 
 
 @dataclass(slots=True)
 class Engine:
+    """A simulated engine."""
+
     machine: Machine
-    started: float = 0.0
+    started_at: float = 0.0
     state: api.EngineState = api.EngineState.READY
-    running: dict[int, Running] = field(default_factory=dict)  # by the run's identity
+    running: dict[int, RunningAttempt] = field(default_factory=dict)  # by the id() of the run
 
 
 class Fleet:
-    """Engines, gateways and clients on one clock."""
+    """Engines, gateways and clients on one virtual clock."""
 
     def __init__(self, situation: str, seed: int) -> None:
-        self.random = np.random.default_rng([seed, 1])
+        self.failure_random = np.random.default_rng([seed, 1])
         shape = EngineShape(CORES, 4096.0, 1.0, 0.4, 8.0, 3.0, 2.0)
         self.engines = [Engine(Machine(shape, -1e6)) for _ in range(ENGINES)]
-        self.engines[0].machine.slow = 2.5  # one engine is slow, another one breaks now and then
+        # Engine 0 is slow. Engine 1 resets some attempts, see `start_attempt`.
+        self.engines[0].machine.slow = 2.5
         self.now = 0.0
-        self.events: list[tuple[float, int, Callable[[], None]]] = []
-        self.order = itertools.count()
-        self.looks: dict[int, float] = {}
-        self.folders: list[Folder] = [{} for _ in range(GATEWAYS)]
-        self.cores: list[dispatch.Dispatcher | None] = [None] * GATEWAYS
+        self.timers: list[tuple[float, int, Callable[[], None]]] = []
+        self.timer_numbers = itertools.count()
+        self.next_check_times: dict[int, float] = {}
+        self.stored_entries: list[StoredEntries] = [{} for _ in range(GATEWAYS)]
+        self.dispatchers: list[dispatch.Dispatcher | None] = [None] * GATEWAYS
         self.inputs: list[list[dispatch.Input]] = [[] for _ in range(GATEWAYS)]
-        self.out: dict[tuple[int, int, int], Running] = {}
-        self.asked: dict[tuple[int, int], tuple[float, int, float]] = {}  # when, class, work
-        self.worth: list[tuple[float, float, float]] = []  # when asked, asked for, earned
+        self.attempts_in_flight: dict[tuple[int, int, int], RunningAttempt] = {}
+        # Submission time, class and work, by gateway and request.
+        self.open_requests: dict[tuple[int, int], tuple[float, int, float]] = {}
+        # Submission time, submitted priority weight and served priority weight.
+        self.weight_records: list[tuple[float, float, float]] = []
         self.seed = seed
         for number in range(ENGINES):
-            self.at(NOTES * number / ENGINES, lambda n=number: self.note(n))
-        self._draw(situation, seed)
+            self.schedule(PROGRESS_INTERVAL * number / ENGINES, lambda n=number: self.report_progress(n))
+        self._schedule_traffic(situation, seed)
         if situation == "rolling":
             for number in range(ENGINES):
-                self._replace(18.0 + 4.0 * number, number)
-
-    def _draw(self, situation: str, seed: int) -> None:
-        draw = np.random.default_rng([seed, 2])
-        mean = (1.0 - REPORTS) * WORKS[0][0] + REPORTS * WORKS[1][0]
-        rate = SITUATIONS[situation] * ENGINES * CORES / mean
-        at = 0.5
-        while (at := at + float(draw.exponential(1.0 / rate))) < KILL + GAP + AFTER:
-            cls = int(draw.random() < REPORTS)
-            middle, sigma = WORKS[cls]
-            work = middle * float(draw.lognormal(-sigma * sigma / 2.0, sigma))
-            tables = float(draw.integers(24))
-            gateway = int(draw.integers(GATEWAYS))
-            self.at(at, lambda c=cls, w=work, t=tables, g=gateway: self.ask(g, c, w, t))
-
-    def at(self, time: float, do: Callable[[], None]) -> None:
-        heapq.heappush(self.events, (time, next(self.order), do))
+                self._schedule_replacement(18.0 + 4.0 * number, number)
+
+    def _schedule_traffic(self, situation: str, seed: int) -> None:
+        random = np.random.default_rng([seed, 2])
+        mean_work = (1.0 - REPORT_SHARE) * CLASS_WORK[0][0] + REPORT_SHARE * CLASS_WORK[1][0]
+        rate = SITUATION_LOADS[situation] * ENGINES * CORES / mean_work
+        submit_at = 0.5
+        while (
+            submit_at := submit_at + float(random.exponential(1.0 / rate))
+        ) < KILL_AT + DOWNTIME + MEASURED_TIME:
+            cls = int(random.random() < REPORT_SHARE)
+            class_mean, sigma = CLASS_WORK[cls]
+            work = class_mean * float(random.lognormal(-sigma * sigma / 2.0, sigma))
+            table_group = float(random.integers(24))
+            gateway = int(random.integers(GATEWAYS))
+            self.schedule(
+                submit_at, lambda c=cls, w=work, t=table_group, g=gateway: self.submit_request(g, c, w, t)
+            )
+
+    def schedule(self, time: float, callback: Callable[[], None]) -> None:
+        heapq.heappush(self.timers, (time, next(self.timer_numbers), callback))
 
     # --- engines ---
 
-    def _replace(self, at: float, number: int) -> None:
+    def _schedule_replacement(self, drain_at: float, number: int) -> None:
         engine = self.engines[number]
 
         def drain() -> None:
             engine.state = api.EngineState.DRAINING
-            self.tell_list()
+            self.broadcast_endpoint_list()
 
-        def gone() -> None:
+        def remove() -> None:
             engine.state = api.EngineState.REMOVED
-            for one in list(engine.running.values()):
-                self.end(one, api.Outcome.RESET)
-            self.tell_list()
+            for attempt in list(engine.running.values()):
+                self.end_attempt(attempt, api.Outcome.RESET)
+            self.broadcast_endpoint_list()
 
-        def back() -> None:
-            engine.state, engine.started = api.EngineState.READY, self.now
+        def restart() -> None:
+            engine.state, engine.started_at = api.EngineState.READY, self.now
             engine.machine = Machine(engine.machine.shape, self.now)
-            self.tell_list()
+            self.broadcast_endpoint_list()
 
-        self.at(at, drain)
-        self.at(at + 1.5, gone)
-        self.at(at + 3.0, back)
+        self.schedule(drain_at, drain)
+        self.schedule(drain_at + 1.5, remove)
+        self.schedule(drain_at + 3.0, restart)
 
     def entries(self) -> tuple[api.EngineEntry, ...]:
         return tuple(
-            api.EngineEntry(b"e%d" % n, e.state, e.started)
-            for n, e in enumerate(self.engines)
-            if e.state is not api.EngineState.REMOVED
+            api.EngineEntry(b"e%d" % n, engine.state, engine.started_at)
+            for n, engine in enumerate(self.engines)
+            if engine.state is not api.EngineState.REMOVED
         )
 
-    def tell_list(self) -> None:
+    def broadcast_endpoint_list(self) -> None:
         for inputs in self.inputs:
             inputs.append(api.EndpointListUpdate(api.EndpointListMode.FULL, 1, self.entries()))
 
-    def look_at(self, number: int) -> None:
-        """Ask again when the engine's next run ends."""
+    def check_engine(self, number: int) -> None:
+        """Ends attempts whose runs have completed, and schedules a check at the next end of a run."""
         engine = self.engines[number]
         engine.machine.advance(self.now)
         for run in engine.machine.collect():
-            if (one := engine.running.get(id(run))) is not None:
-                self.end(one, api.Outcome.OK)
+            if (attempt := engine.running.get(id(run))) is not None:
+                self.end_attempt(attempt, api.Outcome.OK)
         due = engine.machine.next_end(self.now)
         if due < math.inf:
-            self.looks[number] = due
-            self.at(max(due, self.now + 1e-6), lambda: self.looks.get(number) == due and self.look_at(number))
+            self.next_check_times[number] = due
+            self.schedule(
+                max(due, self.now + 1e-6),
+                lambda: self.next_check_times.get(number) == due and self.check_engine(number),
+            )
 
-    def note(self, number: int) -> None:
+    def report_progress(self, number: int) -> None:
         engine = self.engines[number]
         engine.machine.advance(self.now)
-        for one in engine.running.values():
-            note = dispatch.AttemptProgress(
-                one.request, one.attempt, api.ProgressKind.PROGRESS, one.run.progress
+        for attempt in engine.running.values():
+            progress = dispatch.AttemptProgress(
+                attempt.request, attempt.attempt, api.ProgressKind.PROGRESS, attempt.run.progress
             )
-            self.inputs[one.gateway].append(note)
-        self.look_at(number)
-        self.at(self.now + NOTES, lambda: self.note(number))
+            self.inputs[attempt.gateway].append(progress)
+        self.check_engine(number)
+        self.schedule(self.now + PROGRESS_INTERVAL, lambda: self.report_progress(number))
 
-    def end(self, one: Running, outcome: api.Outcome) -> None:
-        if one.ended:
+    def end_attempt(self, attempt: RunningAttempt, outcome: api.Outcome) -> None:
+        if attempt.is_ended:
             return
-        one.ended = True
-        engine = self.engines[one.engine]
-        engine.running.pop(id(one.run), None)
-        self.out.pop((one.gateway, one.request, one.attempt), None)
+        attempt.is_ended = True
+        engine = self.engines[attempt.engine]
+        engine.running.pop(id(attempt.run), None)
+        self.attempts_in_flight.pop((attempt.gateway, attempt.request, attempt.attempt), None)
         if outcome is not api.Outcome.OK:
-            engine.machine.remove(one.run, self.now)
-        told = one.run.work if outcome is api.Outcome.OK else 0.0
+            engine.machine.remove(attempt.run, self.now)
+        reported_work = attempt.run.work if outcome is api.Outcome.OK else 0.0
         report = (float(len(engine.machine.running)),)
-        elapsed = self.now - one.began
-        done = dispatch.AttemptDone(one.request, one.attempt, outcome, elapsed, told, 0.0, report)
-        self.inputs[one.gateway].append(done)
+        elapsed = self.now - attempt.started_at
+        done = dispatch.AttemptDone(
+            attempt.request, attempt.attempt, outcome, elapsed, reported_work, 0.0, report
+        )
+        self.inputs[attempt.gateway].append(done)
 
     # --- gateways ---
 
-    def start(self, number: int, folder: Folder, wall: float) -> None:
-        memory = PersistedState(tuple(folder.items()), Timestamp(self.now, wall, "boot", "place"))
+    def start_gateway(self, number: int, entries: StoredEntries, wall: float) -> None:
+        state = PersistedState(tuple(entries.items()), Timestamp(self.now, wall, "boot", "place"))
         settings = replace(SETTINGS, gateway_index=number)
-        core = self.cores[number] = dispatch.Dispatcher(
-            settings, self.seed, persisted_state=memory, is_persistent=True
+        dispatcher = self.dispatchers[number] = dispatch.Dispatcher(
+            settings, self.seed, persisted_state=state, is_persistent=True
         )
-        self.folders[number] = folder
-        self.write(number, core.first_changes)
+        self.stored_entries[number] = entries
+        self.apply_changes(number, dispatcher.first_changes)
         self.inputs[number] = [api.EndpointListUpdate(api.EndpointListMode.FULL, 1, self.entries())]
 
-    def write(self, number: int, changes: object) -> None:
+    def apply_changes(self, number: int, changes: object) -> None:
         for change in changes:  # type: ignore[attr-defined]
             if change.entry is None:
-                self.folders[number].pop(change.key, None)
+                self.stored_entries[number].pop(change.key, None)
             else:
-                self.folders[number][change.key] = change.entry
+                self.stored_entries[number][change.key] = change.entry
 
-    def sign(self, number: int) -> None:
-        run = k.RunRecord(self.now, 1e9 + self.now, "boot", "place", "", number, GATEWAYS, False)
-        self.write(number, [k.make_change(k.RUN, run)])
+    def write_run_record(self, number: int) -> None:
+        run = records.RunRecord(self.now, 1e9 + self.now, "boot", "place", "", number, GATEWAYS, False)
+        self.apply_changes(number, [records.make_change(records.RUN, run)])
 
-    def kill(self) -> None:
+    def kill_gateways(self) -> None:
         for number in range(GATEWAYS):
-            self.sign(number)
-            self.cores[number], self.inputs[number] = None, []
-        for one in list(self.out.values()):
-            self.end(one, api.Outcome.RESET)
+            self.write_run_record(number)
+            self.dispatchers[number], self.inputs[number] = None, []
+        for attempt in list(self.attempts_in_flight.values()):
+            self.end_attempt(attempt, api.Outcome.RESET)
         self.inputs = [[] for _ in range(GATEWAYS)]
 
-    def ask(self, gateway: int, cls: int, work: float, tables: float) -> None:
+    def submit_request(self, gateway: int, cls: int, work: float, table_group: float) -> None:
         settings = SETTINGS.classes[cls]
-        core = self.cores[gateway]
-        if core is None:
-            return  # it is down for all conditions alike
-        request = core.new_request()
-        self.asked[gateway, request] = (self.now, cls, work)
-        self.worth.append((self.now, settings.priority_weight, 0.0))
-        self.inputs[gateway].append(dispatch.Submit(request, cls, settings.deadline, table_group=tables))
-
-    def answer(self, gateway: int, request: int, served: bool) -> None:
-        asked = self.asked.pop((gateway, request), None)
-        if asked is None or not served:
+        dispatcher = self.dispatchers[gateway]
+        if dispatcher is None:
+            return  # not counted: the gateways are down under every condition with a restart
+        request = dispatcher.new_request()
+        self.open_requests[gateway, request] = (self.now, cls, work)
+        self.weight_records.append((self.now, settings.priority_weight, 0.0))
+        self.inputs[gateway].append(dispatch.Submit(request, cls, settings.deadline, table_group=table_group))
+
+    def end_request(self, gateway: int, request: int, is_served: bool) -> None:
+        open_request = self.open_requests.pop((gateway, request), None)
+        if open_request is None or not is_served:
             return
-        at, cls, work = asked
+        submitted_at, cls, work = open_request
         settings = SETTINGS.classes[cls]
-        wanted = settings.latency_objective + settings.latency_objective_per_work * work / settings.threads
-        share = 1.0 if self.now - at <= wanted else settings.late_priority_weight
-        self.worth.append((at, 0.0, share * settings.priority_weight))
+        latency_objective = (
+            settings.latency_objective + settings.latency_objective_per_work * work / settings.threads
+        )
+        weight_ratio = 1.0 if self.now - submitted_at <= latency_objective else settings.late_priority_weight
+        self.weight_records.append((submitted_at, 0.0, weight_ratio * settings.priority_weight))
 
-    def step(self, number: int) -> None:
-        core = self.cores[number]
-        if core is None:
+    def step_gateway(self, number: int) -> None:
+        dispatcher = self.dispatchers[number]
+        if dispatcher is None:
             return
         inputs, self.inputs[number] = self.inputs[number], []
-        for effect in core.step(self.now, inputs):
+        for effect in dispatcher.step(self.now, inputs):
             if isinstance(effect, dispatch.StartAttempt):
-                self.send(number, effect)
+                self.start_attempt(number, effect)
             elif isinstance(effect, dispatch.CancelAttempt):
-                one = self.out.get((number, effect.request, effect.attempt))
-                if one is not None:
-                    self.end(one, api.Outcome.CANCELLED)
+                attempt = self.attempts_in_flight.get((number, effect.request, effect.attempt))
+                if attempt is not None:
+                    self.end_attempt(attempt, api.Outcome.CANCELLED)
             elif isinstance(effect, dispatch.Persist):
-                self.write(number, effect.changes)
+                self.apply_changes(number, effect.changes)
             elif isinstance(effect, dispatch.CompleteRequest | dispatch.RejectRequest | dispatch.FailRequest):
-                self.answer(number, effect.request, isinstance(effect, dispatch.CompleteRequest))
+                self.end_request(number, effect.request, isinstance(effect, dispatch.CompleteRequest))
 
-    def send(self, number: int, effect: dispatch.StartAttempt) -> None:
+    def start_attempt(self, number: int, effect: dispatch.StartAttempt) -> None:
         target = int(effect.engine[1:])
         engine = self.engines[target]
-        _, cls, work = self.asked.get((number, effect.request), (0.0, 0, 0.01))
+        _, cls, work = self.open_requests.get((number, effect.request), (0.0, 0, 0.01))
         run = Run(work, float(SETTINGS.classes[cls].threads), 1.0)
-        one = Running(number, effect.request, effect.attempt, target, run, self.now)
-        self.out[number, effect.request, effect.attempt] = one
-        broken = target == 1 and self.random.random() < 0.6
-        if engine.state is api.EngineState.REMOVED or broken:
-            one.ended = True
-            del self.out[number, effect.request, effect.attempt]
+        attempt = RunningAttempt(number, effect.request, effect.attempt, target, run, self.now)
+        self.attempts_in_flight[number, effect.request, effect.attempt] = attempt
+        is_reset = target == 1 and self.failure_random.random() < 0.6
+        if engine.state is api.EngineState.REMOVED or is_reset:
+            attempt.is_ended = True
+            del self.attempts_in_flight[number, effect.request, effect.attempt]
             done = dispatch.AttemptDone(effect.request, effect.attempt, api.Outcome.RESET, 0.01)
             self.inputs[number].append(done)
             return
-        engine.running[id(run)] = one
+        engine.running[id(run)] = attempt
         if not engine.machine.add(run, self.now):
             for other in list(engine.running.values()):
-                self.end(other, api.Outcome.RESET)
+                self.end_attempt(other, api.Outcome.RESET)
             engine.machine = Machine(engine.machine.shape, self.now + 1e6)
             engine.state = api.EngineState.REMOVED
-            self.tell_list()
-        self.at(self.now + effect.timeout, lambda: self.end(one, api.Outcome.TIMEOUT))
-        self.look_at(target)
+            self.broadcast_endpoint_list()
+        self.schedule(self.now + effect.timeout, lambda: self.end_attempt(attempt, api.Outcome.TIMEOUT))
+        self.check_engine(target)
 
-    def run(self, until: float) -> None:
+    def run_until(self, end: float) -> None:
         while True:
-            wakes = [core.next_timer for core in self.cores if core is not None]
-            pending = any(self.inputs[n] for n in range(GATEWAYS) if self.cores[n] is not None)
-            due = min([*wakes, self.events[0][0] if self.events else math.inf])
-            due = self.now if pending else max(self.now, due)
-            if due > until:
-                self.now = until
+            timer_times = [dispatcher.next_timer for dispatcher in self.dispatchers if dispatcher is not None]
+            has_inputs = any(self.inputs[n] for n in range(GATEWAYS) if self.dispatchers[n] is not None)
+            due = min([*timer_times, self.timers[0][0] if self.timers else math.inf])
+            due = self.now if has_inputs else max(self.now, due)
+            if due > end:
+                self.now = end
                 return
             self.now = due
-            while self.events and self.events[0][0] <= self.now:
-                heapq.heappop(self.events)[2]()
-            for number, core in enumerate(self.cores):
-                if core is not None and (self.inputs[number] or core.next_timer <= self.now):
-                    self.step(number)
+            while self.timers and self.timers[0][0] <= self.now:
+                heapq.heappop(self.timers)[2]()
+            for number, dispatcher in enumerate(self.dispatchers):
+                if dispatcher is not None and (self.inputs[number] or dispatcher.next_timer <= self.now):
+                    self.step_gateway(number)
 
 
-PACE_FIELDS = ("latency_per_cost", "work_per_cost", "uncontended_work_per_cost")
+EXEC_TIME_FIELDS = ("latency_per_cost", "work_per_cost", "uncontended_work_per_cost")
 
 
-def wrong(folder: Folder, factor: float) -> Folder:
-    """Paces so many times too long, and health the other way round for every second engine."""
-    changed = dict(folder)
-    for key, entry in folder.items():
-        value = k.decode(key, entry)
-        if isinstance(value, k.ClassRecord):
-            times = {name: getattr(value, name) * factor for name in PACE_FIELDS}
-            value = with_fields(value, **times)
-        elif isinstance(value, k.EngineRecord) and int(key[3:]) % 2:
+def corrupt(entries: StoredEntries, factor: float) -> StoredEntries:
+    """Returns entries with exec times multiplied by a factor, and with every second engine ejected."""
+    corrupted = dict(entries)
+    for key, entry in entries.items():
+        value = records.decode(key, entry)
+        if isinstance(value, records.ClassRecord):
+            exec_times = {name: getattr(value, name) * factor for name in EXEC_TIME_FIELDS}
+            value = with_fields(value, **exec_times)
+        elif isinstance(value, records.EngineRecord) and int(key[3:]) % 2:
             value = with_fields(
                 value,
                 is_ejected=True,
@@ -330,83 +353,87 @@
                 last_outcome_at=value.last_listed_at,
                 probe_request_interval=0.4,
             )
-        changed[key] = k.make_change(key, value).entry or entry
-    return changed
+        corrupted[key] = records.make_change(key, value).entry or entry
+    return corrupted
 
 
-AGES = {"right": GAP, "1 h": 3600.0, "1 day": 86_400.0, "30 days": 2_592_000.0}
-KINDS = {"- classes": k.CLASS, "- engines": k.ENGINE, "- fleet": k.FLEET}
-CONDITIONS = ("none", *AGES, "10x long", "10x short", *KINDS, "no kill")
+STATE_AGES = {"right": DOWNTIME, "1 h": 3600.0, "1 day": 86_400.0, "30 days": 2_592_000.0}
+OMITTED_KINDS = {"- classes": records.CLASS, "- engines": records.ENGINE, "- fleet": records.FLEET}
+CONDITIONS = ("none", *STATE_AGES, "10x long", "10x short", *OMITTED_KINDS, "no kill")
 
 
-def play(situation: str, condition: str, seed: int) -> list[float]:
-    """Worth earned over worth asked for in each span after the restart."""
+def measure_served_ratios(situation: str, condition: str, seed: int) -> list[float]:
+    """Returns the served relative to the submitted priority weight for each span after the restart."""
     fleet = Fleet(situation, seed)
     for number in range(GATEWAYS):
-        fleet.start(number, {}, 1e9)
-    fleet.run(KILL)
+        fleet.start_gateway(number, {}, 1e9)
+    fleet.run_until(KILL_AT)
     if condition != "no kill":
-        fleet.kill()
-    fleet.run(KILL + GAP)
-    back = fleet.now
+        fleet.kill_gateways()
+    fleet.run_until(KILL_AT + DOWNTIME)
+    restarted_at = fleet.now
     for number in range(GATEWAYS) if condition != "no kill" else ():
-        folder = fleet.folders[number]
+        entries = fleet.stored_entries[number]
         if condition == "none":
-            folder = {}
+            entries = {}
         elif condition.startswith("10x"):
-            folder = wrong(folder, 10.0 if condition == "10x long" else 0.1)
-        elif condition in KINDS:
-            folder = {key: entry for key, entry in folder.items() if k.kind_of(key) != KINDS[condition]}
-        # An older folder is one of another boot, so that only wall time tells its age.
-        age = AGES.get(condition, GAP)
-        run = folder.get(k.RUN)
-        if run is not None and age > GAP:
-            old = k.decode(k.RUN, run)
-            assert isinstance(old, k.RunRecord)
-            made = k.make_change(k.RUN, with_fields(old, boot_id="older", wall_s=1e9 + back - age)).entry
-            assert made is not None
-            folder = folder | {k.RUN: made}
-        fleet.start(number, folder, 1e9 + back)
-    fleet.run(back + AFTER + 10.0)
-    shares = []
-    for span in SPANS:
-        mine = [w for w in fleet.worth if back <= w[0] < back + span]
-        shares.append(sum(w[2] for w in mine) / max(1e-9, sum(w[1] for w in mine)))
-    return shares
-
-
-def _play(job: tuple[str, str, int]) -> list[float]:
-    return play(*job)
+            entries = corrupt(entries, 10.0 if condition == "10x long" else 0.1)
+        elif condition in OMITTED_KINDS:
+            entries = {
+                key: entry
+                for key, entry in entries.items()
+                if records.kind_of(key) != OMITTED_KINDS[condition]
+            }
+        # Older state has another boot id, so that its age is computed from the wall clock.
+        age = STATE_AGES.get(condition, DOWNTIME)
+        run_entry = entries.get(records.RUN)
+        if run_entry is not None and age > DOWNTIME:
+            run_record = records.decode(records.RUN, run_entry)
+            assert isinstance(run_record, records.RunRecord)
+            aged_entry = records.make_change(
+                records.RUN, with_fields(run_record, boot_id="older", wall_s=1e9 + restarted_at - age)
+            ).entry
+            assert aged_entry is not None
+            entries = entries | {records.RUN: aged_entry}
+        fleet.start_gateway(number, entries, 1e9 + restarted_at)
+    fleet.run_until(restarted_at + MEASURED_TIME + 10.0)
+    served_ratios = []
+    for span in MEASURED_SPANS:
+        span_records = [w for w in fleet.weight_records if restarted_at <= w[0] < restarted_at + span]
+        served_ratios.append(sum(w[2] for w in span_records) / max(1e-9, sum(w[1] for w in span_records)))
+    return served_ratios
+
+
+def _run_job(job: tuple[str, str, int]) -> list[float]:
+    return measure_served_ratios(*job)
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--seeds", type=int, default=6)
     parser.add_argument("--jobs", type=int, default=8)
-    parser.add_argument("--situation", choices=list(SITUATIONS))
+    parser.add_argument("--situation", choices=list(SITUATION_LOADS))
     parser.add_argument("--json")
     options = parser.parse_args()
-    situations = [options.situation] if options.situation else list(SITUATIONS)
+    situations = [options.situation] if options.situation else list(SITUATION_LOADS)
     jobs = [(s, c, n) for s in situations for c in CONDITIONS for n in range(1, options.seeds + 1)]
     with ProcessPoolExecutor(options.jobs) as pool:
-        results = dict(zip(jobs, pool.map(_play, jobs), strict=True))
-    print(
-        "worth earned over worth asked; in brackets the difference to `none`, mean and deviation over seeds"
-    )
-    print(f"{'':22}" + "".join(f"{f'first {s:g} s':>26}" for s in SPANS))
-    for situation in situations:
+        results = dict(zip(jobs, pool.map(_run_job, jobs), strict=True))
+    print("served / submitted priority weight; in brackets the difference to `none`, mean and deviation over
+    seeds") print(f"{'':22}" + "".join(f"{f'first {s:g} s':>26}" for s in MEASURED_SPANS)) for situation in
+    situations:
         for condition in CONDITIONS:
             cells = []
-            for index in range(len(SPANS)):
-                mine = [results[situation, condition, n][index] for n in range(1, options.seeds + 1)]
-                none = [results[situation, "none", n][index] for n in range(1, options.seeds + 1)]
-                apart = np.subtract(mine, none)
-                spread = apart.std(ddof=1) if len(apart) > 1 else 0.0
-                cells.append(f"{np.mean(mine):8.3f} ({apart.mean():+.3f} ± {spread:.3f})")
+            for index in range(len(MEASURED_SPANS)):
+                ratios = [results[situation, condition, n][index] for n in range(1, options.seeds + 1)]
+                baseline_ratios = [results[situation, "none", n][index] for n in range(1, options.seeds + 1)]
+                differences = np.subtract(ratios, baseline_ratios)
+                deviation = differences.std(ddof=1) if len(differences) > 1 else 0.0
+                cells.append(f"{np.mean(ratios):8.3f} ({differences.mean():+.3f} ± {deviation:.3f})")
             print(f"{situation:>10} {condition:>10} " + "".join(f"{c:>26}" for c in cells))
     if options.json:
-        with Path(options.json).open("w") as sink:
-            json.dump([[*job, *result] for job, result in results.items()], sink)
+        with Path(options.json).open("w") as output:
+            json.dump([[*job, *result] for job, result in results.items()], output)
 
 
 if __name__ == "__main__":
--- a/benchmarks/step.py
+++ b/benchmarks/step.py
@@ -1,4 +1,4 @@
-"""The cost of a decision: one query through `dispatch.Dispatcher`, from 9 to 45 engines, and with many held.
+"""Measures the cost of a query in `dispatch.Dispatcher`, by the number of engines and of queued queries.
 
 python benchmarks/step.py
 """
@@ -14,7 +14,7 @@
 QUERIES = 3_000
 
 
-def fleet(engines: int, gateways: int) -> dispatch.Dispatcher:
+def make_dispatcher(engines: int, gateways: int) -> dispatch.Dispatcher:
     settings = api.Settings(
         classes=(api.ClassSettings("lookup", 1.0, 30.0), api.ClassSettings("report", 3.0, 60.0, threads=4)),
         machine_types=(api.MachineType("any", 8.0, 32_768.0),),
@@ -31,10 +31,10 @@
     return core
 
 
-def busy(engines: int) -> float:
-    """Microseconds a query, both its steps, with twenty queries out at any time."""
-    core, random, out, now = fleet(engines, 1), Random(1), [], 0.0
-    began = time.perf_counter()
+def query_cost(engines: int) -> float:
+    """Returns the microseconds per query for submission and end, while 20 attempts are in flight."""
+    core, random, in_flight, now = make_dispatcher(engines, 1), Random(1), [], 0.0
+    started_at = time.perf_counter()
     for _ in range(QUERIES):
         now += 0.002
         request = core.new_request()
@@ -42,30 +42,34 @@
             request, int(random.random() < 0.15), 20.0, table_group=float(random.randrange(50))
         )
         effects = core.step(now, [submit])
-        out += [e for e in effects if isinstance(e, dispatch.StartAttempt)]
-        if len(out) > 20:
-            done = out.pop(0)
-            end = dispatch.AttemptDone(done.request, done.attempt, api.Outcome.OK, 0.05, 0.05, 10.0, (3.0,))
-            out += [e for e in core.step(now, [end]) if isinstance(e, dispatch.StartAttempt)]
-    return (time.perf_counter() - began) / QUERIES * 1e6
+        in_flight += [effect for effect in effects if isinstance(effect, dispatch.StartAttempt)]
+        if len(in_flight) > 20:
+            finished = in_flight.pop(0)
+            end = dispatch.AttemptDone(
+                finished.request, finished.attempt, api.Outcome.OK, 0.05, 0.05, 10.0, (3.0,)
+            )
+            in_flight += [
+                effect for effect in core.step(now, [end]) if isinstance(effect, dispatch.StartAttempt)
+            ]
+    return (time.perf_counter() - started_at) / QUERIES * 1e6
 
 
-def held(engines: int, number: int) -> float:
-    """Milliseconds a step while so many queries are held."""
-    core = fleet(engines, 1)
+def step_cost_with_queue(engines: int, queue_length: int) -> float:
+    """Returns the milliseconds per step while a number of queries is queued."""
+    core = make_dispatcher(engines, 1)
     core.gateway.concurrency_limit.limit = 20.0
-    core.step(1.0, [dispatch.Submit(core.new_request(), n % 2, 30.0) for n in range(number)])
-    began = time.perf_counter()
+    core.step(1.0, [dispatch.Submit(core.new_request(), n % 2, 30.0) for n in range(queue_length)])
+    started_at = time.perf_counter()
     for n in range(20):
         core.step(1.0 + n / 100, [dispatch.Submit(core.new_request(), 0, 30.0)])
-    return (time.perf_counter() - began) / 20 * 1e3
+    return (time.perf_counter() - started_at) / 20 * 1e3
 
 
 def main() -> None:
     for engines in (9, 18, 32, 45):
-        print(f"{engines:3} engines: {busy(engines):6.0f} us a query (arrival and end)")
-    for number in (100, 1_000, 10_000):
-        print(f"{number:6} held: {held(9, number):7.2f} ms a step")
+        print(f"{engines:3} engines: {query_cost(engines):6.0f} us per query (submission and end)")
+    for queue_length in (100, 1_000, 10_000):
+        print(f"{queue_length:6} queued: {step_cost_with_queue(9, queue_length):7.2f} ms per step")
 
 
 if __name__ == "__main__":
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -1,8 +1,9 @@
-"""Queries a second and added latency: straight to the engine, through a plain pass-through proxy, through us.
+"""Measures queries per second and latency, direct to the engine, through a proxy and through the gateway.
 
-Side by side in one run: engines are pyarrow (C++) Flight servers, a process each; clients are pyarrow clients
-in processes of their own; each query is GetFlightInfo and DoGet of a small answer. The proxy is grpcio.aio,
-round robin, and decides nothing. Medians over the rounds, in which the ways take turns.
+All variants run side by side. The engines are pyarrow (C++) Flight servers, each in its own process. The
+clients are pyarrow clients in separate processes. Each query is a GetFlightInfo and a DoGet with a small
+result. The proxy uses grpcio.aio and selects engines in round-robin order. Prints medians over the rounds. In
+each round, the variants are measured one after the other.
 
     python benchmarks/throughput.py [--seconds 4] [--threads 16] [--workers 4]
 """
@@ -25,7 +26,7 @@
 
 METHODS = "/arrow.flight.protocol.FlightService/"
 QUERY = "SELECT * FROM plays WHERE id = 7"
-CLIENTS = 4  # processes
+CLIENT_PROCESSES = 4
 
 
 def free_port() -> int:
@@ -52,7 +53,7 @@
 
 
 def proxy(port: int, engines: list[int]) -> None:
-    """What a few lines of grpcio.aio make: bytes in, bytes out, engines in turns."""
+    """Runs a minimal grpcio.aio proxy that forwards messages as bytes to the engines in round-robin order."""
     import itertools
 
     import grpc
@@ -60,19 +61,19 @@
 
     async def main() -> None:
         channels = [grpc.aio.insecure_channel(f"127.0.0.1:{p}") for p in engines]
-        turns = itertools.cycle(channels)
+        round_robin = itertools.cycle(channels)
 
-        class Pass(grpc.GenericRpcHandler):
+        class ForwardingHandler(grpc.GenericRpcHandler):
             def service(self, details: grpc.HandlerCallDetails) -> grpc.RpcMethodHandler:
                 method = details.method
 
                 async def forward(request: bytes, context: Any) -> Any:
-                    async for message in next(turns).unary_stream(method)(request):
+                    async for message in next(round_robin).unary_stream(method)(request):
                         yield message
 
                 return grpc.unary_stream_rpc_method_handler(forward)
 
-        server = grpc.aio.server(handlers=[Pass()])
+        server = grpc.aio.server(handlers=[ForwardingHandler()])
         server.add_insecure_port(f"127.0.0.1:{port}")
         await server.start()
         await server.wait_for_termination()
@@ -90,21 +91,21 @@
 
     from saffronlane.proto import flight_sql_pb2 as sql
 
-    box = AnyMessage()
-    box.Pack(sql.CommandStatementQuery(query=QUERY))
-    descriptor = paf.FlightDescriptor.for_command(box.SerializeToString())
-    took: list[float] = []
+    command = AnyMessage()
+    command.Pack(sql.CommandStatementQuery(query=QUERY))
+    descriptor = paf.FlightDescriptor.for_command(command.SerializeToString())
+    latencies: list[float] = []
     errors = [0]
-    numbers = itertools.count()
-    warm = time.monotonic() + 0.7
-    end = warm + seconds
+    key_numbers = itertools.count()
+    warmed_up_at = time.monotonic() + 0.7
+    end = warmed_up_at + seconds
 
-    def work() -> None:
+    def run_queries() -> None:
         with paf.FlightClient(f"grpc://127.0.0.1:{port}") as flight_client:
-            while (began := time.monotonic()) < end:
+            while (started_at := time.monotonic()) < end:
                 headers = [(b"saffronlane-class", cls.encode())]
-                if cls != "lookup":  # each its own key, which has to be written before it leaves
-                    headers.append((b"saffronlane-key", b"%d.%d" % (os.getpid(), next(numbers))))
+                if cls != "lookup":  # a unique key, which the gateway stores before it dispatches the query
+                    headers.append((b"saffronlane-key", b"%d.%d" % (os.getpid(), next(key_numbers))))
                 options = paf.FlightCallOptions(headers=headers)
                 try:
                     info = flight_client.get_flight_info(descriptor, options)
@@ -112,43 +113,43 @@
                 except paf.FlightError:
                     errors[0] += 1
                     continue
-                if began >= warm:
-                    took.append(time.monotonic() - began)
+                if started_at >= warmed_up_at:
+                    latencies.append(time.monotonic() - started_at)
 
-    workers = [threading.Thread(target=work) for _ in range(threads)]
+    workers = [threading.Thread(target=run_queries) for _ in range(threads)]
     for worker in workers:
         worker.start()
     for worker in workers:
         worker.join()
-    results.put((took, errors[0]))
+    results.put((latencies, errors[0]))
 
 
 def measure(port: int, threads: int, seconds: float, cls: str = "lookup") -> dict[str, float]:
     context = mp.get_context("spawn")
     results: Any = context.Queue()
-    processes = min(CLIENTS, threads)
-    share = [threads // processes + (n < threads % processes) for n in range(processes)]
-    clients = [context.Process(target=client, args=(port, n, seconds, results, cls)) for n in share]
-    for one in clients:
-        one.start()
-    parts = [results.get(timeout=seconds + 60) for _ in clients]
-    for one in clients:
-        one.join()
-    took = np.array([t for part, _ in parts for t in part])
+    processes = min(CLIENT_PROCESSES, threads)
+    thread_counts = [threads // processes + (n < threads % processes) for n in range(processes)]
+    clients = [context.Process(target=client, args=(port, n, seconds, results, cls)) for n in thread_counts]
+    for process in clients:
+        process.start()
+    client_results = [results.get(timeout=seconds + 60) for _ in clients]
+    for process in clients:
+        process.join()
+    latencies = np.array([latency for part, _ in client_results for latency in part])
     return {
-        "per_s": len(took) / seconds,
-        "p50_ms": float(np.percentile(took, 50)) * 1e3,
-        "p99_ms": float(np.percentile(took, 99)) * 1e3,
-        "errors": float(sum(errors for _, errors in parts)),
+        "per_s": len(latencies) / seconds,
+        "p50_ms": float(np.percentile(latencies, 50)) * 1e3,
+        "p99_ms": float(np.percentile(latencies, 99)) * 1e3,
+        "errors": float(sum(errors for _, errors in client_results)),
     }
 
 
 def gateway(
-    folder: Path, engines: list[int], workers: int, kept: bool = False
+    folder: Path, engines: list[int], workers: int, is_persistent: bool = False
 ) -> tuple[subprocess.Popen[str], int]:
     folder.mkdir()
-    listed = [{"id": f"e{n}", "address": f"127.0.0.1:{p}"} for n, p in enumerate(engines)]
-    (folder / "engines.json").write_text(json.dumps({"engines": listed}))
+    endpoints = [{"id": f"e{n}", "address": f"127.0.0.1:{p}"} for n, p in enumerate(engines)]
+    (folder / "engines.json").write_text(json.dumps({"engines": endpoints}))
     settings = {
         "listen": {"port": 0},
         "engines": {"file": "engines.json"},
@@ -158,20 +159,20 @@
             {"name": "lookup", "aim_s": 1.0, "deadline_s": 10.0},
             {"name": "change", "aim_s": 1.0, "deadline_s": 10.0, "effect": "unsafe"},
         ],
-        **({"knowledge": {"folder": "kept"}} if kept else {}),
+        **({"knowledge": {"folder": "kept"}} if is_persistent else {}),
     }
     (folder / "gateway.json").write_text(json.dumps(settings))
     command = [sys.executable, "-m", "saffronlane", "serve", str(folder / "gateway.json")]
     process = subprocess.Popen(command, stderr=subprocess.PIPE, text=True)
     assert process.stderr is not None
-    listening, port = 0, 0
+    listening_workers, port = 0, 0
     for line in process.stderr:
-        told = json.loads(line)
-        if told["event"] == "listening":
-            listening, port = listening + 1, told["port"]
-            if listening == workers:
+        record = json.loads(line)
+        if record["event"] == "listening":
+            listening_workers, port = listening_workers + 1, record["port"]
+            if listening_workers == workers:
                 return process, port
-    raise SystemExit("the gateway did not start")
+    raise SystemExit("the gateway exited before all of its workers were listening")
 
 
 def main() -> None:
@@ -189,32 +190,34 @@
     for child in children:
         child.start()
     time.sleep(3.0)
-    with tempfile.TemporaryDirectory() as name:
-        folder = Path(name)
-        one, one_port = gateway(folder / "one", engines, 1)
-        many, many_port = gateway(folder / "many", engines, options.workers)
-        ways = {
-            "straight": engines[0],
+    with tempfile.TemporaryDirectory() as temporary_folder:
+        folder = Path(temporary_folder)
+        single, single_port = gateway(folder / "one", engines, 1)
+        multi, multi_port = gateway(folder / "many", engines, options.workers)
+        variant_ports = {
+            "direct": engines[0],
             "grpcio.aio proxy": proxy_port,
-            "saffronlane, 1 process": one_port,
-            f"saffronlane, {options.workers} processes": many_port,
+            "saffronlane, 1 process": single_port,
+            f"saffronlane, {options.workers} processes": multi_port,
         }
-        print(f"{'way':28}{'threads':>8}{'per s':>9}{'p50 ms':>9}{'p99 ms':>9}{'errors':>8}{'to proxy':>10}")
+        print(
+            f"{'variant':28}{'threads':>8}{'per s':>9}{'p50 ms':>9}{'p99 ms':>9}{'errors':>8}{'to proxy':>10}"
+        )
         for threads in (1, 4, options.threads):
-            rounds: dict[str, list[dict[str, float]]] = {way: [] for way in ways}
-            for _ in range(options.rounds):  # in turns, so that a noisy moment hits all alike
-                for way, port in ways.items():
-                    rounds[way].append(measure(port, threads, options.seconds))
-            for way, measured in rounds.items():
-                found = {k: float(np.median([m[k] for m in measured])) for k in measured[0]}
+            rounds: dict[str, list[dict[str, float]]] = {variant: [] for variant in variant_ports}
+            for _ in range(options.rounds):  # alternates, so that disturbances affect all variants alike
+                for variant, port in variant_ports.items():
+                    rounds[variant].append(measure(port, threads, options.seconds))
+            for variant, measured in rounds.items():
+                medians = {k: float(np.median([m[k] for m in measured])) for k in measured[0]}
                 pairs = zip(measured, rounds["grpcio.aio proxy"], strict=True)
-                ratio = float(np.median([mine["per_s"] / other["per_s"] for mine, other in pairs]))
+                ratio = float(np.median([run["per_s"] / baseline["per_s"] for run, baseline in pairs]))
                 print(
-                    f"{way:28}{threads:8}{found['per_s']:9.0f}{found['p50_ms']:9.2f}{found['p99_ms']:9.2f}"
-                    f"{found['errors']:8.0f}{ratio:10.2f}",
+                    f"{variant:28}{threads:8}{medians['per_s']:9.0f}{medians['p50_ms']:9.2f}{medians['p99_ms']:9.2f}"
+                    f"{medians['errors']:8.0f}{ratio:10.2f}",
                     flush=True,
                 )
-        for process in (one, many):
+        for process in (single, multi):
             process.terminate()
             process.wait(10)
     for child in children:
--- a/saffronlane/groups/schedule.py
+++ b/saffronlane/groups/schedule.py
@@ -21,7 +21,8 @@
 GroupPath = tuple[str, ...]
 Changes = Mapping[GroupPath, Mapping[str, float]]
 CHANGEABLE_FIELDS = frozenset(f.name for f in fields(GroupSpec)) - {"name", "children", "each", "most"}
-# A window that is longer than this many of its periods is always active.
+# The maximum numbers of starts that are examined before and after a moment. A window that is longer than
+# MAX_PAST_STARTS of its periods is always active.
 MAX_PAST_STARTS = 1000
 MAX_FUTURE_STARTS = 100_000
 
--- a/saffronlane/groups/tree.py
+++ b/saffronlane/groups/tree.py
@@ -149,7 +149,7 @@
             node = node.children[name]
         return node
 
-    def find_leaf(self, path: GroupPath) -> Node:
+    def find_or_create_leaf(self, path: GroupPath) -> Node:
         """Returns the group in which a query with a given path waits, and creates it if necessary.
 
         A missing group on the path is created if its parent has a template for groups created on demand.
@@ -210,7 +210,7 @@
         Raises:
             Full: The queue of the group or of one of its ancestors is at its limit.
         """
-        leaf = self.find_leaf(path)
+        leaf = self.find_or_create_leaf(path)
         for node in leaf.line():
             if node.waiting + 1 > node.spec.queued:
                 raise Full(
@@ -339,7 +339,7 @@
                     node.threads += item.threads
                     node.memory += item.memory_mb
             else:
-                item.node = leaf = self.find_leaf(path_of(item))
+                item.node = leaf = self.find_or_create_leaf(path_of(item))
                 heapq.heappush(leaf.queue, (item.deadline, item.id, item))
                 for node in leaf.line():
                     node.waiting += 1
