--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -419,9 +419,9 @@
     jobs = [(s, c, n) for s in situations for c in CONDITIONS for n in range(1, options.seeds + 1)]
     with ProcessPoolExecutor(options.jobs) as pool:
         results = dict(zip(jobs, pool.map(_run_job, jobs), strict=True))
-    print("served / submitted priority weight; in brackets the difference to `none`, mean and deviation over
-    seeds") print(f"{'':22}" + "".join(f"{f'first {s:g} s':>26}" for s in MEASURED_SPANS)) for situation in
-    situations:
+    print("served / submitted priority weight (difference to `none`: mean and deviation over seeds)")
+    print(f"{'':22}" + "".join(f"{f'first {s:g} s':>26}" for s in MEASURED_SPANS))
+    for situation in situations:
         for condition in CONDITIONS:
             cells = []
             for index in range(len(MEASURED_SPANS)):
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -213,7 +213,8 @@
                 pairs = zip(measured, rounds["grpcio.aio proxy"], strict=True)
                 ratio = float(np.median([run["per_s"] / baseline["per_s"] for run, baseline in pairs]))
                 print(
-                    f"{variant:28}{threads:8}{medians['per_s']:9.0f}{medians['p50_ms']:9.2f}{medians['p99_ms']:9.2f}"
+                    f"{variant:28}{threads:8}{medians['per_s']:9.0f}"
+                    f"{medians['p50_ms']:9.2f}{medians['p99_ms']:9.2f}"
                     f"{medians['errors']:8.0f}{ratio:10.2f}",
                     flush=True,
                 )
