--- a/saffronlane/gossip_messages.py
+++ b/saffronlane/gossip_messages.py
@@ -32,8 +32,8 @@
         threads: Number of threads that the query uses.
         is_bulk_load: Whether the query is a bulk load.
         table_digest: Digest of the query's table group.
-        duration: Seconds for which receivers count the query, unless its end is reported earlier, or seconds
-            for which they treat the engine as full.
+        duration: Seconds for which receivers count the query unless its end is reported earlier. If the
+            message reports a full engine, the seconds for which receivers treat the engine as full.
         memory_ratio: Fraction of the engine's memory that the query uses.
         engine_digest: Digest of the engine's id.
     """
--- a/saffronlane/gossip_transport.py
+++ b/saffronlane/gossip_transport.py
@@ -64,7 +64,8 @@
             log.error("gossip listen failed", listen=self._listen_address, error=str(error))
             self._timer = loop.call_later(LISTEN_RETRY_INTERVAL, self.start)
             return
-        # A descriptor is passed because asyncio formats a socket object, which costs two system calls.
+        # The descriptor is passed because asyncio would compute the repr of a socket object, which costs two
+        # system calls.
         loop.add_reader(self._socket.fileno(), self._on_readable)
 
     def _bind_socket(self) -> socket.socket:
@@ -98,7 +99,7 @@
                 data, address = udp_socket.recvfrom(self.MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 break
-            except OSError:  # the receiver of an earlier datagram refused it, which the system reports here
+            except OSError:  # the system reports here that a datagram sent earlier was refused
                 continue
             sender = self._position_by_address.get(address)
             if sender is None or sender == self._position:
@@ -107,7 +108,7 @@
                 self._on_message(sender, data)
 
     def send(self, peer: int | None, data: bytes) -> None:
-        """Send a datagram to one peer.
+        """Send a datagram to one peer or to all peers.
 
         Args:
             peer: The position of the peer. If it is None, the datagram is sent to all peers.
--- a/saffronlane/msgpackrpc/messages.py
+++ b/saffronlane/msgpackrpc/messages.py
@@ -99,7 +99,7 @@
     except _DECODE_ERRORS as error:
         raise InvalidMessageError(f"invalid notification: {error}") from error
     if message_type != NOTIFY:
-        raise InvalidMessageError(f"message of three items: expected type {NOTIFY}, got {message_type}")
+        raise InvalidMessageError(f"message with three items: expected type {NOTIFY}, got {message_type}")
     return Notification(method, message_ids)
 
 
@@ -109,7 +109,7 @@
     except _DECODE_ERRORS as error:
         raise InvalidMessageError(f"invalid call: {error}") from error
     if message_type != REQUEST:
-        raise InvalidMessageError(f"message of four items: expected type {REQUEST}, got {message_type}")
+        raise InvalidMessageError(f"message with four items: expected type {REQUEST}, got {message_type}")
     try:
         method = _METHOD_DECODER.decode(raw_method)
         parameters = _PARAMETERS_DECODER.decode(raw_parameters)
--- a/saffronlane/msgpackrpc/scanner.py
+++ b/saffronlane/msgpackrpc/scanner.py
@@ -9,13 +9,13 @@
 
 from .errors import ScanError
 
-# Tables by the first byte of an item, its tag.
+# Tables by tag. The tag is the first byte of an item.
 _FIXED_PAYLOAD_BYTES = {0xC0: 0, 0xC2: 0, 0xC3: 0, 0xCA: 4, 0xCB: 8}  # nil, booleans, floats
 _FIXED_PAYLOAD_BYTES |= {0xCC: 1, 0xCD: 2, 0xCE: 4, 0xCF: 8, 0xD0: 1, 0xD1: 2, 0xD2: 4, 0xD3: 8}  # integers
-_FIXED_PAYLOAD_BYTES |= {0xD4: 2, 0xD5: 3, 0xD6: 5, 0xD7: 9, 0xD8: 17}  # ext of a fixed length, with its type
+_FIXED_PAYLOAD_BYTES |= {0xD4: 2, 0xD5: 3, 0xD6: 5, 0xD7: 9, 0xD8: 17}  # fixed-length ext, with the type byte
 _LENGTH_FIELD_BYTES = {0xC4: 1, 0xC5: 2, 0xC6: 4, 0xD9: 1, 0xDA: 2, 0xDB: 4}  # bin and str
 _EXT_LENGTH_FIELD_BYTES = {0xC7: 1, 0xC8: 2, 0xC9: 4}  # a type byte follows the length field
-# Arrays and maps: the bytes of the count field, and the number of items in each counted entry.
+# Arrays and maps: the size of the count field in bytes, and the number of items in each entry.
 _CONTAINER_HEADERS = {0xDC: (2, 1), 0xDD: (4, 1), 0xDE: (2, 2), 0xDF: (4, 2)}
 
 
@@ -47,7 +47,7 @@
         """Add received bytes.
 
         Returns:
-            The messages that these bytes complete, and the error in the bytes after them or None.
+            The messages that these bytes complete, and the error in the bytes after these messages, or None.
         """
         self._buffer += data
         messages: list[bytes] = []
--- a/saffronlane/platform/discovery/watch.py
+++ b/saffronlane/platform/discovery/watch.py
@@ -33,7 +33,7 @@
 READ_CHUNK_BYTES = 65_536
 READ_TIMEOUT = 1.8  # seconds; the feed writes at least one line per second
 CONNECT_TIMEOUT = 0.7  # seconds
-MIN_BACKOFF = 0.05  # seconds between connection attempts, doubled with each failure and jittered
+MIN_BACKOFF = 0.05  # seconds between connection attempts; doubled after each failure and jittered
 MAX_BACKOFF = 0.8  # seconds
 MIN_JITTER = 0.5  # lower bound of the random factor of the backoff; the upper bound is 1
 EXPECTED_ERRORS = (OSError, TimeoutError, StreamClosedError, UnsatisfiableReadError, DiscoveryError)
@@ -67,7 +67,7 @@
         last_sequence: The number of the last event that is already known.
         on_endpoints: Called with the endpoint list of each later event, once per event and in order.
         random: The random number generator for the jitter between connection attempts.
-        exhaustion: Reports errors that are caused by a lack of descriptors.
+        exhaustion: Reports errors that are caused by a lack of file descriptors.
     """
 
     def __init__(
@@ -177,7 +177,7 @@
         try:
             event = _EVENT_DECODER.decode(line)
         except _DECODE_ERRORS as error:
-            self._skip_invalid(line, error)
+            self._skip_invalid_event(line, error)
             return True
         return self._on_event(event)
 
@@ -207,11 +207,11 @@
                 log.exception("discovery event skipped: handler failed", sequence=event.sequence)
         return True
 
-    def _skip_invalid(self, line: bytes, decode_error: Exception) -> None:
-        """Skip an event that the feed sent in an invalid form, if its number is readable and is the next one.
+    def _skip_invalid_event(self, line: bytes, decode_error: Exception) -> None:
+        """Skip an invalid event if its number is readable and follows the last received number.
 
         Raises:
-            DiscoveryError: The line has no number, or its number is not the next one.
+            DiscoveryError: The line has no number, or its number does not follow the last received number.
         """
         with contextlib.suppress(*_DECODE_ERRORS):
             event = msgspec.json.decode(line)
--- a/saffronlane/platform/downstream/client_connection.py
+++ b/saffronlane/platform/downstream/client_connection.py
@@ -27,10 +27,10 @@
 
 MAX_MESSAGE_BYTES = 262_144
 MAX_MESSAGE_ITEMS = 256
-MAX_OPEN_REQUESTS = 32  # limit of the protocol for one connection
+MAX_OPEN_REQUESTS = 32  # the protocol's limit for each connection
 MAX_REPLY_BYTES = 49_152
 MAX_UNREAD_BYTES = MAX_OPEN_REQUESTS * MAX_REPLY_BYTES  # reply bytes that a client may leave unread
-RECEIVE_TIMEOUT = 2.0  # seconds without a byte while the first message or the rest of a message is awaited
+RECEIVE_TIMEOUT = 2.0  # seconds to wait for the first message, or for the next byte of a partial message
 MESSAGE_TIMEOUT = 10.0  # seconds from the first to the last byte of a message
 IDLE_TIMEOUT = 5.0  # seconds without an open request; clients close idle connections after 4 s
 MAX_INVALID_MESSAGES = 8  # number of invalid messages after which a connection is closed
@@ -75,7 +75,7 @@
         self.request_count = 0
         self.invalid_message_count = 0
         self.scanner = rpc.Scanner(MAX_MESSAGE_BYTES, MAX_MESSAGE_ITEMS)
-        self._is_readable = True  # whether the input can still be parsed
+        self._can_parse_input = True
         self._output: list[bytes] = []
         self._fault_replies = DelayedFaultReplies(self.write, self._update_idle)
 
@@ -83,7 +83,7 @@
 
     def receive(self, data: bytes) -> None:
         """Parse received bytes and process the messages that they complete."""
-        if not self._is_readable:
+        if not self._can_parse_input:
             return
         self.last_received_at = self.loop.time()
         was_between_messages = not self.scanner.pending_bytes
@@ -100,8 +100,8 @@
                 log.exception("message handling failed")
                 self.drain("message handling failed")
         if error is not None:
-            log.debug("client input unreadable", error=str(error))
-            self._is_readable = False
+            log.debug("client input cannot be parsed", error=str(error))
+            self._can_parse_input = False
             self.drain("input unreadable")
 
     def _on_message(self, data: bytes) -> None:
@@ -154,9 +154,10 @@
             self._update_idle()
 
     def _on_invalid_message(self, message_id: int | None, reason: str) -> None:
-        """Reply to an invalid message after a delay.
+        """Count an invalid message and schedule an error reply if the message has a readable id.
 
-        The connection is drained when it has sent `MAX_INVALID_MESSAGES` or the message has no readable id.
+        The connection is drained if the message has no readable id, or if the client has sent
+        `MAX_INVALID_MESSAGES` invalid messages.
         """
         self.invalid_message_count += 1
         self.server.invalid_message_count += 1
@@ -252,7 +253,7 @@
 
     def _drain_unfinished(self) -> None:
         if self._message_timed_out(self.loop.time()) and not self.has_unprocessed_input:
-            self._is_readable = False
+            self._can_parse_input = False
             self.drain("message incomplete")
 
     def _drain_idle(self) -> None:
--- a/saffronlane/platform/downstream/connection_eviction.py
+++ b/saffronlane/platform/downstream/connection_eviction.py
@@ -35,11 +35,11 @@
         self._without_message: dict[ClientConnection, None] = {}  # oldest first
         self._used_once: dict[ClientConnection, None] = {}  # longest idle first
         self._reused: dict[ClientConnection, None] = {}  # longest idle first
-        self._closing: dict[ClientConnection, None] = {}  # waiting for the client to close
+        self._closing: dict[ClientConnection, None] = {}  # waiting for the client to close its side
 
     @property
     def closing_count(self) -> int:
-        """Number of connections that wait for the client to close."""
+        """Number of connections that wait for the client to close its side."""
         return len(self._closing)
 
     def add(self, client: ClientConnection) -> None:
@@ -70,31 +70,32 @@
         self._closing.pop(client, None)
 
     def graceful_candidate(self, now: float) -> ClientConnection | None:
-        """Return the connection to close gracefully next, or None if all may be in use."""
+        """Return the connection to close gracefully next, or None if all are protected or in use."""
         return self._oldest_without_message(now) or self._longest_idle(now)
 
     def abort_candidate(self, now: float) -> ClientConnection | None:
         """Return the connection to close at once, or None if none may be closed.
 
-        The order of preference is: a connection that has sent nothing, to which nothing was written either; a
-        half-closed connection, since its client may never close; the connection that has been idle longest.
-        If no connection is idle, a connection with an incomplete first message is returned.
+        The candidates in order of preference are a connection on which nothing was received or written, a
+        half-closed connection, because its client may never close its side, and the connection that has been
+        idle longest. If no connection is idle, a connection with a partial first message is returned.
         """
         half_closed = (client for client in self._closing if client.lifecycle.state is State.HALF_CLOSED)
         client = self._oldest_without_message(now) or next(half_closed, None) or self._longest_idle(now)
         has_idle = bool(self._used_once or self._reused)
         if client is None and not has_idle:
-            client = self._oldest_without_message(now, is_partial=True)
+            client = self._oldest_without_message(now, with_partial=True)
         return client
 
-    def _oldest_without_message(self, now: float, is_partial: bool = False) -> ClientConnection | None:
+    def _oldest_without_message(self, now: float, with_partial: bool = False) -> ClientConnection | None:
         """Return the oldest connection that has not sent a complete message.
 
         New connections are excluded because their first request may be in flight.
 
         Args:
             now: The current time of the event loop in seconds.
-            is_partial: Whether to look for a connection with part of a message instead of one without any.
+            with_partial: Whether to return a connection that has sent part of a message, instead of one that
+                has sent nothing.
         """
         for client in self._without_message:
             if client.opened_at >= now - NEW_CONNECTION_PROTECTION:
@@ -102,7 +103,7 @@
             has_partial = bool(client.scanner.pending_bytes)
             if (
                 client.lifecycle.accepts_work
-                and has_partial is is_partial
+                and has_partial is with_partial
                 and not client.has_unprocessed_input
             ):
                 return client
--- a/saffronlane/platform/downstream/fault_replies.py
+++ b/saffronlane/platform/downstream/fault_replies.py
@@ -1,4 +1,4 @@
-"""Delays replies to invalid messages, so that a faulty client does not send the next one at once."""
+"""Delays replies to invalid messages, so that a faulty client does not resend at once."""
 
 from __future__ import annotations
 
--- a/saffronlane/platform/downstream/listener.py
+++ b/saffronlane/platform/downstream/listener.py
@@ -24,7 +24,7 @@
     Args:
         on_connection: Called with each accepted socket. Returns whether there is capacity for another
             connection.
-        exhaustion: Reports errors that are caused by a lack of descriptors.
+        exhaustion: Reports errors that are caused by a lack of file descriptors.
     """
 
     def __init__(
@@ -60,12 +60,13 @@
             return
         self._is_accepting = True
         for listening_socket in self._sockets:
-            # A descriptor is passed because asyncio formats a socket object, which costs two system calls.
+            # The descriptor is passed because asyncio would compute the repr of a socket object, which costs
+            # two system calls.
             self._loop.add_reader(listening_socket.fileno(), self._accept, listening_socket)
 
     @property
     def is_paused(self) -> bool:
-        """Whether new connections are left in the system's backlog, whose length is unknown."""
+        """Whether new connections wait in the system's backlog; their number is unknown."""
         return bool(self._sockets) and not self._is_accepting
 
     def pause(self) -> None:
@@ -77,7 +78,7 @@
                 self._loop.remove_reader(listening_socket.fileno())
 
     def _accept(self, listening_socket: socket.socket) -> int:
-        """Accept pending connections while there is capacity; return the number of attempts."""
+        """Accept pending connections while there is capacity; return the number of accept attempts."""
         for count in range(MAX_ACCEPTS_PER_TURN):
             if not self._is_accepting:
                 return count
--- a/saffronlane/platform/downstream/reply_channel.py
+++ b/saffronlane/platform/downstream/reply_channel.py
@@ -55,5 +55,5 @@
         self.client.send_reply(self, rpc.Reply(self.message_id, REJECTED_ERROR, fields))
 
     def send_failure(self, reason: str) -> None:
-        """Reply that the request failed."""
+        """Reply that the request failed. The reply does not contain the reason."""
         self.client.send_reply(self, rpc.Reply(self.message_id, FAULT_ERROR, {}))
--- a/saffronlane/platform/downstream/request_decoder.py
+++ b/saffronlane/platform/downstream/request_decoder.py
@@ -57,7 +57,7 @@
 
 
 class RequestDecoder:
-    """Decodes calls. The names of query classes and tenants are those of the settings.
+    """Decodes calls that name a query class and a tenant of the settings.
 
     Args:
         settings: The settings with the query classes and tenants.
@@ -72,7 +72,7 @@
         """Decode a call.
 
         Raises:
-            BadRequestError: A field is invalid; the text names it.
+            BadRequestError: A field is invalid. The error text names the field.
         """
         class_index = self._class_index_by_name.get(call.method)
         if class_index is None:
@@ -132,7 +132,7 @@
 
 
 def _idempotency_key(class_settings: ClassSettings, fields: dict[str, str]) -> bytes:
-    """Return the idempotency key, or no bytes if the class does not use one."""
+    """Return the idempotency key, or an empty value if the class does not use keys."""
     if class_settings.idempotency is not Idempotency.KEYED:
         return b""
     key = fields.get(IDEMPOTENCY_KEY_FIELD, "")
--- a/saffronlane/platform/downstream/server.py
+++ b/saffronlane/platform/downstream/server.py
@@ -20,7 +20,7 @@
 from .reply_channel import ReplyChannel
 from .request_decoder import REQUEST_ID_FIELD, DecodedRequest, RequestDecoder
 
-MAX_PARTIAL_BYTES = 8_388_608  # total size of incomplete messages of all connections
+MAX_PARTIAL_BYTES = 8_388_608  # maximum total size of the partial messages of all connections
 MAX_UNREAD_RATIO = 0.25  # fraction of the memory that the unread replies of all connections may use
 EARLY_EVICTION_RATIO = 0.9  # fraction of the connection limit above which idle connections are evicted early
 SWEEP_INTERVAL = 0.25  # seconds
@@ -34,8 +34,8 @@
         executor: The executor to which requests are submitted.
         settings: The settings with the names of query classes and tenants.
         max_clients: Limit on the number of connections, including those that are closing.
-        is_healthy: Returns the reply to a health check.
-        exhaustion: Reports errors that are caused by a lack of descriptors.
+        is_healthy: Returns whether the gateway is healthy, which is the reply to a health check.
+        exhaustion: Reports errors that are caused by a lack of file descriptors.
         memory_bytes: Memory in bytes that the process may use.
     """
 
@@ -216,7 +216,7 @@
         return any(client.has_pending_work or client.has_pending_output for client in self.clients)
 
     def has_unread_input(self) -> bool:
-        """Accept pending connections; return whether there were any or any input is still unprocessed."""
+        """Accept pending connections; return whether there were any, or whether any input is unprocessed."""
         has_accepted = self.listener.accept_pending()
         return has_accepted or any(client.stream.has_undelivered_data for client in self.clients)
 
--- a/saffronlane/simulator/__init__.py
+++ b/saffronlane/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter to the simulator's wire protocol, and the simulator's settings, also used by the platform."""
+"""The adapter to the simulator's wire protocol, and the settings reader that the platform uses too."""
--- a/saffronlane/simulator/adapter.py
+++ b/saffronlane/simulator/adapter.py
@@ -23,7 +23,7 @@
 _BATCH_HEADER = struct.Struct(">IId")  # number of bytes after this field, number of records, time in seconds
 _LENGTH_FIELD_BYTES = 4
 _MIN_LENGTH = _BATCH_HEADER.size - _LENGTH_FIELD_BYTES
-# With the default thresholds, the collector scans the many long-lived gateways of the process too often.
+# With the default thresholds, the garbage collector scans the many long-lived gateways too often.
 _GC_THRESHOLDS = (200_000, 20, 20)
 
 
@@ -31,7 +31,7 @@
     """Convert `path=value` lines into settings.
 
     Raises:
-        WireError: A setting is missing or invalid; the text names it.
+        WireError: A setting is missing or invalid. The error text names the setting.
     """
     try:
         return settings.read_settings(params.Params.from_lines(text))
--- a/saffronlane/simulator/event_codec.py
+++ b/saffronlane/simulator/event_codec.py
@@ -98,11 +98,11 @@
 
 def decode_entries(tail: bytes, offset: int, count: int) -> tuple[api.EngineEntry, ...]:
     """Return the entries of an endpoint list."""
-    block = slice_tail(tail, offset, count * ENTRY_SIZE, "an engine list")
+    block = slice_tail(tail, offset, count * ENTRY_SIZE, "an endpoint list")
     return tuple(
         api.EngineEntry(
             engine=engine,
-            state=decode_enum(api.EngineState, state, "availability"),
+            state=decode_enum(api.EngineState, state, "engine state"),
             started_at=started_at,
             zone=zone,
             machine_type=machine_type,
@@ -147,7 +147,7 @@
 
 def _read_progress(record: bytes, tail: bytes) -> tuple[int, api.Event]:
     instance, request, attempt, engine, kind, amount = _PROGRESS.unpack_from(record)
-    progress_kind = decode_enum(api.ProgressKind, kind, "note topic")
+    progress_kind = decode_enum(api.ProgressKind, kind, "progress kind")
     return instance, api.ProgressReport(request, attempt, engine, progress_kind, amount)
 
 
@@ -186,10 +186,10 @@
 
 def _read_gossip(record: bytes, tail: bytes) -> tuple[int, api.Event]:
     instance, sender, offset, length = _GOSSIP.unpack_from(record)
-    return instance, api.PeerMessage(sender, slice_tail(tail, offset, length, "a peer message"))
+    return instance, api.PeerMessage(sender, slice_tail(tail, offset, length, "a gossip message"))
 
 
-# Readers by event code. Each returns the instance for which the event is and the event.
+# Readers by event code. Each returns the instance that receives the event, and the event.
 EVENT_READERS: dict[int, EventReader] = {
     EventCode.ARRIVAL: _read_arrival,
     EventCode.STREAM_STARTED: _read_stream_started,
--- a/saffronlane/simulator/settings.py
+++ b/saffronlane/simulator/settings.py
@@ -1,6 +1,6 @@
 """Converts the simulator's settings into `interface.Settings`.
 
-This module maps the names and units of the settings, for both the simulator's adapter and the platform.
+This module maps the names of the settings, for both the simulator's adapter and the platform.
 Unknown settings are ignored.
 """
 
@@ -119,7 +119,7 @@
 
 
 def _guarantees(params: Params) -> api.Guarantees:
-    has_budget = "guarantees.lookBack" in params
+    has_retry_budget = "guarantees.lookBack" in params
     return api.Guarantees(
         response_slack=params.number("guarantees.answerSlack", 0.0),
         drain_grace_period=params.number("guarantees.stopSendingWithin", 0.0),
@@ -128,7 +128,7 @@
         slow_start_initial_ratio=params.number("guarantees.coldFrom", 1.0),
         slow_start_duration=params.number("guarantees.cold", 0.0),
         ordering_cooldown=params.number("guarantees.orderSettle", 0.0),
-        retry_budget_base=params.number("guarantees.extraFree", 0.0) if has_budget else None,
+        retry_budget_base=params.number("guarantees.extraFree", 0.0) if has_retry_budget else None,
         retry_budget_ratio=params.number("guarantees.repeatRatio", 0.0),
         retry_budget_window=params.number("guarantees.lookBack", 0.0),
         subscribe_deadline=params.number("guarantees.askWithin", 0.0),
@@ -154,7 +154,7 @@
     """Convert the values into settings.
 
     Raises:
-        SettingsError: A setting is missing or invalid; the text names it.
+        SettingsError: A setting is missing or invalid. The error text names the setting.
     """
     zones = params.items("zones", "")
     machine_types = params.items("kinds")
