--- a/tests/node/test_answers.py
+++ b/tests/node/test_answers.py
@@ -1,4 +1,4 @@
-"""Answers that trickle, never end, stop between pages, or come from a node that has gone."""
+"""Results that arrive slowly, never end, stop between pages, or come from a removed engine."""
 
 from __future__ import annotations
 
@@ -12,101 +12,101 @@
 from .support import hold_fetches, on_first_request, record_outcomes, request_id, run_with_harness
 
 
-def trickling(every: float) -> object:
-    """An answer whose bytes come one by one, for longer than any client waits."""
+def trickling(interval: float) -> object:
+    """An engine that sends its result byte by byte, for longer than any client waits."""
 
-    async def script(peer: ComputeNodeConnection, words: list[bytes]) -> None:
-        if words[0] != b"fetch":
+    async def script(node_connection: ComputeNodeConnection, command: list[bytes]) -> None:
+        if command[0] != b"fetch":
             return
-        loop = asyncio.get_running_loop()
-        data = b"*4\r\n$16\r\n" + words[1] + b"\r\n$4\r\nDONE\r\n$1\r\n-\r\n$6000\r\n" + b"x" * 6000
+        event_loop = asyncio.get_running_loop()
+        data = b"*4\r\n$16\r\n" + command[1] + b"\r\n$4\r\nDONE\r\n$1\r\n-\r\n$6000\r\n" + b"x" * 6000
 
-        def more(at: int) -> None:
-            if not peer.writer.is_closing():
-                peer.send_raw(data[at : at + 1])
-                loop.call_later(every, more, at + 1)
+        def send_next_byte(offset: int) -> None:
+            if not node_connection.writer.is_closing():
+                node_connection.send_raw(data[offset : offset + 1])
+                event_loop.call_later(interval, send_next_byte, offset + 1)
 
-        more(0)
+        send_next_byte(0)
 
     return script
 
 
-def test_an_answer_that_trickles_is_left_and_the_others_go_elsewhere() -> None:
-    """Each byte put its end off, so that all requests on the connection waited for their own limits."""
-    shared = on_first_request(trickling(0.05))  # type: ignore[arg-type]
+def test_requests_behind_a_trickling_result_are_retried_elsewhere() -> None:
+    """Guards against a stall timeout that each byte restarts: all requests on the connection timed out."""
+    script = on_first_request(trickling(0.05))  # type: ignore[arg-type]
 
     async def scenario(harness: Harness) -> None:
-        told = record_outcomes(harness)
+        recorded = record_outcomes(harness)
         loop = asyncio.get_running_loop()
         client = await harness.client()
-        began = loop.time()
-        ids = [client.call("ask", request_id(n), budget="3900") for n in range(3)]
-        for msgid in ids:
-            assert await client.read_answer(msgid) == (None, [ROWS, {}])
-        assert loop.time() < began + 2.0
-        assert Outcome.TIMEOUT not in told
+        started_at = loop.time()
+        message_ids = [client.call("ask", request_id(number), budget="3900") for number in range(3)]
+        for message_id in message_ids:
+            assert await client.read_answer(message_id) == (None, [ROWS, {}])
+        assert loop.time() < started_at + 2.0
+        assert Outcome.TIMEOUT not in recorded
 
-    run_with_harness(scenario, shared, shared)
+    run_with_harness(scenario, script, script)
 
 
-def test_an_unsafe_request_does_not_wait_behind_one_that_trickles() -> None:
-    """It may have run and is not repeated: nothing is gained by its waiting for its limit."""
+def test_an_unsafe_request_with_a_trickling_result_fails_before_its_timeout() -> None:
+    """The request may have been executed and is not retried, so waiting for its timeout gains nothing."""
 
     async def scenario(harness: Harness) -> None:
-        told = record_outcomes(harness)
+        recorded = record_outcomes(harness)
         loop = asyncio.get_running_loop()
         client = await harness.client()
-        began = loop.time()
+        started_at = loop.time()
         error, _ = await client.read_answer(client.call("frail", request_id(1), budget="3900"))
-        assert error[0] == "Fault" and told == [Outcome.RESET] and loop.time() < began + 2.0
+        assert error[0] == "Fault" and recorded == [Outcome.RESET] and loop.time() < started_at + 2.0
 
     run_with_harness(scenario, trickling(0.05))  # type: ignore[arg-type]
 
 
-def test_a_node_that_stops_between_pages_is_bounded_by_the_attempt() -> None:
-    async def script(peer: ComputeNodeConnection, words: list[bytes]) -> None:
-        if words[0] == b"fetch":
-            peer.send_result(words[1], ROWS, 3)
+def test_a_request_whose_pages_stop_arriving_fails_at_its_timeout() -> None:
+    async def script(node_connection: ComputeNodeConnection, command: list[bytes]) -> None:
+        if command[0] == b"fetch":
+            node_connection.send_result(command[1], ROWS, 3)
 
     async def scenario(harness: Harness) -> None:
         loop = asyncio.get_running_loop()
         client = await harness.client()
-        began = loop.time()
+        started_at = loop.time()
         error, _ = await client.read_answer(client.call("frail", request_id(1), budget="700"))
-        assert error[0] == "Fault" and loop.time() < began + 0.75
+        assert error[0] == "Fault" and loop.time() < started_at + 0.75
         await harness.wait_until(lambda: not any(harness.table_sizes().values()))
 
     run_with_harness(scenario, script)
 
 
-def test_a_node_that_has_gone_may_still_answer_what_it_was_sent() -> None:
-    held: list[tuple[ComputeNodeConnection, bytes]] = []
+def test_a_removed_engine_may_still_complete_its_requests() -> None:
+    held_fetches: list[tuple[ComputeNodeConnection, bytes]] = []
 
     async def scenario(harness: Harness) -> None:
         await harness.wait_until(lambda: harness.feed.writers)
         client = await harness.client()
-        msgid = client.call("frail", request_id(1))
-        await harness.wait_until(lambda: held)
+        message_id = client.call("frail", request_id(1))
+        await harness.wait_until(lambda: held_fetches)
         harness.feed.send_event(2, [member("node-0", harness.compute_nodes[0].port, "removed")])
         await harness.wait_until(lambda: harness.server.discovery.last_sequence == 2)
-        held[0][0].send_result(held[0][1])
-        assert await client.read_answer(msgid) == (None, [ROWS, {}])
+        held_fetches[0][0].send_result(held_fetches[0][1])
+        assert await client.read_answer(message_id) == (None, [ROWS, {}])
         await harness.wait_until(lambda: not harness.server.upstream.pool.connections_by_engine)
 
-    run_with_harness(scenario, hold_fetches(held))
+    run_with_harness(scenario, hold_fetches(held_fetches))
 
 
-def test_a_silent_node_that_has_gone_leaves_nothing_after_the_attempts_limit() -> None:
-    async def nothing(peer: ComputeNodeConnection, words: list[bytes]) -> None:
+def test_a_silent_removed_engine_leaves_no_state_after_the_attempt_timeout() -> None:
+    async def script(node_connection: ComputeNodeConnection, command: list[bytes]) -> None:
         return None
 
     async def scenario(harness: Harness) -> None:
         await harness.wait_until(lambda: harness.feed.writers)
         client = await harness.client()
-        msgid = client.call("frail", request_id(1), budget="800")
+        message_id = client.call("frail", request_id(1), budget="800")
         await harness.wait_until(lambda: harness.compute_nodes[0].commands(b"fetch"))
         harness.feed.send_event(2, [member("node-0", harness.compute_nodes[0].port, "removed")])
-        assert (await client.read_answer(msgid))[0][0] == "Fault"
+        assert (await client.read_answer(message_id))[0][0] == "Fault"
         await harness.wait_until(
             lambda: (
                 not any(harness.table_sizes().values())
@@ -115,29 +115,29 @@
             1.0,
         )
 
-    run_with_harness(scenario, nothing)
+    run_with_harness(scenario, script)
 
 
-def test_an_answer_whose_rest_is_there_when_the_loop_looks_late_has_not_stopped() -> None:
-    """The process was held up for a second (its machine, SIGSTOP): its looks are due before it reads."""
-    held: list[tuple[ComputeNodeConnection, bytes]] = []
+def test_a_result_whose_rest_is_waiting_to_be_read_has_not_stalled() -> None:
+    """The process was suspended for a second (by its machine or SIGSTOP): timeout checks precede the read."""
+    held_fetches: list[tuple[ComputeNodeConnection, bytes]] = []
 
     async def scenario(harness: Harness) -> None:
-        told = record_outcomes(harness)
+        recorded = record_outcomes(harness)
         client = await harness.client()
-        msgid = client.call("frail", request_id(1))
-        await harness.wait_until(lambda: held)
-        peer, name = held[0]
-        data = encode_command(name, b"DONE", b"sheets=1,toil=5,room=7", ROWS)
-        (link,) = harness.server.upstream.pool.connections_by_engine[b"node-0"]
-        peer.send_raw(data[:20])
-        await harness.wait_until(lambda: link._reader.has_partial_response)
-        peer.send_raw(data[20:])  # leaves at once, in this turn of the loop
-        link.check_timeouts(link.loop.time() + 1.5, 30.0)
-        assert await client.read_answer(msgid) == (None, [ROWS, {}])
-        assert told == [Outcome.OK]
-        link._reader._parser.feed(b"*4")  # and one whose rest is not there has
-        link.check_timeouts(link.loop.time() + 1.5, 30.0)
-        assert link.lifecycle.is_closed
-
-    run_with_harness(scenario, hold_fetches(held))
+        message_id = client.call("frail", request_id(1))
+        await harness.wait_until(lambda: held_fetches)
+        node_connection, fetched_id = held_fetches[0]
+        data = encode_command(fetched_id, b"DONE", b"sheets=1,toil=5,room=7", ROWS)
+        (connection,) = harness.server.upstream.pool.connections_by_engine[b"node-0"]
+        node_connection.send_raw(data[:20])
+        await harness.wait_until(lambda: connection._reader.has_partial_response)
+        node_connection.send_raw(data[20:])  # sent at once, in this turn of the event loop
+        connection.check_timeouts(connection.loop.time() + 1.5, 30.0)
+        assert await client.read_answer(message_id) == (None, [ROWS, {}])
+        assert recorded == [Outcome.OK]
+        connection._reader._parser.feed(b"*4")  # the rest of this result has not arrived, so it has stalled
+        connection.check_timeouts(connection.loop.time() + 1.5, 30.0)
+        assert connection.lifecycle.is_closed
+
+    run_with_harness(scenario, hold_fetches(held_fetches))
--- a/tests/node/test_closing.py
+++ b/tests/node/test_closing.py
@@ -1,4 +1,4 @@
-"""Connections of clients that close in the instant in which something crosses."""
+"""Client connections that close while data is in flight in either direction."""
 
 from __future__ import annotations
 
@@ -14,9 +14,8 @@
 from tornado.ioloop import IOLoop
 
 from saffronlane.msgpackrpc import Scanner
-from saffronlane.platform import managed_connection as endpoint
-from saffronlane.platform import stream
-from saffronlane.platform.downstream import client_connection as connection
+from saffronlane.platform import managed_connection, stream
+from saffronlane.platform.downstream import client_connection
 from saffronlane.platform.lifecycle import ConnectionLimits, Phase
 from saffronlane.platform.upstream.connection import UpstreamConnection
 
@@ -31,270 +30,282 @@
     slow_client,
 )
 
-NOISE = b"\xc1" * 200  # no message begins so
+INVALID_INPUT = b"\xc1" * 200  # 0xc1 is reserved and begins no message
 
 
-def messages(data: bytes) -> list[Any]:
-    found, error = Scanner(1_000_000, 10_000).feed(data)
+def decode_messages(data: bytes) -> list[Any]:
+    complete_messages, error = Scanner(1_000_000, 10_000).feed(data)
     assert error is None
-    return [msgspec.msgpack.decode(message) for message in found]
+    return [msgspec.msgpack.decode(message) for message in complete_messages]
 
 
-def test_a_request_before_noise_is_answered_whole_and_nothing_is_reset() -> None:
-    """Guards against closing over unread bytes: the reset overtakes the answer that is on its way."""
+def test_a_request_before_invalid_input_is_answered_without_a_reset() -> None:
+    """Guards against closing a socket with unread input: the reset overtakes the reply in flight."""
 
     async def scenario(harness: Harness) -> None:
-        front = harness.server.downstream
+        downstream = harness.server.downstream
 
-        async def script(peer: ComputeNodeConnection, words: list[bytes]) -> None:
-            if words[0] == b"fetch":
-                # The noise is there, and more of it, before the answer comes.
-                await harness.wait_until(lambda: not any(c.lifecycle.accepts_work for c in front.clients))
-                client.send(NOISE * 50)
-                peer.send_result(words[1])
+        async def script(node_connection: ComputeNodeConnection, command: list[bytes]) -> None:
+            if command[0] == b"fetch":
+                # The invalid input and more of it arrive before the reply is sent.
+                await harness.wait_until(
+                    lambda: not any(c.lifecycle.accepts_work for c in downstream.clients)
+                )
+                client.send(INVALID_INPUT * 50)
+                node_connection.send_result(command[1])
 
         harness.compute_nodes[0].script = script
-        client = SyncClient(front.port)
+        client = SyncClient(downstream.port)
         client.send(encode_call(1))
-        await harness.wait_until(lambda: front.request_count == 1)
-        client.send(NOISE)
+        await harness.wait_until(lambda: downstream.request_count == 1)
+        client.send(INVALID_INPUT)
         data, reset = await client.read_to_end()
         assert not reset
-        assert messages(data) == [[1, 1, None, [ROWS, {}]]]
-        await harness.wait_until(lambda: not front.clients)
+        assert decode_messages(data) == [[1, 1, None, [ROWS, {}]]]
+        await harness.wait_until(lambda: not downstream.clients)
 
     run_with_harness(scenario)
 
 
-def test_too_many_faults_take_no_answer_away() -> None:
+def test_too_many_invalid_messages_do_not_suppress_replies() -> None:
     async def scenario(harness: Harness) -> None:
         client = SyncClient(harness.server.downstream.port)
         client.send(
-            encode_call(1) + b"".join(encode_call(n, "nothing", rid=request_id(n)) for n in range(2, 30))
+            encode_call(1)
+            + b"".join(encode_call(number, "nothing", rid=request_id(number)) for number in range(2, 30))
         )
         data, reset = await client.read_to_end()
-        answers = {told[1]: told[2] for told in messages(data)}
-        assert not reset and answers[1] is None
-        assert len(answers) == 1 + connection.MAX_INVALID_MESSAGES
+        errors_by_id = {reply[1]: reply[2] for reply in decode_messages(data)}
+        assert not reset and errors_by_id[1] is None
+        assert len(errors_by_id) == 1 + client_connection.MAX_INVALID_MESSAGES
 
     run_with_harness(scenario)
 
 
-def test_a_request_that_crosses_an_idle_close_is_not_sent_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It is read after the shutdown: no answer could be written, so nothing may be done for it."""
-    monkeypatch.setattr(connection, "IDLE_TIMEOUT", 0.05)
+def test_a_request_received_after_an_idle_close_is_not_dispatched(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The request is read after the write side is shut down, so no reply is possible and it must not run."""
+    monkeypatch.setattr(client_connection, "IDLE_TIMEOUT", 0.05)
 
     async def scenario(harness: Harness) -> None:
-        front = harness.server.downstream
-        client = SyncClient(front.port)
+        downstream = harness.server.downstream
+        client = SyncClient(downstream.port)
         client.send(encode_call(1))
         await harness.wait_until(
-            lambda: front.request_count == 1 and harness.compute_nodes[0].commands(b"fetch")
+            lambda: downstream.request_count == 1 and harness.compute_nodes[0].commands(b"fetch")
         )
-        shut = stream.Stream.shutdown_write
+        shutdown_write = stream.Stream.shutdown_write
 
-        def cross(one: stream.Stream) -> None:
+        def send_and_shut_down(client_stream: stream.Stream) -> None:
             client.send(encode_call(2, rid=request_id(2)))
-            shut(one)
+            shutdown_write(client_stream)
 
-        monkeypatch.setattr(stream.Stream, "shutdown_write", cross)
+        monkeypatch.setattr(stream.Stream, "shutdown_write", send_and_shut_down)
         data, reset = await client.read_to_end()
-        assert not reset and [told[1] for told in messages(data)] == [1]
-        await harness.wait_until(lambda: not front.clients)
-        assert front.request_count == 1 and len(harness.compute_nodes[0].commands(b"fetch")) == 1
+        assert not reset and [reply[1] for reply in decode_messages(data)] == [1]
+        await harness.wait_until(lambda: not downstream.clients)
+        assert downstream.request_count == 1 and len(harness.compute_nodes[0].commands(b"fetch")) == 1
 
     run_with_harness(scenario)
 
 
-def test_a_request_that_is_there_already_puts_the_idle_close_off(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a close that crosses nothing: the request came before it, and only the loop was late."""
+def test_a_request_that_has_already_arrived_prevents_an_idle_close(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against an idle close when a request has already arrived and only the event loop is late."""
 
     async def scenario(harness: Harness) -> None:
-        front = harness.server.downstream
-        client = SyncClient(front.port)
+        downstream = harness.server.downstream
+        client = SyncClient(downstream.port)
         client.send(encode_call(1))
-        await harness.wait_until(lambda: front.request_count == 1 and not front.has_unsent_replies)
-        (one,) = front.clients
+        await harness.wait_until(lambda: downstream.request_count == 1 and not downstream.has_unsent_replies)
+        (connection,) = downstream.clients
         client.send(encode_call(2, rid=request_id(2)))
-        one.check_timeouts(one.idle_since + connection.IDLE_TIMEOUT + 1.0)  # before the loop could read it
-        one.idle_since -= 1.0
-        monkeypatch.setattr(front, "max_clients", 1)
-        assert not front._has_capacity()
-        await harness.wait_until(lambda: front.request_count == 2 and not front.has_unsent_replies)
+        # The timeouts are checked before the event loop reads the request.
+        connection.check_timeouts(connection.idle_since + client_connection.IDLE_TIMEOUT + 1.0)
+        connection.idle_since -= 1.0
+        monkeypatch.setattr(downstream, "max_clients", 1)
+        assert not downstream._has_capacity()
+        await harness.wait_until(lambda: downstream.request_count == 2 and not downstream.has_unsent_replies)
         client.close()
 
     run_with_harness(scenario)
 
 
-def test_a_slow_reader_gets_its_answers_whole(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against an idle close that cuts what the connection still has to write."""
-    monkeypatch.setattr(connection, "IDLE_TIMEOUT", 0.3)
+def test_a_slow_reader_receives_complete_replies(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against an idle close that cuts off replies which are not written yet."""
+    monkeypatch.setattr(client_connection, "IDLE_TIMEOUT", 0.3)
     page = (b"x" * 2990 + b"\ty\tz\n") * 2
     pages = 7
 
     async def scenario(harness: Harness) -> None:
-        async with slow_client(harness, 10) as (client, one):
-            assert one.has_pending_output
-            loop, data = asyncio.get_running_loop(), b""
-            began = loop.time()
+        async with slow_client(harness, 10) as (client, connection):
+            assert connection.has_pending_output
+            event_loop, data = asyncio.get_running_loop(), b""
+            started_at = event_loop.time()
             while len(data) < 10 * pages * len(page):
-                if loop.time() < began + 1.0:  # a little at a time, for longer than idle may last
+                if event_loop.time() < started_at + 1.0:  # reads slowly, for longer than the idle timeout
                     await asyncio.sleep(0.02)
-                found = await loop.sock_recv(client, 2048 if loop.time() < began + 1.0 else 65_536)
-                assert found, f"cut after {len(data)} bytes"
-                data += found
-            while len(messages(data)) < 10:
-                data += await loop.sock_recv(client, 65_536)
-        assert {told[1] for told in messages(data)} == set(range(1, 11))
+                received = await event_loop.sock_recv(
+                    client, 2048 if event_loop.time() < started_at + 1.0 else 65_536
+                )
+                assert received, f"cut after {len(data)} bytes"
+                data += received
+            while len(decode_messages(data)) < 10:
+                data += await event_loop.sock_recv(client, 65_536)
+        assert {reply[1] for reply in decode_messages(data)} == set(range(1, 11))
 
     run_with_harness(scenario, paged_results(page, pages))
 
 
-def test_all_that_a_slow_client_may_ask_for_fits() -> None:
-    """32 whole results: past 1 MiB the connection was closed, and all of them were lost."""
+def test_a_slow_reader_receives_all_results_of_the_allowed_requests() -> None:
+    """Guards against an output limit of 1 MiB, at which a connection was closed and 32 results were lost."""
     page = (b"x" * 2985 + b"\ty\tz\n") * 2
 
     async def scenario(harness: Harness) -> None:
-        async with slow_client(harness, 32) as (client, one):
-            assert one.backlog > 1_048_576
-            loop, data = asyncio.get_running_loop(), b""
-            while len(messages(data)) < 32:
-                found = await loop.sock_recv(client, 1_000_000)
-                assert found, f"cut after {len(data)} bytes"
-                data += found
-        assert all(told[2] is None for told in messages(data))
+        async with slow_client(harness, 32) as (client, connection):
+            assert connection.backlog > 1_048_576
+            event_loop, data = asyncio.get_running_loop(), b""
+            while len(decode_messages(data)) < 32:
+                received = await event_loop.sock_recv(client, 1_000_000)
+                assert received, f"cut after {len(data)} bytes"
+                data += received
+        assert all(reply[2] is None for reply in decode_messages(data))
 
     run_with_harness(scenario, paged_results(page, 8))
 
 
-def test_answers_that_all_leave_unread_are_bounded_by_the_memory() -> None:
+def test_unread_replies_of_all_clients_are_limited_by_the_memory() -> None:
     async def scenario(harness: Harness) -> None:
-        front = harness.server.downstream
+        downstream = harness.server.downstream
         clients = [await harness.client() for _ in range(3)]
-        await harness.wait_until(lambda: len(front.clients) == 3)
-        for one, size in zip(front.clients, (10, 300_000, 20), strict=True):
-            one.stream._total_write_index += size
-        front._max_unread_bytes = 1000.0
-        front._sweep_timer.cancel()
-        front._on_sweep_due()
-        assert len(front.clients) == 2 and all(one.backlog < 100 for one in front.clients)
+        await harness.wait_until(lambda: len(downstream.clients) == 3)
+        for connection, size in zip(downstream.clients, (10, 300_000, 20), strict=True):
+            connection.stream._total_write_index += size
+        downstream._max_unread_bytes = 1000.0
+        downstream._sweep_timer.cancel()
+        downstream._on_sweep_due()
+        assert len(downstream.clients) == 2 and all(
+            connection.backlog < 100 for connection in downstream.clients
+        )
         assert clients
 
     run_with_harness(scenario)
 
 
-def test_a_fault_in_handling_one_message_takes_no_other_with_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_one_message_does_not_affect_other_requests(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(harness: Harness) -> None:
-        front = harness.server.downstream
-        read = front.decoder.decode
+        downstream = harness.server.downstream
+        decode = downstream.decoder.decode
 
-        def fails(told: Any) -> Any:
-            if told.id == 2:
-                raise RuntimeError("a fault in the handling")
-            return read(told)
+        def fail_second(received_call: Any) -> Any:
+            if received_call.id == 2:
+                raise RuntimeError("injected failure")
+            return decode(received_call)
 
-        monkeypatch.setattr(front.decoder, "decode", fails)
-        client = SyncClient(front.port)
+        monkeypatch.setattr(downstream.decoder, "decode", fail_second)
+        client = SyncClient(downstream.port)
         client.send(encode_call(1) + encode_call(2, rid=request_id(2)))
         data, reset = await client.read_to_end()
-        assert not reset and messages(data) == [[1, 1, None, [ROWS, {}]]]
+        assert not reset and decode_messages(data) == [[1, 1, None, [ROWS, {}]]]
 
     run_with_harness(scenario)
 
 
-def test_a_connection_that_is_asked_whether_it_is_well_is_not_idle(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_health_check_restarts_the_idle_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(harness: Harness) -> None:
-        front = harness.server.downstream
+        downstream = harness.server.downstream
         client = await harness.client()
-        await harness.wait_until(lambda: front.clients)
-        (one,) = front.clients
-        one.idle_since -= 100.0
+        await harness.wait_until(lambda: downstream.clients)
+        (connection,) = downstream.clients
+        connection.idle_since -= 100.0
         client.send_raw(msgspec.msgpack.encode([0, 1, "isWell", [{}]]))
         assert await client.read_answer(1) == (None, [True, {}])
-        assert one.idle_since > one.loop.time() - 10.0
+        assert connection.idle_since > connection.loop.time() - 10.0
 
     run_with_harness(scenario)
 
 
-def test_one_that_reads_nothing_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Bounded: answers that nobody reads do not keep the connection, nor the process at its end."""
-    monkeypatch.setattr(connection, "CONNECTION_LIMITS", connection.ConnectionLimits(stall_timeout=0.4))
+def test_a_client_that_reads_nothing_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Unread replies must not keep the connection open, nor delay the end of the process."""
+    monkeypatch.setattr(
+        client_connection, "CONNECTION_LIMITS", client_connection.ConnectionLimits(stall_timeout=0.4)
+    )
     page = (b"x" * 2990 + b"\ty\tz\n") * 2
 
     async def scenario(harness: Harness) -> None:
-        front = harness.server.downstream
+        downstream = harness.server.downstream
         async with slow_client(harness, 10):
-            await harness.wait_until(lambda: not front.clients, 3.0)
+            await harness.wait_until(lambda: not downstream.clients, 3.0)
 
     run_with_harness(scenario, paged_results(page, 7))
 
 
-def test_a_flood_to_a_closing_connection_ends_it() -> None:
+def test_a_flood_of_input_aborts_a_closing_connection() -> None:
     async def scenario(harness: Harness) -> None:
-        front = harness.server.downstream
-        client = SyncClient(front.port)
+        downstream = harness.server.downstream
+        client = SyncClient(downstream.port)
         client.socket.setblocking(False)
-        loop = asyncio.get_running_loop()
-        await loop.sock_sendall(client.socket, NOISE)
-        await harness.wait_until(lambda: any(c.lifecycle.is_closing for c in front.clients))
+        event_loop = asyncio.get_running_loop()
+        await event_loop.sock_sendall(client.socket, INVALID_INPUT)
+        await harness.wait_until(lambda: any(c.lifecycle.is_closing for c in downstream.clients))
         with pytest.raises(ConnectionError):
             async with asyncio.timeout(5.0):
                 while True:
-                    await loop.sock_sendall(client.socket, NOISE * 300)
-        assert not front.clients
+                    await event_loop.sock_sendall(client.socket, INVALID_INPUT * 300)
+        assert not downstream.clients
 
     run_with_harness(scenario)
 
 
-# --- the client has gone ---
+# --- disconnected clients ---
 
-MAY_CANCEL = [True, False]
+CAN_CANCEL_VALUES = [True, False]
 
 
-def may(cancel: bool) -> dict[str, Any]:
-    return SETTINGS | {"limits": SETTINGS["limits"] | {"cancel": cancel, "connectTimeout": 2.0}}
+def settings_with_cancel(can_cancel: bool) -> dict[str, Any]:
+    return SETTINGS | {"limits": SETTINGS["limits"] | {"cancel": can_cancel, "connectTimeout": 2.0}}
 
 
-async def gone(harness: Harness, free: asyncio.Event, within: float = 0.1) -> None:
-    """In time nothing of the requests is left that could still leave; and nothing leaves."""
-    await harness.wait_until(lambda: not any(harness.table_sizes().values()), within)
-    free.set()
+async def check_nothing_dispatched(harness: Harness, release: asyncio.Event, timeout: float = 0.1) -> None:
+    """Check that no state of the requests remains after the timeout, and that none of them is dispatched."""
+    await harness.wait_until(lambda: not any(harness.table_sizes().values()), timeout)
+    release.set()
     probe = await harness.client()
     assert (await probe.read_answer(probe.call("ask", "f" * 16)))[0] is None
-    fetched = [words[1] for compute in harness.compute_nodes for words in compute.commands(b"fetch")]
-    assert fetched == [b"f" * 16]
+    fetched_ids = [
+        command[1] for compute_node in harness.compute_nodes for command in compute_node.commands(b"fetch")
+    ]
+    assert fetched_ids == [b"f" * 16]
 
 
-@pytest.mark.parametrize("cancel", MAY_CANCEL)
-@pytest.mark.parametrize("how", ["close", "reset", "forget"])
-def test_what_waits_for_a_connection_does_not_leave_for_a_client_that_has_gone(
-    how: str, cancel: bool, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("can_cancel", CAN_CANCEL_VALUES)
+@pytest.mark.parametrize("ending", ["close", "reset", "forget"])
+def test_a_request_waiting_for_a_connection_is_dropped_when_its_client_disconnects(
+    ending: str, can_cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Where the settings forbid cancelling, what waited was sent when its connection came up."""
+    """Guards against dispatching the request when its connection is established, if cancels are forbidden."""
 
     async def scenario(harness: Harness) -> None:
-        free = delay_connections(monkeypatch)
+        release = delay_connections(monkeypatch)
         client = SyncClient(harness.server.downstream.port)
         client.send(encode_call(1))
         await harness.wait_until(lambda: harness.table_sizes()["connection_attempts"])
-        if how == "forget":
+        if ending == "forget":
             client.send(msgspec.msgpack.encode([2, "forget", [1]]))
         else:
-            client.reset() if how == "reset" else client.close()
-        await gone(harness, free)
+            client.reset() if ending == "reset" else client.close()
+        await check_nothing_dispatched(harness, release)
 
-    run_with_harness(scenario, settings=may(cancel))
+    run_with_harness(scenario, settings=settings_with_cancel(can_cancel))
 
 
-@pytest.mark.parametrize("cancel", MAY_CANCEL)
-@pytest.mark.parametrize("how", ["close", "forget"])
-def test_a_client_that_has_sent_what_is_wrong_is_still_seen_to_go(
-    how: str, cancel: bool, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("can_cancel", CAN_CANCEL_VALUES)
+@pytest.mark.parametrize("ending", ["close", "forget"])
+def test_a_disconnection_after_an_invalid_message_is_detected_at_once(
+    ending: str, can_cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It was not read for a quarter of a second after a fault, and its requests were sent meanwhile."""
+    """Guards against a pause of 0.25 s in reading after an invalid message, in which requests were sent."""
 
     async def scenario(harness: Harness) -> None:
-        free = delay_connections(monkeypatch)
+        release = delay_connections(monkeypatch)
         client = SyncClient(harness.server.downstream.port)
         client.send(encode_call(1) + encode_call(2, "nothing", rid=request_id(2)))
         await harness.wait_until(
@@ -303,208 +314,214 @@
                 and harness.table_sizes()["connection_attempts"]
             )
         )
-        client.send(msgspec.msgpack.encode([2, "forget", [1]])) if how == "forget" else client.close()
-        await gone(harness, free)
+        client.send(msgspec.msgpack.encode([2, "forget", [1]])) if ending == "forget" else client.close()
+        await check_nothing_dispatched(harness, release)
 
-    run_with_harness(scenario, settings=may(cancel))
+    run_with_harness(scenario, settings=settings_with_cancel(can_cancel))
 
 
-@pytest.mark.parametrize("cancel", MAY_CANCEL)
-def test_a_thousand_clients_leave_at_once(cancel: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize("can_cancel", CAN_CANCEL_VALUES)
+def test_requests_are_dropped_when_a_thousand_clients_disconnect_at_once(
+    can_cancel: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def scenario(harness: Harness) -> None:
-        free = delay_connections(monkeypatch)
-        front = harness.server.downstream
+        release = delay_connections(monkeypatch)
+        downstream = harness.server.downstream
         clients = []
         for number in range(1000):
-            clients.append(SyncClient(front.port))
+            clients.append(SyncClient(downstream.port))
             clients[-1].send(encode_call(1, rid=request_id(number)))
             if number % 50 == 49:
-                await harness.wait_until(lambda n=number: front.request_count == n + 1)  # type: ignore[misc]
+                await harness.wait_until(lambda number=number: downstream.request_count == number + 1)  # type: ignore[misc]
         await harness.wait_until(lambda: harness.table_sizes()["connection_attempts"])
         for client in clients:
             client.close()
-        await gone(harness, free, 5.0)
+        await check_nothing_dispatched(harness, release, 5.0)
 
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 4096}
-    run_with_harness(scenario, settings=may(cancel), limits=limits)
+    run_with_harness(scenario, settings=settings_with_cancel(can_cancel), limits=limits)
 
 
-def test_a_request_that_comes_with_its_connections_end_is_not_sent_on() -> None:
+def test_a_request_that_arrives_together_with_a_disconnection_is_not_dispatched() -> None:
     async def scenario(harness: Harness) -> None:
-        front = harness.server.downstream
+        downstream = harness.server.downstream
         for number in range(20):
-            client = SyncClient(front.port)
+            client = SyncClient(downstream.port)
             client.send(encode_call(1, rid=request_id(number)))
-            client.close()  # both are there before the loop's turn
-        await harness.wait_until(lambda: front.accepted_count == 20 and not front.clients)
+            client.close()  # the request and the end arrive before the next turn of the event loop
+        await harness.wait_until(lambda: downstream.accepted_count == 20 and not downstream.clients)
         await harness.wait_until(lambda: not any(harness.table_sizes().values()))
         assert not harness.compute_nodes[0].commands(b"fetch")
 
     run_with_harness(scenario)
 
 
-def test_a_retry_does_not_begin_for_a_client_that_has_gone() -> None:
-    """The first attempt fails in the turn in which its client leaves."""
+def test_a_request_is_not_retried_after_its_client_disconnects() -> None:
+    """The first attempt fails in the turn of the event loop in which its client disconnects."""
 
     async def scenario(harness: Harness) -> None:
-        front = harness.server.downstream
+        downstream = harness.server.downstream
 
-        async def script(peer: ComputeNodeConnection, words: list[bytes]) -> None:
-            if words[0] == b"fetch":
+        async def script(node_connection: ComputeNodeConnection, command: list[bytes]) -> None:
+            if command[0] == b"fetch":
                 client.close()
-                peer.send(words[1], b"BROKE", b"-", b"")
+                node_connection.send(command[1], b"BROKE", b"-", b"")
 
-        for compute in harness.compute_nodes:
-            compute.script = script
-        client = SyncClient(front.port)
+        for compute_node in harness.compute_nodes:
+            compute_node.script = script
+        client = SyncClient(downstream.port)
         client.send(encode_call(1))
-        await harness.wait_until(lambda: front.request_count == 1 and not front.clients)
+        await harness.wait_until(lambda: downstream.request_count == 1 and not downstream.clients)
         await harness.wait_until(lambda: not any(harness.table_sizes().values()))
-        assert sum(len(compute.commands(b"fetch")) for compute in harness.compute_nodes) == 1
+        assert sum(len(compute_node.commands(b"fetch")) for compute_node in harness.compute_nodes) == 1
 
     run_with_harness(scenario, answer_fetches, answer_fetches)
 
 
-@pytest.mark.parametrize("way", ["close", "reset", "forget", "forget, read", "forget, told", "close, late"])
-def test_what_a_client_sends_while_the_loop_is_late_is_read_before_its_attempt_leaves(
-    way: str, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize(
+    "ending", ["close", "reset", "forget", "forget, read", "forget, told", "close, late"]
+)
+def test_a_cancellation_during_a_late_turn_prevents_the_dispatch(
+    ending: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It goes, or takes its request back, while the decisions take their time: nothing begins after that.
+    """The client disconnects or cancels while the dispatcher decides: no attempt may start after that.
 
-    The loop heard of it only after it had written what those decisions asked for, however late it was.
+    Guards against an event loop that reads this only after it has written the decided attempts, however late
+    it runs.
     """
 
     async def scenario(harness: Harness) -> None:
-        pour, crossed = UpstreamConnection.flush, []
+        flush, flushed = UpstreamConnection.flush, []
         client = SyncClient(harness.server.downstream.port)
-        if way.startswith("forget"):
+        if ending.startswith("forget"):
             client.send(encode_call(9, rid=request_id(9)))
             await harness.wait_until(lambda: harness.compute_nodes[0].commands(b"fetch"))
 
-        def cross(link: UpstreamConnection) -> None:
-            if request_id(1).encode() in link.attempts and not crossed:
-                crossed.append(link)
-                if way == "close":
+        def end_and_flush(upstream_connection: UpstreamConnection) -> None:
+            if request_id(1).encode() in upstream_connection.attempts and not flushed:
+                flushed.append(upstream_connection)
+                if ending == "close":
                     client.close()
-                elif way == "close, late":  # in the turns in which what came before it is read
+                elif ending == "close, late":  # in the turns in which the earlier input is read
                     client.send(encode_call(2, rid=request_id(3))[:20])
-                    loop = asyncio.get_running_loop()
-                    loop.call_soon(loop.call_soon, loop.call_soon, client.close)
-                elif way == "reset":
+                    event_loop = asyncio.get_running_loop()
+                    event_loop.call_soon(event_loop.call_soon, event_loop.call_soon, client.close)
+                elif ending == "reset":
                     client.reset()
-                elif way != "forget, told":
+                elif ending != "forget, told":
                     client.send(msgspec.msgpack.encode([2, "forget", [1]]))
-                (one,) = harness.server.downstream.clients
-                if "told" in way:  # to the front, and the decisions are stepped later in this turn
-                    one.receive(msgspec.msgpack.encode([2, "forget", [1]]))
-                if "read" in way:  # and not acted on yet
-                    one.stream._handle_events(one.stream.fileno(), IOLoop.READ)
-            pour(link)
-
-        monkeypatch.setattr(UpstreamConnection, "flush", cross)
+                (connection,) = harness.server.downstream.clients
+                if "told" in ending:  # processed, and the dispatcher is stepped later in this turn
+                    connection.receive(msgspec.msgpack.encode([2, "forget", [1]]))
+                if "read" in ending:  # read from the socket, but not processed yet
+                    connection.stream._handle_events(connection.stream.fileno(), IOLoop.READ)
+            flush(upstream_connection)
+
+        monkeypatch.setattr(UpstreamConnection, "flush", end_and_flush)
         client.send(encode_call(1, rid=request_id(1)))
-        await harness.wait_until(lambda: crossed and not harness.table_sizes()["connection_attempts"])
-        other = await harness.client()
-        assert (await other.read_answer(other.call("ask", request_id(2))))[0] is None
+        await harness.wait_until(lambda: flushed and not harness.table_sizes()["connection_attempts"])
+        other_client = await harness.client()
+        assert (await other_client.read_answer(other_client.call("ask", request_id(2))))[0] is None
         assert request_id(1).encode() not in [
-            words[1] for words in harness.compute_nodes[0].commands(b"fetch")
+            command[1] for command in harness.compute_nodes[0].commands(b"fetch")
         ]
         assert not any(harness.table_sizes().values())
 
     run_with_harness(scenario)
 
 
-def test_an_answer_that_is_queued_in_the_instant_of_a_look_is_not_unread(
+def test_a_reply_queued_just_before_a_timeout_check_is_not_stalled(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The connection was older than a reader may take when its first answer came: that counted as unread for
-    so long, and the connection was closed over it and all that was open there."""
+    """Guards against a stall time that counts from before the reply was queued. A connection older than the
+    stall timeout was then closed at its first reply, with all its open requests."""
 
     async def scenario(harness: Harness) -> None:
-        monkeypatch.setattr(connection, "CONNECTION_LIMITS", ConnectionLimits(stall_timeout=0.2))
-        looked, client = [], await harness.client()
-        waiting = client.call("ask", request_id(2))
-        await harness.wait_until(lambda: held)
-        (one,) = harness.server.downstream.clients
-        await harness.wait_until(lambda: one.loop.time() > one.opened_at + 0.3)
-        write = one.write
-
-        def crossed(data: bytes) -> None:
+        monkeypatch.setattr(client_connection, "CONNECTION_LIMITS", ConnectionLimits(stall_timeout=0.2))
+        had_pending_output, client = [], await harness.client()
+        waiting_id = client.call("ask", request_id(2))
+        await harness.wait_until(lambda: held_fetches)
+        (connection,) = harness.server.downstream.clients
+        await harness.wait_until(lambda: connection.loop.time() > connection.opened_at + 0.3)
+        write = connection.write
+
+        def write_and_check(data: bytes) -> None:
             write(data)
-            looked.append(one.has_pending_output)
-            one.check_timeouts(one.loop.time())
+            had_pending_output.append(connection.has_pending_output)
+            connection.check_timeouts(connection.loop.time())
 
-        monkeypatch.setattr(one, "write", crossed)
-        asked = client.call("ask", request_id(3))
-        assert await client.read_answer(asked) == (None, [ROWS, {}])
-        held[0][0].send_result(held[0][1])
-        assert await client.read_answer(waiting) == (None, [ROWS, {}])
-        assert looked == [True, True]
+        monkeypatch.setattr(connection, "write", write_and_check)
+        message_id = client.call("ask", request_id(3))
+        assert await client.read_answer(message_id) == (None, [ROWS, {}])
+        held_fetches[0][0].send_result(held_fetches[0][1])
+        assert await client.read_answer(waiting_id) == (None, [ROWS, {}])
+        assert had_pending_output == [True, True]
 
-    held: list[tuple[ComputeNodeConnection, bytes]] = []
+    held_fetches: list[tuple[ComputeNodeConnection, bytes]] = []
 
-    async def script(peer: ComputeNodeConnection, words: list[bytes]) -> None:
-        if words[:2] == [b"fetch", request_id(2).encode()]:
-            held.append((peer, words[1]))
-        elif words[0] == b"fetch":
-            peer.send_result(words[1])
+    async def script(node_connection: ComputeNodeConnection, command: list[bytes]) -> None:
+        if command[:2] == [b"fetch", request_id(2).encode()]:
+            held_fetches.append((node_connection, command[1]))
+        elif command[0] == b"fetch":
+            node_connection.send_result(command[1])
 
     run_with_harness(scenario, script)
 
 
-def unseen_end(one: connection.ClientConnection, client: SyncClient) -> None:
-    """Its client resets it; the system has told the stream, and the reader's turn is yet to come."""
+def reset_before_read(connection: client_connection.ClientConnection, client: SyncClient) -> None:
+    """Reset a connection from the client. Its stream is closed, but its reader has not been called yet."""
     client.reset()
-    one.stream._handle_events(one.stream.fileno(), IOLoop.READ)
-    assert one.stream.closed() and not one.lifecycle.is_closed
+    connection.stream._handle_events(connection.stream.fileno(), IOLoop.READ)
+    assert connection.stream.closed() and not connection.lifecycle.is_closed
 
 
-def test_an_end_that_its_reader_has_not_seen_takes_no_other_connection_with_it(
+def test_a_reset_that_is_not_processed_at_shutdown_does_not_affect_other_connections(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The process ends in that instant: the half-close failed, and all others were reset."""
+    """Guards against a half-close that fails while the process ends, so that other connections are reset."""
 
     async def scenario(harness: Harness) -> None:
-        front = harness.server.downstream
-        gone, rests = SyncClient(front.port), SyncClient(front.port)
-        for n, client in enumerate((gone, rests)):
-            client.send(encode_call(1, rid=request_id(n)))
-        await harness.wait_until(lambda: front.request_count == 2 and not front.has_unsent_replies)
-        drain, name = front.drain, gone.socket.getsockname()
-
-        def crossed() -> None:
-            (one,) = (c for c in front.clients if c.stream.socket.getpeername() == name)
-            unseen_end(one, gone)
-            rests.send(
-                encode_call(2, rid=request_id(9))
-            )  # it crosses the close: unread bytes must not reset the answer
+        downstream = harness.server.downstream
+        reset_client, idle_client = SyncClient(downstream.port), SyncClient(downstream.port)
+        for number, client in enumerate((reset_client, idle_client)):
+            client.send(encode_call(1, rid=request_id(number)))
+        await harness.wait_until(lambda: downstream.request_count == 2 and not downstream.has_unsent_replies)
+        drain, reset_address = downstream.drain, reset_client.socket.getsockname()
+
+        def reset_and_drain() -> None:
+            (connection,) = (c for c in downstream.clients if c.stream.socket.getpeername() == reset_address)
+            reset_before_read(connection, reset_client)
+            # The request arrives during the close. Unread input must not reset the reply.
+            idle_client.send(encode_call(2, rid=request_id(9)))
             drain()
 
-        monkeypatch.setattr(front, "drain", crossed)
+        monkeypatch.setattr(downstream, "drain", reset_and_drain)
         with structlog.testing.capture_logs() as logs:
             harness.server.stop()
-            data, reset = await rests.read_to_end()
+            data, reset = await idle_client.read_to_end()
             async with asyncio.timeout(5.0):
                 await harness.server.run()
-        assert not reset and messages(data) == [[1, 1, None, [ROWS, {}]]]
-        assert not [one for one in logs if one["log_level"] == "error"]
+        assert not reset and decode_messages(data) == [[1, 1, None, [ROWS, {}]]]
+        assert not [entry for entry in logs if entry["log_level"] == "error"]
 
     run_with_harness(scenario)
 
 
-def test_a_fault_at_one_connection_at_the_end_takes_no_other_with_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_draining_one_connection_does_not_affect_the_others(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def scenario(harness: Harness) -> None:
-        front = harness.server.downstream
-        clients = [SyncClient(front.port) for _ in range(3)]
-        await harness.wait_until(lambda: len(front.clients) == 3)
-        first, real = next(iter(front.clients)), connection.ClientConnection.drain
+        downstream = harness.server.downstream
+        clients = [SyncClient(downstream.port) for _ in range(3)]
+        await harness.wait_until(lambda: len(downstream.clients) == 3)
+        first, real_drain = next(iter(downstream.clients)), client_connection.ClientConnection.drain
 
-        def drain(one: connection.ClientConnection, reason: str) -> None:
-            if one is first:
-                raise RuntimeError("a fault")
-            real(one, reason)
+        def drain(connection: client_connection.ClientConnection, reason: str) -> None:
+            if connection is first:
+                raise RuntimeError("injected failure")
+            real_drain(connection, reason)
 
-        monkeypatch.setattr(connection.ClientConnection, "drain", drain)
+        monkeypatch.setattr(client_connection.ClientConnection, "drain", drain)
         harness.server.stop()
         ends = [await client.read_to_end() for client in clients]
         async with asyncio.timeout(5.0):
@@ -515,137 +532,141 @@
     run_with_harness(scenario)
 
 
-def test_a_fault_at_one_look_does_not_end_the_looks(monkeypatch: pytest.MonkeyPatch) -> None:
-    """At a client's connection and at a node's: all others would be kept for good, whatever they do."""
+def test_an_exception_in_one_timeout_check_does_not_end_the_checks(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The check of a client and of an engine connection fails; the other connections are still closed."""
 
     async def scenario(harness: Harness) -> None:
-        monkeypatch.setattr(connection, "RECEIVE_TIMEOUT", 0.3)
-        front, upstream = harness.server.downstream, harness.server.upstream
+        monkeypatch.setattr(client_connection, "RECEIVE_TIMEOUT", 0.3)
+        downstream, upstream = harness.server.downstream, harness.server.upstream
         client = await harness.client()
         assert (await client.read_answer(client.call("ask", request_id(1))))[0] is None
-        (link,) = upstream.pool.connections_by_engine[b"node-0"]
-        first = SyncClient(front.port)
-        await harness.wait_until(lambda: len(front.clients) == 2)
-        struck = [list(front.clients)[1], link]
-        for kind, name in (
-            (connection.ClientConnection, "check_timeouts"),
+        (upstream_connection,) = upstream.pool.connections_by_engine[b"node-0"]
+        first = SyncClient(downstream.port)
+        await harness.wait_until(lambda: len(downstream.clients) == 2)
+        failing = [list(downstream.clients)[1], upstream_connection]
+        for connection_type, method in (
+            (client_connection.ClientConnection, "check_timeouts"),
             (UpstreamConnection, "check_timeouts"),
         ):
-            real = getattr(kind, name)
+            real = getattr(connection_type, method)
 
-            def look(one: Any, *told: Any, real: Any = real) -> None:
-                if one in struck:
-                    raise RuntimeError("a fault")
-                real(one, *told)
+            def check_or_fail(connection: Any, *arguments: Any, real: Any = real) -> None:
+                if connection in failing:
+                    raise RuntimeError("injected failure")
+                real(connection, *arguments)
 
-            monkeypatch.setattr(kind, name, look)
-        second = SyncClient(front.port)
+            monkeypatch.setattr(connection_type, method, check_or_fail)
+        second = SyncClient(downstream.port)
         assert (await first.read_to_end(), await second.read_to_end()) == ((b"", False), (b"", False))
-        await harness.wait_until(lambda: link.lifecycle.is_closed)
+        await harness.wait_until(lambda: upstream_connection.lifecycle.is_closed)
         assert await client.read_answer(client.call("ask", request_id(2))) == (None, [ROWS, {}])
-        third = SyncClient(front.port)
+        third = SyncClient(downstream.port)
         assert await third.read_to_end() == (b"", False)
 
     run_with_harness(scenario)
 
 
-def test_one_with_an_unseen_end_or_an_unread_request_makes_no_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What it has sent is acted on first; it was half closed, or reset over its request."""
+def test_a_connection_with_an_unprocessed_reset_or_request_is_not_evicted(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Guards against closing such a connection before its input is processed."""
 
     async def scenario(harness: Harness) -> None:
-        front, now = harness.server.downstream, harness.server._loop.time
-        gone, asks = SyncClient(front.port), SyncClient(front.port)
-        for n, client in enumerate((gone, asks)):
-            client.send(encode_call(1, rid=request_id(n)))
-        await harness.wait_until(lambda: front.request_count == 2 and not front.has_unsent_replies)
-        await harness.wait_until(lambda: all(now() > c.idle_since + 0.15 for c in front.clients))
-        name = gone.socket.getsockname()
-        (one,) = (c for c in front.clients if c.stream.socket.getpeername() == name)
-        # Nothing runs between this and the looks for room but these lines.
-        unseen_end(one, gone)
-        asks.send(encode_call(2, rid=request_id(3)))
-        assert not front.evict_now() and front.eviction.graceful_candidate(now()) is None
-        for client in list(front.clients):
-            front._evict_if_idle(client)
+        downstream, now = harness.server.downstream, harness.server._loop.time
+        reset_client, requesting_client = SyncClient(downstream.port), SyncClient(downstream.port)
+        for number, client in enumerate((reset_client, requesting_client)):
+            client.send(encode_call(1, rid=request_id(number)))
+        await harness.wait_until(lambda: downstream.request_count == 2 and not downstream.has_unsent_replies)
+        await harness.wait_until(lambda: all(now() > c.idle_since + 0.15 for c in downstream.clients))
+        reset_address = reset_client.socket.getsockname()
+        (connection,) = (c for c in downstream.clients if c.stream.socket.getpeername() == reset_address)
+        # The event loop does not run between these lines and the eviction checks.
+        reset_before_read(connection, reset_client)
+        requesting_client.send(encode_call(2, rid=request_id(3)))
+        assert not downstream.evict_now() and downstream.eviction.graceful_candidate(now()) is None
+        for client in list(downstream.clients):
+            downstream._evict_if_idle(client)
             client._drain_idle()
-        asks.socket.settimeout(5.0)
-        await harness.wait_until(lambda: front.request_count == 3 and not front.has_unsent_replies)
-        asks.socket.shutdown(socket.SHUT_WR)
-        data, reset = await asks.read_to_end()
-        assert not reset and [m[1] for m in messages(data)] == [1, 2]
+        requesting_client.socket.settimeout(5.0)
+        await harness.wait_until(lambda: downstream.request_count == 3 and not downstream.has_unsent_replies)
+        requesting_client.socket.shutdown(socket.SHUT_WR)
+        data, reset = await requesting_client.read_to_end()
+        assert not reset and [message[1] for message in decode_messages(data)] == [1, 2]
 
     run_with_harness(scenario)
 
 
-def test_a_silent_connection_with_an_unread_request_makes_no_room() -> None:
+def test_a_silent_connection_with_an_unprocessed_request_is_not_evicted() -> None:
     async def scenario(harness: Harness) -> None:
-        front, now = harness.server.downstream, harness.server._loop.time
-        client = SyncClient(front.port)
-        await harness.wait_until(lambda: front.clients)
-        await harness.wait_until(lambda: all(now() > c.opened_at + 0.1 for c in front.clients))
+        downstream, now = harness.server.downstream, harness.server._loop.time
+        client = SyncClient(downstream.port)
+        await harness.wait_until(lambda: downstream.clients)
+        await harness.wait_until(lambda: all(now() > c.opened_at + 0.1 for c in downstream.clients))
         client.send(encode_call(1, rid=request_id(1)))
-        assert not front.evict_now() and front.eviction.graceful_candidate(now()) is None
-        await harness.wait_until(lambda: front.request_count == 1 and not front.has_unsent_replies)
+        assert not downstream.evict_now() and downstream.eviction.graceful_candidate(now()) is None
+        await harness.wait_until(lambda: downstream.request_count == 1 and not downstream.has_unsent_replies)
         client.close()
 
     run_with_harness(scenario)
 
 
-def test_a_client_that_sends_on_is_served_all_the_same(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What is put off until its client has been read leaves then, also where there is always more to read."""
+def test_a_client_that_sends_continuously_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Output that is delayed until the client's input is read is sent even if there is always more input."""
 
     async def scenario(harness: Harness) -> None:
-        client, sent = SyncClient(harness.server.downstream.port), [1]
-        pour = UpstreamConnection.flush
+        client, sent_ids = SyncClient(harness.server.downstream.port), [1]
+        flush = UpstreamConnection.flush
 
-        def cross(link: UpstreamConnection) -> None:
-            if link.has_queued_output and sent[-1] < 20:
-                sent.append(sent[-1] + 1)
-                client.send(encode_call(sent[-1], rid=request_id(sent[-1])))
-            pour(link)
+        def send_and_flush(upstream_connection: UpstreamConnection) -> None:
+            if upstream_connection.has_queued_output and sent_ids[-1] < 20:
+                sent_ids.append(sent_ids[-1] + 1)
+                client.send(encode_call(sent_ids[-1], rid=request_id(sent_ids[-1])))
+            flush(upstream_connection)
 
-        monkeypatch.setattr(UpstreamConnection, "flush", cross)
+        monkeypatch.setattr(UpstreamConnection, "flush", send_and_flush)
         client.send(encode_call(1, rid=request_id(1)))
         await harness.wait_until(
             lambda: harness.server.downstream.request_count == 20 and not any(harness.table_sizes().values())
         )
         client.socket.shutdown(socket.SHUT_WR)
         data, reset = await client.read_to_end()
-        assert not reset and sorted(one[1] for one in messages(data)) == sent
-        assert all(one[2:] == [None, [ROWS, {}]] for one in messages(data))
+        assert not reset and sorted(reply[1] for reply in decode_messages(data)) == sent_ids
+        assert all(reply[2:] == [None, [ROWS, {}]] for reply in decode_messages(data))
 
     run_with_harness(scenario)
 
 
-def test_a_peer_that_never_pauses_does_not_hold_the_loop(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against reading what is there at once, again and again, while nobody else has a turn."""
+def test_a_connection_with_continuous_input_does_not_block_the_event_loop(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Guards against reading a connection repeatedly without a turn for other callbacks."""
 
     async def scenario() -> None:
         async with running_harness(never_answer) as harness:
-            front = harness.server.downstream
-            flood = SyncClient(front.port)
-            await harness.wait_until(lambda: front.clients)
-            (one,) = front.clients
-            turns: list[int] = []
+            downstream = harness.server.downstream
+            flood = SyncClient(downstream.port)
+            await harness.wait_until(lambda: downstream.clients)
+            (connection,) = downstream.clients
+            inputs: list[int] = []
             data = msgspec.msgpack.encode([0, 1, "isWell", [{}]])
 
-            def more(self: endpoint.ManagedConnection, found: bytes) -> None:
-                if len(turns) < 200:
-                    flood.send(data)  # the next bytes are there before these are done with
-                turns.append(len(turns))
+            def receive_and_resend(self: managed_connection.ManagedConnection, received: bytes) -> None:
+                if len(inputs) < 200:
+                    flood.send(data)  # the next input arrives before this input is processed
+                inputs.append(len(inputs))
 
-            monkeypatch.setattr(type(one), "receive", more)
-            others: list[int] = []
+            monkeypatch.setattr(type(connection), "receive", receive_and_resend)
+            input_counts: list[int] = []
 
-            def other() -> None:
-                others.append(len(turns))
-                if len(turns) < 200:
-                    asyncio.get_running_loop().call_soon(other)
+            def count_turn() -> None:
+                input_counts.append(len(inputs))
+                if len(inputs) < 200:
+                    asyncio.get_running_loop().call_soon(count_turn)
 
-            other()
+            count_turn()
             flood.send(data)
-            await harness.wait_until(lambda: len(turns) > 200)
-            assert max(b - a for a, b in itertools.pairwise(others)) <= 3
+            await harness.wait_until(lambda: len(inputs) > 200)
+            assert max(later - earlier for earlier, later in itertools.pairwise(input_counts)) <= 3
             flood.close()
 
     asyncio.run(scenario())
--- a/tests/node/test_feed.py
+++ b/tests/node/test_feed.py
@@ -1,4 +1,4 @@
-"""The control feed: whatever its line does, the list is as it told."""
+"""The control feed: the endpoint list is correct whatever happens to the connection."""
 
 from __future__ import annotations
 
@@ -23,34 +23,34 @@
 from .support import REQUEST_ID, request_id, run_with_harness
 
 
-def test_the_feed_goes_on_from_the_last_event_after_a_break() -> None:
+def test_the_watch_resumes_after_the_last_event_when_the_connection_breaks() -> None:
     async def scenario(harness: Harness) -> None:
-        feed, fleet = harness.feed, harness.server.endpoints
+        feed, endpoints = harness.feed, harness.server.endpoints
         await harness.wait_until(lambda: feed.writers)
         assert feed.subscribed_sequences == [1]
         feed.send_event(2, [member("late", 9)])
-        feed.send_event(2, [member("late", 9)])  # told twice
-        await harness.wait_until(lambda: len(fleet) == 2)
+        feed.send_event(2, [member("late", 9)])  # a duplicate
+        await harness.wait_until(lambda: len(endpoints) == 2)
         feed.send_line(event_line(3, [member("half", 9)])[:40])
         feed.writers[-1].close()
         await harness.wait_until(lambda: len(feed.subscribed_sequences) == 2)
-        assert feed.subscribed_sequences == [1, 2] and len(fleet) == 2
+        assert feed.subscribed_sequences == [1, 2] and len(endpoints) == 2
         feed.send_event(3, [member("half", 9)])
-        await harness.wait_until(lambda: len(fleet) == 3)
+        await harness.wait_until(lambda: len(endpoints) == 3)
         feed.send_event(4, [member("half", 9, "removed"), member("late", 9, "removed")])
-        await harness.wait_until(lambda: len(fleet) == 1)
+        await harness.wait_until(lambda: len(endpoints) == 1)
 
     run_with_harness(scenario)
 
 
-def test_silence_of_the_feed_is_a_break() -> None:
+def test_the_watch_reconnects_when_the_feed_is_silent() -> None:
     async def scenario(harness: Harness) -> None:
         await harness.wait_until(lambda: len(harness.feed.subscribed_sequences) == 2, 4.0)
 
     run_with_harness(scenario)
 
 
-def test_what_the_feed_says_wrong_is_not_fatal() -> None:
+def test_the_watch_continues_after_invalid_lines() -> None:
     async def scenario(harness: Harness) -> None:
         feed = harness.feed
         await harness.wait_until(lambda: feed.writers)
@@ -62,87 +62,87 @@
         feed.send_event(9, [member("z", 9)])  # events are missing
         await harness.wait_until(lambda: len(feed.subscribed_sequences) == 3)
         assert feed.subscribed_sequences[-1] == 3
-        feed.send_line(b"5\n")  # so does a beat that is ahead
+        feed.send_line(b"5\n")  # a heartbeat that is ahead: events are missing, too
         await harness.wait_until(lambda: len(feed.subscribed_sequences) == 4)
 
     run_with_harness(scenario)
 
 
-def test_a_whole_list_stands_for_the_events_that_are_no_longer_kept() -> None:
-    """The feed keeps only its newest list: it was asked for what is gone, and the list stayed old."""
+def test_a_complete_list_replaces_events_that_the_feed_no_longer_has() -> None:
+    """The feed retains only its newest list. Guards against requesting lost events with an outdated list."""
 
     async def scenario(harness: Harness) -> None:
-        feed, node = harness.feed, harness.server
+        feed, server = harness.feed, harness.server
         await harness.wait_until(lambda: feed.writers)
         feed.send_event(9, [member("new", harness.compute_nodes[0].port)], complete=True)
-        await harness.wait_until(lambda: node.discovery.last_sequence == 9)
-        assert len(node.endpoints) == 1 and node.endpoints.address(b"new") is not None
-        feed.send_event(11, [member("other", 9)])  # of what is missing between two others, nothing tells
+        await harness.wait_until(lambda: server.discovery.last_sequence == 9)
+        assert len(server.endpoints) == 1 and server.endpoints.address(b"new") is not None
+        feed.send_event(11, [member("other", 9)])  # an incomplete list does not replace the missing event 10
         await harness.wait_until(lambda: len(feed.subscribed_sequences) == 2)
-        assert feed.subscribed_sequences == [1, 9] and len(node.endpoints) == 1
+        assert feed.subscribed_sequences == [1, 9] and len(server.endpoints) == 1
 
     run_with_harness(scenario)
 
 
-def test_a_new_address_goes_on_from_the_last_number(tmp_path: Path) -> None:
+def test_a_reloaded_feed_address_is_watched_from_the_last_event(tmp_path: Path) -> None:
     async def scenario(harness: Harness) -> None:
         await harness.wait_until(lambda: harness.feed.writers)
         harness.feed.send_event(2, [member("x", 9)])
         await harness.wait_until(lambda: harness.server.discovery.last_sequence == 2)
-        other = FeedServer()
-        await other.start()
+        other_feed = FeedServer()
+        await other_feed.start()
         path = tmp_path / "config.json"
         harness.server._path = path
         path.write_text("{ half")
-        harness.server.reload()  # unreadable: nothing changes
+        harness.server.reload()  # the file cannot be parsed, so nothing changes
         assert harness.server.discovery.address[1] == harness.feed.port
-        path.write_text(json.dumps(dispatcher_config(harness.compute_nodes, other.port)))
+        path.write_text(json.dumps(dispatcher_config(harness.compute_nodes, other_feed.port)))
         client = await harness.client()
-        asked = [client.call("ask", request_id(n)) for n in range(5)]
+        message_ids = [client.call("ask", request_id(number)) for number in range(5)]
         harness.server.reload()
-        await harness.wait_until(lambda: other.subscribed_sequences)
-        assert other.subscribed_sequences == [2]
-        for msgid in asked:
-            assert (await client.read_answer(msgid))[0] is None
-        other.close()
+        await harness.wait_until(lambda: other_feed.subscribed_sequences)
+        assert other_feed.subscribed_sequences == [2]
+        for message_id in message_ids:
+            assert (await client.read_answer(message_id))[0] is None
+        other_feed.close()
 
     run_with_harness(scenario)
 
 
-# --- a watch that dies, in every way ---
+# --- a watch whose connection fails or stalls ---
 
-CURRENT = 4.0  # seconds in which what the feed tells has to be known, however it fell silent
+MAX_DETECTION_DELAY = 4.0  # seconds within which an event must be received after the connection stalls
 
 
-async def moved_on(harness: Harness, n: int) -> None:
-    """Asked anew, the feed tells that the node drains: in time nothing new goes there."""
+async def check_watch_recovers(harness: Harness, sequence: int) -> None:
+    """Check that the watch reconnects in time and that a draining engine then gets no new requests."""
     feed = harness.feed
-    asked = len(feed.subscribed_sequences)
-    await harness.wait_until(lambda: len(feed.subscribed_sequences) > asked, CURRENT)
-    feed.send_event(n, [member("node-0", harness.compute_nodes[0].port, "draining")])
-    await harness.wait_until(lambda: harness.server.discovery.last_sequence == n, CURRENT)
-    before = len(harness.compute_nodes[0].commands(b"fetch"))
+    subscription_count = len(feed.subscribed_sequences)
+    await harness.wait_until(lambda: len(feed.subscribed_sequences) > subscription_count, MAX_DETECTION_DELAY)
+    feed.send_event(sequence, [member("node-0", harness.compute_nodes[0].port, "draining")])
+    await harness.wait_until(lambda: harness.server.discovery.last_sequence == sequence, MAX_DETECTION_DELAY)
+    fetch_count = len(harness.compute_nodes[0].commands(b"fetch"))
     client = await harness.client()
     assert (await client.read_answer(client.call("ask", REQUEST_ID)))[0] is None
-    assert len(harness.compute_nodes[0].commands(b"fetch")) == before and harness.compute_nodes[1].commands(
-        b"fetch"
-    )
+    assert len(harness.compute_nodes[0].commands(b"fetch")) == fetch_count and harness.compute_nodes[
+        1
+    ].commands(b"fetch")
 
 
-def repeating(harness: Harness, line: bytes, every: float) -> None:
-    """The connection that is open now goes on saying this and nothing else."""
-    loop, writer = asyncio.get_running_loop(), harness.feed.writers[-1]
+def write_repeatedly(harness: Harness, line: bytes, interval: float) -> None:
+    """Write only this line, repeatedly, on the feed connection that is open now."""
+    event_loop, writer = asyncio.get_running_loop(), harness.feed.writers[-1]
 
-    def say() -> None:
+    def write_line() -> None:
         if not writer.is_closing():
             writer.write(line)
-            loop.call_later(every, say)
+            event_loop.call_later(interval, write_line)
 
-    say()
+    write_line()
 
 
 @pytest.mark.parametrize(
-    ("line", "every"),
+    ("line", "interval"),
     [
         (b"", 0.5),
         (b"2\n", 0.3),
@@ -154,7 +154,7 @@
         (b'{"n":4}\n', 0.3),
     ],
     ids=[
-        "says nothing",
+        "no lines",
         "an old number",
         "an old number as an object",
         "an old event",
@@ -164,45 +164,45 @@
         "a number ahead as an object",
     ],
 )
-def test_a_watch_that_tells_nothing_new_is_not_taken_for_alive(line: bytes, every: float) -> None:
-    """A feed that answered with old numbers or old events alone was followed for ever."""
+def test_the_watch_reconnects_when_the_feed_sends_no_current_line(line: bytes, interval: float) -> None:
+    """Guards against following forever a feed that sends only old numbers or old events."""
 
     async def scenario(harness: Harness) -> None:
         await harness.wait_until(lambda: harness.feed.writers)
-        for n in (2, 3):
-            harness.feed.send_event(n, [member("late", 9, "removed")])
+        for sequence in (2, 3):
+            harness.feed.send_event(sequence, [member("late", 9, "removed")])
         await harness.wait_until(lambda: harness.server.discovery.last_sequence == 3)
-        repeating(harness, line, every)
-        await moved_on(harness, 4)
+        write_repeatedly(harness, line, interval)
+        await check_watch_recovers(harness, 4)
 
     run_with_harness(scenario, answer_fetches, answer_fetches)
 
 
 @pytest.mark.parametrize("line", [b"1\n", b'{"n":1}\n'], ids=["bare", "as an object"])
-def test_the_last_number_each_second_is_word_of_now(line: bytes) -> None:
-    """Guards against asking a feed anew that is well and has nothing to tell."""
+def test_heartbeats_with_the_last_number_keep_the_connection(line: bytes) -> None:
+    """Guards against reconnecting to a healthy feed that has no new events."""
 
     async def scenario(harness: Harness) -> None:
         await harness.wait_until(lambda: harness.feed.writers)
-        repeating(harness, line, 0.5)
+        write_repeatedly(harness, line, 0.5)
         await asyncio.sleep(2.5)
         assert len(harness.feed.subscribed_sequences) == 1
 
     run_with_harness(scenario)
 
 
-def test_an_event_whose_handling_fails_does_not_end_the_watch() -> None:
-    """The task that follows the feed ended with it, and the list stayed as it was for good."""
+def test_an_exception_in_handling_an_event_does_not_end_the_watch() -> None:
+    """Guards against an end of the watch task, after which the endpoint list never changed again."""
 
     async def scenario(harness: Harness) -> None:
         await harness.wait_until(lambda: harness.feed.writers)
-        fleet, take = harness.server.endpoints, harness.server.endpoints.apply
+        endpoints, apply = harness.server.endpoints, harness.server.endpoints.apply
 
-        def fails(event: object) -> None:
-            fleet.apply = take  # type: ignore[method-assign]
-            raise RuntimeError("a fault in the handling")
+        def fail_once(event: object) -> None:
+            endpoints.apply = apply  # type: ignore[method-assign]
+            raise RuntimeError("injected failure")
 
-        fleet.apply = fails  # type: ignore[method-assign, assignment]
+        endpoints.apply = fail_once  # type: ignore[method-assign, assignment]
         harness.feed.send_event(2, [member("x", 9)])
         harness.feed.send_event(3, [member("node-0", harness.compute_nodes[0].port, "draining")])
         await harness.wait_until(lambda: harness.server.discovery.last_sequence == 3, 1.0)
@@ -213,27 +213,29 @@
     run_with_harness(scenario, answer_fetches, answer_fetches)
 
 
-def test_a_fault_in_the_watch_itself_begins_another() -> None:
+def test_the_watch_reconnects_after_an_exception_of_its_own() -> None:
     async def scenario(harness: Harness) -> None:
         await harness.wait_until(lambda: harness.feed.writers)
-        feed, take = harness.server.discovery, harness.server.discovery._on_line
+        discovery, on_line = harness.server.discovery, harness.server.discovery._on_line
 
-        def fails(line: bytes) -> bool:
-            feed._on_line = take  # type: ignore[method-assign]
-            raise RuntimeError("a fault in the watch")
+        def fail_once(line: bytes) -> bool:
+            discovery._on_line = on_line  # type: ignore[method-assign]
+            raise RuntimeError("injected failure")
 
-        feed._on_line = fails  # type: ignore[method-assign]
+        discovery._on_line = fail_once  # type: ignore[method-assign]
         harness.feed.send_line(b"1\n1\n")
-        await moved_on(harness, 2)
+        await check_watch_recovers(harness, 2)
 
     run_with_harness(scenario, answer_fetches, answer_fetches)
 
 
-def test_a_figure_that_no_clock_has_leaves_out_its_member_alone() -> None:
+def test_a_member_with_an_out_of_range_start_time_does_not_affect_other_members() -> None:
     async def scenario(harness: Harness) -> None:
         await harness.wait_until(lambda: harness.feed.writers)
-        odd = member("odd", 9, up_since_ms=1e308) | {"size": 1.0}
-        harness.feed.send_event(2, [odd, member("node-0", harness.compute_nodes[0].port, "draining")])
+        invalid_member = member("odd", 9, up_since_ms=1e308) | {"size": 1.0}
+        harness.feed.send_event(
+            2, [invalid_member, member("node-0", harness.compute_nodes[0].port, "draining")]
+        )
         await harness.wait_until(lambda: harness.server.discovery.last_sequence == 2)
         entry = harness.server.dispatcher._engines[b"node-0"]
         assert entry.state.name == "DRAINING"
@@ -241,22 +243,26 @@
     run_with_harness(scenario, answer_fetches, answer_fetches)
 
 
-def test_a_watch_that_breaks_after_each_event_loses_none() -> None:
+def test_no_event_is_lost_when_the_connection_breaks_after_each_event() -> None:
     async def scenario(harness: Harness) -> None:
         feed = harness.feed
-        for n in range(2, 12):
-            await harness.wait_until(lambda n=n: len(feed.subscribed_sequences) == n - 1, 2.0)  # type: ignore[misc]
-            assert feed.subscribed_sequences[-1] == n - 1
-            feed.send_event(n, [member(f"late-{n}", 9)])
-            await harness.wait_until(lambda n=n: harness.server.discovery.last_sequence == n, 1.0)  # type: ignore[misc]
+        for sequence in range(2, 12):
+            await harness.wait_until(
+                lambda sequence=sequence: len(feed.subscribed_sequences) == sequence - 1, 2.0
+            )  # type: ignore[misc]
+            assert feed.subscribed_sequences[-1] == sequence - 1
+            feed.send_event(sequence, [member(f"late-{sequence}", 9)])
+            await harness.wait_until(
+                lambda sequence=sequence: harness.server.discovery.last_sequence == sequence, 1.0
+            )  # type: ignore[misc]
             feed.writers[-1].close()
         assert len(harness.server.endpoints) == 11
 
     run_with_harness(scenario)
 
 
-def test_a_watch_that_breaks_at_once_is_not_asked_without_a_pause() -> None:
-    """Guards against two hundred dispatchers that come back to a feed in trouble as fast as they can."""
+def test_reconnects_to_a_feed_that_closes_at_once_are_delayed() -> None:
+    """Guards against two hundred gateways that reconnect to an overloaded feed without a pause."""
 
     async def scenario(harness: Harness) -> None:
         feed = harness.feed
@@ -269,58 +275,63 @@
     run_with_harness(scenario)
 
 
-def test_all_nodes_drain_at_once_and_each_request_has_its_answer() -> None:
+def test_requests_are_rejected_while_all_engines_drain() -> None:
     async def scenario(harness: Harness) -> None:
         await harness.wait_until(lambda: harness.feed.writers)
-        gone = [
-            member(f"node-{n}", compute.port, "draining") for n, compute in enumerate(harness.compute_nodes)
+        draining = [
+            member(f"node-{number}", compute_node.port, "draining")
+            for number, compute_node in enumerate(harness.compute_nodes)
         ]
-        harness.feed.send_event(2, gone)
+        harness.feed.send_event(2, draining)
         await harness.wait_until(lambda: harness.server.discovery.last_sequence == 2)
         client = await harness.client()
-        ids = [client.call(cls, request_id(n), budget="900") for n, cls in enumerate(("ask", "frail"))]
-        for msgid in ids:
-            assert (await client.read_answer(msgid, 1.0))[0][0] == "Shed"  # nothing ran: it may come again
-        assert not any(compute.commands(b"fetch") for compute in harness.compute_nodes)
+        message_ids = [
+            client.call(query_class, request_id(number), budget="900")
+            for number, query_class in enumerate(("ask", "frail"))
+        ]
+        for message_id in message_ids:
+            # No attempt was made, so the client may retry.
+            assert (await client.read_answer(message_id, 1.0))[0][0] == "Shed"
+        assert not any(compute_node.commands(b"fetch") for compute_node in harness.compute_nodes)
         harness.feed.send_event(3, [member("node-0", harness.compute_nodes[0].port)])
         assert (await client.read_answer(client.call("ask", request_id(9))))[0] is None
 
     run_with_harness(scenario, answer_fetches, answer_fetches)
 
 
-def test_the_feed_moves_while_the_old_one_is_silent(tmp_path: Path) -> None:
-    """SIGHUP, and a drain told right after: nothing new goes to the node that drains."""
+def test_a_reload_changes_the_feed_while_the_old_one_is_silent(tmp_path: Path) -> None:
+    """A drain that the new feed reports just after SIGHUP takes effect: the engine gets no new requests."""
 
     async def scenario(harness: Harness) -> None:
         await harness.wait_until(lambda: harness.feed.writers)
-        other = FeedServer()
-        await other.start()
+        other_feed = FeedServer()
+        await other_feed.start()
         harness.server._path = tmp_path / "config.json"
-        harness.server._path.write_text(json.dumps(dispatcher_config(harness.compute_nodes, other.port)))
-        loop = asyncio.get_running_loop()
-        began = loop.time()
+        harness.server._path.write_text(json.dumps(dispatcher_config(harness.compute_nodes, other_feed.port)))
+        event_loop = asyncio.get_running_loop()
+        started_at = event_loop.time()
         harness.server.reload()
-        await harness.wait_until(lambda: other.subscribed_sequences, 0.5)
-        other.send_event(2, [member("node-0", harness.compute_nodes[0].port, "draining")])
+        await harness.wait_until(lambda: other_feed.subscribed_sequences, 0.5)
+        other_feed.send_event(2, [member("node-0", harness.compute_nodes[0].port, "draining")])
         await harness.wait_until(lambda: harness.server.discovery.last_sequence == 2, 0.5)
-        assert loop.time() < began + 0.5
+        assert event_loop.time() < started_at + 0.5
         client = await harness.client()
         assert (await client.read_answer(client.call("ask", REQUEST_ID)))[0] is None
         assert not harness.compute_nodes[0].commands(b"fetch")
-        other.close()
+        other_feed.close()
 
     run_with_harness(scenario, answer_fetches, answer_fetches)
 
 
-def test_anothers_configuration_is_not_taken(tmp_path: Path) -> None:
-    """Guards against another customer's file in this place: its feed would drain or name a foreign fleet."""
+def test_the_configuration_of_another_gateway_is_not_applied(tmp_path: Path) -> None:
+    """Guards against another customer's file at this path, whose feed would list or drain a foreign fleet."""
 
     async def scenario(harness: Harness) -> None:
         await harness.wait_until(lambda: harness.feed.writers)
-        other = FeedServer()
-        await other.start()
+        other_feed = FeedServer()
+        await other_feed.start()
         harness.server._path = tmp_path / "config.json"
-        harness.server._path.write_text(json.dumps(dispatcher_config([], other.port, name="theirs")))
+        harness.server._path.write_text(json.dumps(dispatcher_config([], other_feed.port, name="theirs")))
         harness.server.reload()
         assert harness.server.discovery.address[1] == harness.feed.port
         changed = dispatcher_config(
@@ -335,6 +346,6 @@
         assert harness.server.dispatcher.settings.gateway_count == 1
         client = await harness.client()
         assert (await client.read_answer(client.call("ask", REQUEST_ID)))[0] is None
-        other.close()
+        other_feed.close()
 
     run_with_harness(scenario)
--- a/tests/node/test_interleavings.py
+++ b/tests/node/test_interleavings.py
@@ -1,4 +1,4 @@
-"""A whole node on real sockets under drawn interleavings: what holds, whatever crosses what."""
+"""Invariants of a whole gateway on real sockets under random interleavings of events."""
 
 from __future__ import annotations
 
@@ -19,155 +19,161 @@
 from .support import SyncClient, encode_call, request_id, run_with_harness
 
 CLASSES = ("ask", "load", "frail")
-GONE_WITHIN = 0.1  # seconds after its client's going in which an attempt may still leave
-RUNNING = 1.2  # seconds of traffic
+MAX_SEND_DELAY = 0.1  # seconds after a client's disconnection in which an attempt may still be sent
+TRAFFIC_DURATION = 1.2  # seconds of traffic
 
 
-class Nodes:
-    """What the compute nodes do, drawn for each fetch; how often each came, and surely did not run."""
+class RandomEngines:
+    """Engines with a random reaction to each fetch. Counts fetches and refused fetches by request id."""
 
     def __init__(self, random: Random) -> None:
         self.random = random
-        self.fetched: dict[bytes, int] = {}
-        self.turned_away: dict[bytes, int] = {}
+        self.fetch_counts: dict[bytes, int] = {}
+        self.refused_counts: dict[bytes, int] = {}
 
-    async def script(self, peer: ComputeNodeConnection, words: list[bytes]) -> None:
-        if words[0] != b"fetch":
+    async def script(self, node_connection: ComputeNodeConnection, command: list[bytes]) -> None:
+        if command[0] != b"fetch":
             return
-        name, loop = words[1], asyncio.get_running_loop()
-        self.fetched[name] = self.fetched.get(name, 0) + 1
-        done = encode_command(name, b"DONE", b"sheets=1,toil=5,room=7", ROWS)
-        drawn = self.random.random()
-        if drawn < 0.45:
-            loop.call_later(self.random.choice((0.0, 0.0, 0.02, 0.3)), peer.send_result, name)
-        elif drawn < 0.6:
-            self.turned_away[name] = self.turned_away.get(name, 0) + 1
-            peer.send(name, b"WAIT", b"-", b"")
-        elif drawn < 0.68:
-            peer.send(name, b"BROKE", b"-", b"")
-        elif drawn < 0.76:
-            peer.send_raw(done + done)  # a second one
-        elif drawn < 0.82:
-            peer.send_raw(done[: self.random.randrange(1, len(done))])
-            with contextlib.suppress(OSError):  # it has gone meanwhile
-                peer.writer.transport.get_extra_info("socket").shutdown(socket.SHUT_WR)
-        elif drawn < 0.88:
-            peer.abort()
-        elif drawn < 0.92:
-            peer.send_raw(done[:-5] + b"\xff\xff\xff\r\n")
-        # else it says nothing
-
-
-class Clients:
-    """Clients that ask, take back, stop in the middle, close and reset, at drawn moments."""
+        fetched_id, event_loop = command[1], asyncio.get_running_loop()
+        self.fetch_counts[fetched_id] = self.fetch_counts.get(fetched_id, 0) + 1
+        done = encode_command(fetched_id, b"DONE", b"sheets=1,toil=5,room=7", ROWS)
+        choice = self.random.random()
+        if choice < 0.45:
+            event_loop.call_later(
+                self.random.choice((0.0, 0.0, 0.02, 0.3)), node_connection.send_result, fetched_id
+            )
+        elif choice < 0.6:
+            self.refused_counts[fetched_id] = self.refused_counts.get(fetched_id, 0) + 1
+            node_connection.send(fetched_id, b"WAIT", b"-", b"")
+        elif choice < 0.68:
+            node_connection.send(fetched_id, b"BROKE", b"-", b"")
+        elif choice < 0.76:
+            node_connection.send_raw(done + done)  # a duplicate response
+        elif choice < 0.82:
+            node_connection.send_raw(done[: self.random.randrange(1, len(done))])
+            with contextlib.suppress(OSError):  # the gateway has closed the connection meanwhile
+                node_connection.writer.transport.get_extra_info("socket").shutdown(socket.SHUT_WR)
+        elif choice < 0.88:
+            node_connection.abort()
+        elif choice < 0.92:
+            node_connection.send_raw(done[:-5] + b"\xff\xff\xff\r\n")
+        # else no response
+
+
+class RandomClients:
+    """Connections that send, cancel, pause within a message, close and reset at random times."""
 
     def __init__(self, harness: Harness, random: Random) -> None:
-        self.harness, self.random, self.asked = harness, random, 0
-        self.left: dict[bytes, float] = {}  # when the client of a request had gone, by the request's id
-        self.stayed: list[tuple[Client, list[int]]] = []
-        self.unsafe: list[bytes] = []
-
-    def _call(self, msgid: int) -> tuple[bytes, bytes]:
-        self.asked += 1
-        name, cls = request_id(self.asked), self.random.choice(CLASSES)
-        if cls == "frail":
-            self.unsafe.append(name.encode())
-        more = {"token": f"t{self.asked}"} if cls == "load" else {}
+        self.harness, self.random, self.request_count = harness, random, 0
+        self.ended_at: dict[bytes, float] = {}  # when the client disconnected or cancelled, by request id
+        self.persistent_clients: list[tuple[Client, list[int]]] = []
+        self.unsafe_request_ids: list[bytes] = []
+
+    def _call(self, message_id: int) -> tuple[bytes, bytes]:
+        self.request_count += 1
+        id_text, query_class = request_id(self.request_count), self.random.choice(CLASSES)
+        if query_class == "frail":
+            self.unsafe_request_ids.append(id_text.encode())
+        fields = {"token": f"t{self.request_count}"} if query_class == "load" else {}
         budget = str(self.random.choice((300, 900, 2000)))
-        return name.encode(), encode_call(msgid, cls, rid=name, budget=budget, **more)
+        return id_text.encode(), encode_call(message_id, query_class, rid=id_text, budget=budget, **fields)
 
-    async def one(self) -> None:
-        loop, random = asyncio.get_running_loop(), self.random
-        if random.random() < 0.3:  # a usual one, that stays until the end
-            client, ids = await self.harness.client(), []
-            self.stayed.append((client, ids))
+    async def run_client(self) -> None:
+        event_loop, random = asyncio.get_running_loop(), self.random
+        if random.random() < 0.3:  # a regular client that stays connected until the end
+            client, message_ids = await self.harness.client(), []
+            self.persistent_clients.append((client, message_ids))
             for _ in range(random.randrange(1, 4)):
                 await asyncio.sleep(random.uniform(0.0, 0.2))
-                name, data = self._call(len(ids) + 1)
-                ids.append(len(ids) + 1)
+                encoded_id, data = self._call(len(message_ids) + 1)
+                message_ids.append(len(message_ids) + 1)
                 client.send_raw(data)
             return
         client = SyncClient(self.harness.server.downstream.port)
-        calls = [self._call(n) for n in range(1, random.randrange(2, 5))]
-        for n, (name, data) in enumerate(calls, 1):
-            cut = random.randrange(len(data))
-            with contextlib.suppress(OSError):  # the node may have ended it
-                client.send(data[:cut])
+        calls = [self._call(message_id) for message_id in range(1, random.randrange(2, 5))]
+        for message_id, (encoded_id, data) in enumerate(calls, 1):
+            split_at = random.randrange(len(data))
+            with contextlib.suppress(OSError):  # the gateway may have closed the connection
+                client.send(data[:split_at])
                 await asyncio.sleep(random.choice((0.0, 0.0, 0.02)))
-                client.send(data[cut:])
+                client.send(data[split_at:])
                 await asyncio.sleep(random.choice((0.0, 0.0, 0.03, 0.2)))
                 if random.random() < 0.4:
-                    client.send(msgspec.msgpack.encode([2, "forget", [n]]))
-                    self.left[name] = loop.time()  # after the send: it is there
+                    client.send(msgspec.msgpack.encode([2, "forget", [message_id]]))
+                    # The time is taken after the send, when the cancellation has arrived.
+                    self.ended_at[encoded_id] = event_loop.time()
         (client.reset if random.random() < 0.5 else client.close)()
-        for name, _ in calls:
-            self.left.setdefault(name, loop.time())
+        for encoded_id, _ in calls:
+            self.ended_at.setdefault(encoded_id, event_loop.time())
 
     async def run(self) -> None:
-        loop, running = asyncio.get_running_loop(), []
-        until = loop.time() + RUNNING
-        while loop.time() < until:
-            running.append(asyncio.create_task(self.one()))
+        event_loop, tasks = asyncio.get_running_loop(), []
+        end_at = event_loop.time() + TRAFFIC_DURATION
+        while event_loop.time() < end_at:
+            tasks.append(asyncio.create_task(self.run_client()))
             await asyncio.sleep(self.random.uniform(0.0, 0.05))
-        await asyncio.gather(*running)
+        await asyncio.gather(*tasks)
 
 
-async def lists(harness: Harness, random: Random) -> None:
-    """Nodes drain, go and come back; the feed breaks."""
+async def change_endpoints(harness: Harness, random: Random) -> None:
+    """Drain, remove and list engines again, and break the feed connection, at random times."""
     await harness.wait_until(lambda: harness.feed.writers)
-    for n in range(2, 8):
+    for sequence in range(2, 8):
         await asyncio.sleep(random.uniform(0.05, 0.25))
-        which = random.randrange(len(harness.compute_nodes))
+        index = random.randrange(len(harness.compute_nodes))
         phase = random.choice(("up", "draining", "removed", "up"))
-        harness.feed.send_event(n, [member(f"node-{which}", harness.compute_nodes[which].port, phase)])
+        harness.feed.send_event(sequence, [member(f"node-{index}", harness.compute_nodes[index].port, phase)])
         if random.random() < 0.2:
-            asked = len(harness.feed.subscribed_sequences)
+            subscription_count = len(harness.feed.subscribed_sequences)
             harness.feed.writers[-1].close()
-            while len(harness.feed.subscribed_sequences) == asked:
+            while len(harness.feed.subscribed_sequences) == subscription_count:
                 await asyncio.sleep(0.01)
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_whatever_crosses_what(seed: int) -> None:
-    """One answer each, nothing for a client that has gone, nothing unsafe twice, nothing left behind."""
+def test_random_interleavings_keep_the_invariants(seed: int) -> None:
+    """One reply each, no attempt after a disconnection, no unsafe request run twice, and no state left."""
     random = Random(f"interleavings {seed}")
-    nodes = Nodes(random)
-    faults: list[Any] = []
-    sent: list[Any] = []
+    engines = RandomEngines(random)
+    exceptions: list[Any] = []
+    attempts: list[Any] = []
 
     async def scenario(harness: Harness) -> None:
-        loop = asyncio.get_running_loop()
-        loop.set_exception_handler(lambda _, context: faults.append(context))
-        clients, upstream = Clients(harness, random), harness.server.upstream
-        start = upstream.create_attempt
+        event_loop = asyncio.get_running_loop()
+        event_loop.set_exception_handler(lambda _, context: exceptions.append(context))
+        clients, upstream = RandomClients(harness, random), harness.server.upstream
+        create_attempt = upstream.create_attempt
 
-        def kept(*told: Any) -> Any:
-            sent.append(start(*told))
-            return sent[-1]
+        def create_and_record(*arguments: Any) -> Any:
+            attempts.append(create_attempt(*arguments))
+            return attempts[-1]
 
-        upstream.create_attempt = kept  # type: ignore[method-assign]
+        upstream.create_attempt = create_and_record  # type: ignore[method-assign]
         with structlog.testing.capture_logs() as logs:
-            changing = asyncio.create_task(lists(harness, random))
+            changes = asyncio.create_task(change_endpoints(harness, random))
             await clients.run()
             harness.server.stop()
-            for client, ids in clients.stayed:
-                for msgid in ids:
-                    await client.read_answer(msgid)  # a second one fails there
+            for client, message_ids in clients.persistent_clients:
+                for message_id in message_ids:
+                    await client.read_answer(message_id)  # raises an error for a second reply
             async with asyncio.timeout(6.0):
                 await harness.server.run()
-            changing.cancel()
-            await asyncio.gather(changing, return_exceptions=True)
+            changes.cancel()
+            await asyncio.gather(changes, return_exceptions=True)
             await asyncio.sleep(0)
-        assert not faults and not [one for one in logs if one["log_level"] in ("error", "critical")]
+        assert not exceptions and not [entry for entry in logs if entry["log_level"] in ("error", "critical")]
         assert not any(harness.table_sizes().values()) and not harness.server.downstream.clients
-        for sending in sent:  # when it left, not when it came: what reads it here may be late
-            assert sending.sent_at <= clients.left.get(sending.statement.request_id, math.inf) + GONE_WITHIN
-        for name in clients.unsafe:
-            assert nodes.fetched.get(name, 0) <= 1 + nodes.turned_away.get(name, 0)
+        for attempt in attempts:  # the time of sending, because the stand-in engine may read late
+            assert (
+                attempt.sent_at
+                <= clients.ended_at.get(attempt.statement.request_id, math.inf) + MAX_SEND_DELAY
+            )
+        for unsafe_id in clients.unsafe_request_ids:
+            assert engines.fetch_counts.get(unsafe_id, 0) <= 1 + engines.refused_counts.get(unsafe_id, 0)
 
-    run_with_harness(scenario, *[nodes.script] * 3, settings=SETTINGS)
+    run_with_harness(scenario, *[engines.script] * 3, settings=SETTINGS)
 
 
-def test_the_settings_that_these_are_drawn_for() -> None:
-    """Each kind of effect is among the classes, or the interleavings would show nothing of it."""
-    assert [one["effect"] for one in SETTINGS["services"]] == ["retryable", "dedup", "fragile"]
+def test_the_settings_have_a_class_of_each_effect() -> None:
+    """The interleavings cover a kind of effect only if one of the classes has it."""
+    assert [service["effect"] for service in SETTINGS["services"]] == ["retryable", "dedup", "fragile"]
--- a/tests/node/test_ordinary.py
+++ b/tests/node/test_ordinary.py
@@ -1,4 +1,4 @@
-"""A request on its way through one node."""
+"""Requests, cancellations and health checks on one gateway in normal operation."""
 
 from __future__ import annotations
 
@@ -19,27 +19,27 @@
 def test_a_request_is_served() -> None:
     async def scenario(harness: Harness) -> None:
         client = await harness.client()
-        msgid = client.call("ask", REQUEST_ID, b"SELECT 1 FROM s_3.t", est="820.0", memory="96")
-        assert await client.read_answer(msgid) == (None, [ROWS, {}])
-        verb, name, fields, body = harness.compute_nodes[0].received_commands[0]
-        assert (verb, name, body) == (b"fetch", REQUEST_ID.encode(), b"SELECT 1 FROM s_3.t")
-        told = dict(part.split(b"=") for part in fields.split(b","))
-        assert told[b"c"] == b"ask" and 0 < int(told[b"w"]) <= 3000 and b"i" not in told
+        message_id = client.call("ask", REQUEST_ID, b"SELECT 1 FROM s_3.t", est="820.0", memory="96")
+        assert await client.read_answer(message_id) == (None, [ROWS, {}])
+        verb, fetched_id, fields, body = harness.compute_nodes[0].received_commands[0]
+        assert (verb, fetched_id, body) == (b"fetch", REQUEST_ID.encode(), b"SELECT 1 FROM s_3.t")
+        values = dict(part.split(b"=") for part in fields.split(b","))
+        assert values[b"c"] == b"ask" and 0 < int(values[b"w"]) <= 3000 and b"i" not in values
         await harness.wait_until(lambda: not any(harness.table_sizes().values()))
 
     run_with_harness(scenario)
 
 
-def test_pages_are_joined_in_order_and_given_back() -> None:
-    pages = [b"%d\tx\ty\n" % n for n in range(20)]
+def test_pages_are_joined_in_order_and_released() -> None:
+    pages = [b"%d\tx\ty\n" % page_index for page_index in range(20)]
 
-    async def script(peer: ComputeNodeConnection, words: list[bytes]) -> None:
-        if words[0] == b"fetch":
-            peer.send_result(words[1], pages[0], 20)
-        elif words[0] == b"more":
-            n = int(words[2])
-            peer.send(words[1], b"MORE", b"sheet=%d" % n, pages[n])
-            peer.send(words[1], b"MORE", b"sheet=%d" % n, b"a second copy\t\t\n")
+    async def script(node_connection: ComputeNodeConnection, command: list[bytes]) -> None:
+        if command[0] == b"fetch":
+            node_connection.send_result(command[1], pages[0], 20)
+        elif command[0] == b"more":
+            page_index = int(command[2])
+            node_connection.send(command[1], b"MORE", b"sheet=%d" % page_index, pages[page_index])
+            node_connection.send(command[1], b"MORE", b"sheet=%d" % page_index, b"a second copy\t\t\n")
 
     async def scenario(harness: Harness) -> None:
         client = await harness.client()
@@ -50,76 +50,83 @@
     run_with_harness(scenario, script)
 
 
-def test_a_lost_page_is_asked_for_again_and_nothing_runs_twice() -> None:
-    """Guards against one page lost on a living connection: the request waited for its limit, or ran again."""
-    lost: list[bytes] = []
+def test_a_lost_page_is_requested_again_without_a_second_execution() -> None:
+    """Guards against one lost page on an open connection: the request timed out or was executed again."""
+    lost_pages: list[bytes] = []
 
-    async def script(peer: ComputeNodeConnection, words: list[bytes]) -> None:
-        if words[0] == b"fetch":
-            peer.send_result(words[1], ROWS, 4)
-        elif words[0] == b"more" and words[2] == b"2" and len(lost) < 2:
-            lost.append(words[2])
-        elif words[0] == b"more":
-            peer.send(words[1], b"MORE", b"sheet=" + words[2], ROWS)
+    async def script(node_connection: ComputeNodeConnection, command: list[bytes]) -> None:
+        if command[0] == b"fetch":
+            node_connection.send_result(command[1], ROWS, 4)
+        elif command[0] == b"more" and command[2] == b"2" and len(lost_pages) < 2:
+            lost_pages.append(command[2])
+        elif command[0] == b"more":
+            node_connection.send(command[1], b"MORE", b"sheet=" + command[2], ROWS)
 
     async def scenario(harness: Harness) -> None:
-        told = record_outcomes(harness)
+        recorded = record_outcomes(harness)
         client = await harness.client()
         assert await client.read_answer(client.call("ask", REQUEST_ID)) == (None, [ROWS * 4, {}])
-        assert told == [Outcome.OK] and len(lost) == 2
+        assert recorded == [Outcome.OK] and len(lost_pages) == 2
         assert len(harness.compute_nodes[0].commands(b"fetch")) == 1
 
     run_with_harness(scenario, script)
 
 
-def test_answers_come_in_any_order_and_keys_go_along() -> None:
+def test_results_may_arrive_in_any_order_and_keys_are_forwarded() -> None:
     waiting: list[tuple[ComputeNodeConnection, bytes]] = []
 
-    async def script(peer: ComputeNodeConnection, words: list[bytes]) -> None:
-        waiting.append((peer, words[1]))
+    async def script(node_connection: ComputeNodeConnection, command: list[bytes]) -> None:
+        waiting.append((node_connection, command[1]))
         if len(waiting) == 3:
-            for one, name in reversed(waiting):
-                one.send_result(name, name + b"\t\t\n")
+            for waiting_peer, fetched_id in reversed(waiting):
+                waiting_peer.send_result(fetched_id, fetched_id + b"\t\t\n")
 
     async def scenario(harness: Harness) -> None:
         client = await harness.client()
-        ids = [client.call("ask", request_id(n)) for n in range(2)]
-        ids.append(client.call("load", request_id(2), token="5c0f6e1a2b3d4c59", obj="7f3a9c21e0b4d655"))
-        for n, msgid in enumerate(ids):
-            assert await client.read_answer(msgid) == (None, [request_id(n).encode() + b"\t\t\n", {}])
+        message_ids = [client.call("ask", request_id(number)) for number in range(2)]
+        message_ids.append(
+            client.call("load", request_id(2), token="5c0f6e1a2b3d4c59", obj="7f3a9c21e0b4d655")
+        )
+        for number, message_id in enumerate(message_ids):
+            assert await client.read_answer(message_id) == (
+                None,
+                [request_id(number).encode() + b"\t\t\n", {}],
+            )
         assert b"i=5c0f6e1a2b3d4c59" in harness.compute_nodes[0].commands(b"fetch")[2][2]
 
     run_with_harness(scenario, script)
 
 
-def test_requests_of_one_key_run_one_after_the_other_over_two_connections() -> None:
+def test_requests_with_one_ordering_key_run_sequentially_over_two_connections() -> None:
     running: list[bytes] = []
     order: list[bytes] = []
 
-    async def script(peer: ComputeNodeConnection, words: list[bytes]) -> None:
-        assert not running, "two at once"
-        running.append(words[1])
-        order.append(words[1])
+    async def script(node_connection: ComputeNodeConnection, command: list[bytes]) -> None:
+        assert not running, "two requests are running"
+        running.append(command[1])
+        order.append(command[1])
         await asyncio.sleep(0.02)
         running.clear()
-        peer.send_result(words[1])
+        node_connection.send_result(command[1])
 
     async def scenario(harness: Harness) -> None:
-        one, two = await harness.client(), await harness.client()
+        first, second = await harness.client(), await harness.client()
         key = {"token": "5c0f6e1a2b3d4c59", "obj": "7f3a9c21e0b4d655"}
-        asked = []
-        for n in range(4):
-            client = (one, two)[n % 2]
-            asked.append((client, client.call("load", request_id(n), **key)))
-            await harness.wait_until(lambda n=n: harness.server.downstream.request_count == n + 1)  # type: ignore[misc]
-        for client, msgid in asked:
-            assert (await client.read_answer(msgid))[0] is None
-        assert order == [request_id(n).encode() for n in range(4)]
+        sent = []
+        for number in range(4):
+            client = (first, second)[number % 2]
+            sent.append((client, client.call("load", request_id(number), **key)))
+            await harness.wait_until(
+                lambda number=number: harness.server.downstream.request_count == number + 1
+            )  # type: ignore[misc]
+        for client, message_id in sent:
+            assert (await client.read_answer(message_id))[0] is None
+        assert order == [request_id(number).encode() for number in range(4)]
 
     run_with_harness(scenario, script)
 
 
-def test_is_well() -> None:
+def test_a_gateway_is_healthy_until_it_stops() -> None:
     async def scenario(harness: Harness) -> None:
         client = await harness.client()
         client.send_raw(msgspec.msgpack.encode([0, 1, "isWell", [{}]]))
@@ -131,7 +138,7 @@
     run_with_harness(scenario)
 
 
-def test_without_a_list_it_is_not_well() -> None:
+def test_a_gateway_without_an_endpoint_list_is_not_healthy() -> None:
     async def scenario(harness: Harness) -> None:
         client = await harness.client()
         client.send_raw(msgspec.msgpack.encode([0, 1, "isWell", [{}]]))
@@ -140,12 +147,12 @@
     run_with_harness(scenario, known={"n": 0, "events": []})
 
 
-def test_forget_takes_a_request_back() -> None:
+def test_forget_cancels_a_request() -> None:
     async def scenario(harness: Harness) -> None:
         client = await harness.client()
-        msgid = client.call("ask", REQUEST_ID)
+        message_id = client.call("ask", REQUEST_ID)
         await harness.wait_until(lambda: harness.compute_nodes[0].commands(b"fetch"))
-        client.send_raw(msgspec.msgpack.encode([2, "forget", [msgid, 99]]))
+        client.send_raw(msgspec.msgpack.encode([2, "forget", [message_id, 99]]))
         await harness.wait_until(lambda: harness.compute_nodes[0].commands(b"abort"))
         await harness.wait_until(lambda: not any(harness.table_sizes().values()))
         assert not client.answers
@@ -153,13 +160,13 @@
     run_with_harness(scenario, never_answer)
 
 
-def test_a_refusal_says_when_to_come_back() -> None:
-    async def full(peer: ComputeNodeConnection, words: list[bytes]) -> None:
-        peer.send(words[1], b"WAIT", b"-", b"")
+def test_a_rejection_has_a_retry_delay() -> None:
+    async def script(node_connection: ComputeNodeConnection, command: list[bytes]) -> None:
+        node_connection.send(command[1], b"WAIT", b"-", b"")
 
     async def scenario(harness: Harness) -> None:
         client = await harness.client()
         error, result = await client.read_answer(client.call("ask", REQUEST_ID))
         assert error[0] == "Shed" and 1 <= int(error[1]["backoff"]) <= 500 and result is None
 
-    run_with_harness(scenario, full)
+    run_with_harness(scenario, script)
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The wire: frames in and out against the documented layouts, bad input, kill and rebirth."""
+"""The simulator's wire protocol: documented layouts, invalid input, and stopped and restarted instances."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 import pytest
 
 from saffronlane import interface as api
-from saffronlane.simulator import adapter as benchlink
+from saffronlane.simulator import adapter
 
 ROOT = Path(__file__).parent.parent
-PARAMS = """domainType=queries
+SETTINGS_LINES = """domainType=queries
 unknown.setting=whatever
 fleetSize=2
 kinds=a,b
@@ -38,7 +38,7 @@
 services.1.zonesOpen=y
 services.1.sequential=true
 """
-NODE = bytes.fromhex("0a124a071f93")
+ENGINE = bytes.fromhex("0a124a071f93")
 
 
 def record(layout: str, *values: object) -> bytes:
@@ -50,10 +50,12 @@
     return struct.pack(">IId", len(body) + 12, len(records), now) + body
 
 
-def birth(instance: int = 3, params: str = PARAMS, mode: int = 3) -> tuple[list[bytes], bytes]:
+def instance_start(
+    instance: int = 3, settings_lines: str = SETTINGS_LINES, mode: int = 3
+) -> tuple[list[bytes], bytes]:
     """The records that start an instance with one ready engine, and their tail."""
-    entry = struct.pack(">dBHH6sfB", 0.0, 0, 0, 0, NODE, 1.0, 1)
-    text = params.encode()
+    entry = struct.pack(">dBHH6sfB", 0.0, 0, 0, 0, ENGINE, 1.0, 1)
+    text = settings_lines.encode()
     return [
         record(">HHII", 1060, 0, 0, 1),
         record(">HIQII", 1100, instance, 99, len(entry), len(text)),
@@ -61,67 +63,67 @@
     ], entry + text
 
 
-def ask(instance: int = 3, corr: int = 0xCD1FC5D3A91C4) -> bytes:
+def arrival(instance: int = 3, request: int = 0xCD1FC5D3A91C4) -> bytes:
     fields = (0, 0, 0, 4.0, 0.1, 384.0, 11.0, 1)
-    return record(">HIQHIQddffB", 1090, instance, corr, *fields)
+    return record(">HIQHIQddffB", 1090, instance, request, *fields)
 
 
-def talk(data: bytes) -> list[tuple[list[bytes], bytes]]:
-    """Feed the adapter; returns the 32-byte records and the tail of each reply."""
+def run_batches(data: bytes) -> list[tuple[list[bytes], bytes]]:
+    """Serve batches and return the 32-byte records and the tail of each reply."""
     sink = io.BytesIO()
-    benchlink.serve(io.BytesIO(data), sink)
-    out, replies = sink.getvalue(), []
-    while out:
-        count, length = struct.unpack_from(">II", out)
-        body, out = out[8 : 8 + length], out[8 + length :]
+    adapter.serve(io.BytesIO(data), sink)
+    output, replies = sink.getvalue(), []
+    while output:
+        count, length = struct.unpack_from(">II", output)
+        body, output = output[8 : 8 + length], output[8 + length :]
         replies.append(([body[i * 32 : i * 32 + 32] for i in range(count)], body[count * 32 :]))
     return replies
 
 
-def codes(records: list[bytes]) -> list[int]:
+def action_codes(records: list[bytes]) -> list[int]:
     return [struct.unpack_from(">H", item)[0] for item in records]
 
 
-def test_empty_batch_gets_the_documented_reply() -> None:
+def test_an_empty_batch_gets_the_documented_reply() -> None:
     sink = io.BytesIO()
-    benchlink.serve(io.BytesIO(bytes.fromhex("0000000c000000004020d3126e978d50")), sink)
+    adapter.serve(io.BytesIO(bytes.fromhex("0000000c000000004020d3126e978d50")), sink)
     assert sink.getvalue() == bytes(8)
 
 
-def test_request_is_delivered_and_its_fields_stand_where_documented() -> None:
-    records, tail = birth()
-    (reply,) = talk(batch(8.0, [*records, ask()], tail))
-    (deliver,) = [item for item in reply[0] if item[:2] == b"\x04\x24"]
-    assert deliver[:14].hex() == "042400000003000cd1fc5d3a91c4"
-    (timeout,) = struct.unpack_from(">d", deliver, 14)
+def test_a_request_is_dispatched_in_the_documented_layout() -> None:
+    records, tail = instance_start()
+    (reply,) = run_batches(batch(8.0, [*records, arrival()], tail))
+    (dispatch,) = [item for item in reply[0] if item[:2] == b"\x04\x24"]
+    assert dispatch[:14].hex() == "042400000003000cd1fc5d3a91c4"
+    (timeout,) = struct.unpack_from(">d", dispatch, 14)
     assert 0.0 < timeout < 4.0
-    assert deliver[22:28] == NODE and deliver[28:] == bytes(4)
+    assert dispatch[22:28] == ENGINE and dispatch[28:] == bytes(4)
 
 
-def test_documented_event_bytes_are_read() -> None:
-    hexes = {
+def test_documented_event_bytes_are_decoded() -> None:
+    events = {
         "0406 00000003 000cd1fc5d3a91c4 0a124a07 1f93 3f82f1a9fbe76c8b 00": api.StreamStarted(
-            0xCD1FC5D3A91C4, 0, NODE, struct.unpack(">d", bytes.fromhex("3f82f1a9fbe76c8b"))[0]
+            0xCD1FC5D3A91C4, 0, ENGINE, struct.unpack(">d", bytes.fromhex("3f82f1a9fbe76c8b"))[0]
         ),
         "041a 00000003 000cd1fc5d3a91c4 00 0a124a07 1f93 01 3f000000": api.ProgressReport(
-            0xCD1FC5D3A91C4, 0, NODE, api.ProgressKind.PROGRESS, 0.5
+            0xCD1FC5D3A91C4, 0, ENGINE, api.ProgressKind.PROGRESS, 0.5
         ),
         "0456 00000003 000cd1fc5d3a91c4": api.ClientDisconnected(0xCD1FC5D3A91C4),
         "042e 00000003 000000000000004d": api.TimerFired(77),
     }
-    for text, expected in hexes.items():
+    for text, expected in events.items():
         data = bytes.fromhex(text.replace(" ", "")).ljust(56, b"\0")
         (code,) = struct.unpack_from(">H", data)
-        assert benchlink.EVENT_READERS[code](data, b"") == (3, expected)
+        assert adapter.EVENT_READERS[code](data, b"") == (3, expected)
 
 
-def test_documented_outcome_bytes_are_read() -> None:
+def test_documented_outcome_bytes_are_decoded() -> None:
     text = (
         "03fc 00000003 000cd1fc5d3a91c4 00 0a124a07 1f93 0001 3f92f1a9fbe76c8b 01 00011060 04 40e00000"
         " 40400000 3ecccccd 3fa00000"
     )
     data = bytes.fromhex(text.replace(" ", "")).ljust(56, b"\0")
-    instance, event = benchlink.EVENT_READERS[1020](data, b"")
+    instance, event = adapter.EVENT_READERS[1020](data, b"")
     assert instance == 3 and event.outcome is api.Outcome.OK and event.is_final
     assert event.work == pytest.approx(0.017) and event.memory_mb == 96 * 4.0
     assert event.load_report[:2] == (7.0, 3.0)
@@ -135,24 +137,24 @@
         (api.Reject(0xF346C0E6F2B19, 0.25), "03f2 00000003 000f346c0e6f2b19 3fd0000000000000"),
         (api.Fail(0xF346C0E6F2B19), "041a 00000003 000f346c0e6f2b19"),
         (api.SetResourceGrant(0xCD1FC5D3A91C4, 640.0, 2), "0438 00000003 000cd1fc5d3a91c4 44200000 02"),
-        (api.ProbeLoad(NODE), "042e 00000003 0a124a071f93"),
-        (api.CloseIdleConnections(NODE), "0410 00000003 0a124a071f93"),
+        (api.ProbeLoad(ENGINE), "042e 00000003 0a124a071f93"),
+        (api.CloseIdleConnections(ENGINE), "0410 00000003 0a124a071f93"),
         (api.Subscribe(True), "0442 00000003 01"),
         (api.PollEndpoints(), "0456 00000003"),
         (api.SendGossip(None, b"hi 7"), "03e8 00000003 ffffffff 00000000 00000004"),
         (api.Log("two servers known"), "044c 00000003 00000000 00000011"),
     ],
 )
-def test_documented_action_bytes_are_written(action: api.Action, text: str) -> None:
-    writer = benchlink.ReplyWriter()
+def test_actions_are_encoded_as_documented(action: api.Action, text: str) -> None:
+    writer = adapter.ReplyWriter()
     writer.add(3, action)
     frame = writer.frame()
     assert frame[8:40] == bytes.fromhex(text.replace(" ", "")).ljust(32, b"\0")
 
 
-def test_settings_are_read_and_unknown_ones_ignored() -> None:
-    settings = benchlink.read_settings(PARAMS)
-    assert [kind.cores for kind in settings.machine_types] == [8.0, 4.0]
+def test_settings_are_read_and_unknown_settings_are_ignored() -> None:
+    settings = adapter.read_settings(SETTINGS_LINES)
+    assert [machine_type.cores for machine_type in settings.machine_types] == [8.0, 4.0]
     assert (
         settings.classes[1].idempotency is api.Idempotency.KEYED
         and settings.classes[1].deduplication_scope is api.DeduplicationScope.ZONE
@@ -162,8 +164,8 @@
     assert settings.guarantees.retry_budget_base == 3.0
 
 
-def test_settings_of_load_memory_and_prices_are_passed_on() -> None:
-    more = """extra.memoryShort=page
+def test_settings_of_load_reports_memory_and_prices_are_read() -> None:
+    extra = """extra.memoryShort=page
 report.via=probe
 report.columns=cpu,active
 limits.probing=true
@@ -174,48 +176,50 @@
 tenants.0.name=one
 tenants.0.allowancePerS=12.5
 """
-    settings = benchlink.read_settings(PARAMS + more)
+    settings = adapter.read_settings(SETTINGS_LINES + extra)
     assert settings.memory_overcommit is api.MemoryOvercommit.PAGE
     assert settings.report_columns == ("cpu", "active") and settings.limits.load_probe_price == 0.01
     assert settings.cross_zone_price == 0.04 and settings.tenants[0].rate_limit == 12.5
     assert settings.classes[0].idempotency is api.Idempotency.UNSAFE
-    plain = benchlink.read_settings(PARAMS)
-    assert plain.memory_overcommit is api.MemoryOvercommit.WAIT and plain.report_columns == ()
-    assert benchlink.read_settings(PARAMS + more.replace("via=probe", "via=none")).report_columns == ()
-
-
-def test_kill_and_rebirth_in_one_batch_forgets_the_requests() -> None:
-    records, tail = birth()
-    first = batch(8.0, [*records, ask()], tail)
-    down = record(">HI", 1010, 3)
-    late = record(">HIQ", 1110, 3, 0xCD1FC5D3A91C4)
-    replies = talk(first + batch(9.0, [down, *records, late], tail) + batch(20.0, [ask(corr=7)]))
-    assert 1010 not in codes(replies[1][0]) and 1060 not in codes(replies[1][0])
-    assert 1060 in codes(replies[2][0])
+    defaults = adapter.read_settings(SETTINGS_LINES)
+    assert defaults.memory_overcommit is api.MemoryOvercommit.WAIT and defaults.report_columns == ()
+    assert adapter.read_settings(SETTINGS_LINES + extra.replace("via=probe", "via=none")).report_columns == ()
+
+
+def test_a_restart_within_one_batch_drops_the_requests() -> None:
+    records, tail = instance_start()
+    first = batch(8.0, [*records, arrival()], tail)
+    stop = record(">HI", 1010, 3)
+    disconnection = record(">HIQ", 1110, 3, 0xCD1FC5D3A91C4)
+    replies = run_batches(
+        first + batch(9.0, [stop, *records, disconnection], tail) + batch(20.0, [arrival(request=7)])
+    )
+    assert 1010 not in action_codes(replies[1][0]) and 1060 not in action_codes(replies[1][0])
+    assert 1060 in action_codes(replies[2][0])
 
 
-def test_a_killed_instance_is_not_acted_for() -> None:
-    records, tail = birth()
-    (reply,) = talk(batch(8.0, [*records, ask(), record(">HI", 1010, 3)], tail))
+def test_a_stopped_instance_returns_no_actions() -> None:
+    records, tail = instance_start()
+    (reply,) = run_batches(batch(8.0, [*records, arrival(), record(">HI", 1010, 3)], tail))
     assert reply == ([], b"")
 
 
-def test_list_numbers_are_resolved_in_the_order_of_events() -> None:
-    records, tail = birth(3)
-    gone = struct.pack(">dBHH6sfB", 0.0, 0, 0, 0, NODE, 1.0, 0)
-    overwrite = record(">HHII", 1060, 0, len(tail), 1)
-    (reply,) = talk(batch(8.0, [*records, overwrite, ask()], tail + gone))
-    assert 1060 in codes(reply[0])
+def test_endpoint_table_numbers_are_resolved_in_the_order_of_records() -> None:
+    records, tail = instance_start(3)
+    removed_entry = struct.pack(">dBHH6sfB", 0.0, 0, 0, 0, ENGINE, 1.0, 0)
+    replacement = record(">HHII", 1060, 0, len(tail), 1)
+    (reply,) = run_batches(batch(8.0, [*records, replacement, arrival()], tail + removed_entry))
+    assert 1060 in action_codes(reply[0])
 
 
-def test_exception_in_the_module_becomes_a_panic(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(self: object, now: float, events: list) -> list:
+def test_an_exception_in_the_gateway_is_reported_as_a_panic(monkeypatch: pytest.MonkeyPatch) -> None:
+    def failing_step(self: object, now: float, events: list) -> list:
         raise IndexError("index out of range")
 
-    monkeypatch.setattr(benchlink.Gateway, "step", broken)
-    records, tail = birth()
-    ((reply, text),) = talk(batch(8.0, records, tail))
-    assert codes(reply) == [1020] and b"index out of range" in text
+    monkeypatch.setattr(adapter.Gateway, "step", failing_step)
+    records, tail = instance_start()
+    ((reply, text),) = run_batches(batch(8.0, records, tail))
+    assert action_codes(reply) == [1020] and b"index out of range" in text
 
 
 def run_adapter(data: bytes) -> subprocess.CompletedProcess:
@@ -223,14 +227,14 @@
     return subprocess.run(command, input=data, capture_output=True, cwd=ROOT, timeout=30, check=False)
 
 
-def missing(setting: str) -> bytes:
-    lines = [line for line in PARAMS.splitlines() if not line.startswith(setting + "=")]
-    records, tail = birth(params="\n".join(lines))
+def batch_without(setting: str) -> bytes:
+    lines = [line for line in SETTINGS_LINES.splitlines() if not line.startswith(setting + "=")]
+    records, tail = instance_start(settings_lines="\n".join(lines))
     return batch(1.0, records, tail)
 
 
 @pytest.mark.parametrize(
-    ("data", "named"),
+    ("data", "expected_text"),
     [
         (b"\0\0\0", "batch header"),
         (batch(1.0, [])[:-2], "batch header"),
@@ -240,21 +244,30 @@
         (batch(1.0, [record(">HI", 4242, 3)]), "4242"),
         (batch(1.0, [record(">HIQ", 1070, 3, 1)]), "instance 3"),
         (batch(1.0, [record(">HHII", 1060, 0, 5, 9)]), "list"),
-        (missing("services.0.aim"), "services.0.aim"),
-        (missing("extra.kindCores"), "extra.kindCores"),
-        (missing("fleetSize"), "fleetSize"),
-        (batch(1.0, *birth(params=PARAMS.replace("fleetSize=2", "fleetSize=0"))), "invalid settings"),
-        (batch(1.0, *birth(params=PARAMS.replace("aim=1.0", "aim=soon"))), "services.0.aim"),
-        (batch(1.0, *birth(params=PARAMS + "extra.memoryShort=melt\n")), "extra.memoryShort"),
+        (batch_without("services.0.aim"), "services.0.aim"),
+        (batch_without("extra.kindCores"), "extra.kindCores"),
+        (batch_without("fleetSize"), "fleetSize"),
+        (
+            batch(1.0, *instance_start(settings_lines=SETTINGS_LINES.replace("fleetSize=2", "fleetSize=0"))),
+            "invalid settings",
+        ),
+        (
+            batch(1.0, *instance_start(settings_lines=SETTINGS_LINES.replace("aim=1.0", "aim=soon"))),
+            "services.0.aim",
+        ),
+        (
+            batch(1.0, *instance_start(settings_lines=SETTINGS_LINES + "extra.memoryShort=melt\n")),
+            "extra.memoryShort",
+        ),
     ],
 )
-def test_bad_input_ends_with_one_plain_line(data: bytes, named: str) -> None:
+def test_invalid_input_ends_with_a_one_line_error(data: bytes, expected_text: str) -> None:
     result = run_adapter(data)
     assert result.returncode != 0
-    assert len(result.stderr.decode().splitlines()) == 1 and named in result.stderr.decode()
+    assert len(result.stderr.decode().splitlines()) == 1 and expected_text in result.stderr.decode()
 
 
-def test_end_of_input_is_a_clean_exit() -> None:
-    records, tail = birth()
-    result = run_adapter(batch(1.0, [*records, ask()], tail))
+def test_the_adapter_exits_cleanly_at_the_end_of_input() -> None:
+    records, tail = instance_start()
+    result = run_adapter(batch(1.0, [*records, arrival()], tail))
     assert result.returncode == 0 and result.stderr == b""
--- a/tests/test_msgpackrpc.py
+++ b/tests/test_msgpackrpc.py
@@ -1,4 +1,4 @@
-"""MessagePack-RPC from bytes in any pieces, within bounds, and nothing else."""
+"""Decoding of MessagePack-RPC from bytes in pieces of any size, within limits."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
 
 from saffronlane import msgpackrpc as rpc
 
-MOST_BYTES, MOST_ITEMS = 4096, 64
+MAX_BYTES, MAX_ITEMS = 4096, 64
 
 
 def scanner() -> rpc.Scanner:
-    return rpc.Scanner(MOST_BYTES, MOST_ITEMS)
+    return rpc.Scanner(MAX_BYTES, MAX_ITEMS)
 
 
-def call(msgid: int = 7, body: bytes = b"SELECT 1", **fields: str) -> bytes:
-    return msgspec.msgpack.encode([0, msgid, "report", [fields, body]])
+def call(message_id: int = 7, body: bytes = b"SELECT 1", **fields: str) -> bytes:
+    return msgspec.msgpack.encode([0, message_id, "report", [fields, body]])
 
 
 def test_messages_are_found_at_every_split() -> None:
     first = call(rid="9b1f03aa5c7e2d41", budget="1500", text="x" * 300)
     second = msgspec.msgpack.encode([2, "forget", [7]])
     whole = first + second
-    for at in range(len(whole) + 1):
-        one = scanner()
-        before, error = one.feed(whole[:at])
-        after, later = one.feed(whole[at:])
-        assert before + after == [first, second] and error is None and later is None
-        assert one.pending_bytes == 0
+    for split_at in range(len(whole) + 1):
+        message_scanner = scanner()
+        before, error = message_scanner.feed(whole[:split_at])
+        after, later_error = message_scanner.feed(whole[split_at:])
+        assert before + after == [first, second] and error is None and later_error is None
+        assert message_scanner.pending_bytes == 0
 
 
-def test_every_kind_of_value_is_passed_over() -> None:
+def test_every_kind_of_value_is_scanned() -> None:
     values = [
         None,
         True,
@@ -62,39 +62,39 @@
     [
         b"GET / HTTP/1.1\r\n",
         b"\xff" * 100,
-        b"\x94\x00\x01\xc1",  # a byte that means nothing
-        b"\x94\x00\x01\xa1m\x92\x80\xc6\x7f\xff\xff\xff",  # a body of 2 GB, of which nothing came
-        b"\x94\x00\x01\xdb\x00\x40\x00\x00",  # a name of 4 MB
-        b"\x94\x00\x01\xa1m\xdd\xff\xff\xff\xff",  # four billion parameters
+        b"\x94\x00\x01\xc1",  # a reserved byte
+        b"\x94\x00\x01\xa1m\x92\x80\xc6\x7f\xff\xff\xff",  # declares a body of 2 GB and has none of it
+        b"\x94\x00\x01\xdb\x00\x40\x00\x00",  # declares a method name of 4 MB
+        b"\x94\x00\x01\xa1m\xdd\xff\xff\xff\xff",  # declares four billion parameters
         b"\x94\x00\x01\xa1m\xdf\xff\xff\xff\xff",
-        b"\x94" + b"\x91" * 1000,  # a thousand arrays, each in the other
+        b"\x94" + b"\x91" * 1000,  # a thousand nested arrays
         b"\x94\x00\x01\xa1m\x92\x80\xc9\x7f\xff\xff\xff\x01",
     ],
 )
-def test_what_is_no_message_is_an_error_at_once(data: bytes) -> None:
-    found, error = scanner().feed(data)
-    assert not found and error is not None
+def test_input_that_cannot_be_a_message_is_an_error_at_once(data: bytes) -> None:
+    messages, error = scanner().feed(data)
+    assert not messages and error is not None
 
 
-def test_good_messages_before_a_bad_one_count() -> None:
-    found, error = scanner().feed(call() + b"\xc1")
-    assert found == [call()] and error is not None
+def test_valid_messages_before_invalid_input_are_returned() -> None:
+    messages, error = scanner().feed(call() + b"\xc1")
+    assert messages == [call()] and error is not None
 
 
 def test_a_long_message_in_small_pieces_is_scanned_once() -> None:
-    """Guards against quadratic time: each piece would scan all that came before it again."""
-    one = rpc.Scanner(1_000_000, 64)
-    looked: list[int] = []
-    item = one._scan_item
-    one._scan_item = lambda at: looked.append(at) or item(at)  # type: ignore[func-returns-value,method-assign]
+    """Guards against quadratic time, in which each piece causes a scan of all earlier pieces."""
+    message_scanner = rpc.Scanner(1_000_000, 64)
+    scanned_positions: list[int] = []
+    scan_item = message_scanner._scan_item
+    message_scanner._scan_item = lambda position: scanned_positions.append(position) or scan_item(position)  # type: ignore[func-returns-value,method-assign]
     message = call(body=b"x" * 100_000)
-    for at in range(0, len(message), 100):
-        found, _ = one.feed(message[at : at + 100])
-    assert found == [message]
-    assert len(looked) < len(message) / 100 + 20
+    for offset in range(0, len(message), 100):
+        messages, _ = message_scanner.feed(message[offset : offset + 100])
+    assert messages == [message]
+    assert len(scanned_positions) < len(message) / 100 + 20
 
 
-def test_calls_and_notices_are_read() -> None:
+def test_calls_and_notifications_are_decoded() -> None:
     assert rpc.decode_message(call(rid="a")) == rpc.Call(7, "report", {"rid": "a"}, b"SELECT 1")
     assert rpc.decode_message(msgspec.msgpack.encode([0, 8, "isWell", [{}]])) == rpc.Call(
         8, "isWell", {}, None
@@ -105,7 +105,7 @@
 
 
 @pytest.mark.parametrize(
-    ("value", "msgid"),
+    ("value", "message_id"),
     [
         ([1, 7, None, []], None),
         ([0, -7, "m", [{}]], None),
@@ -123,39 +123,41 @@
         ([0, "forget", [7]], None),
     ],
 )
-def test_what_is_no_call_is_malformed(value: object, msgid: int | None) -> None:
-    with pytest.raises(rpc.InvalidMessageError) as caught:
+def test_a_message_that_is_no_valid_call_or_notification_is_an_error(
+    value: object, message_id: int | None
+) -> None:
+    with pytest.raises(rpc.InvalidMessageError) as raised:
         rpc.decode_message(msgspec.msgpack.encode(value))
-    assert caught.value.id == msgid
+    assert raised.value.id == message_id
 
 
-def test_a_field_that_is_there_twice_is_malformed() -> None:
-    """Guards against two readings of one request: which of two ids counts is anybody's guess."""
-    twice = b"\x94\x00\x07\xa1m\x92\x82\xa3rid\xa1a\xa3rid\xa1b\xc4\x00"
+def test_a_duplicate_field_is_an_error() -> None:
+    """Guards against an ambiguous request, in which it is undefined which of two ids is valid."""
+    message = b"\x94\x00\x07\xa1m\x92\x82\xa3rid\xa1a\xa3rid\xa1b\xc4\x00"
     with pytest.raises(rpc.InvalidMessageError, match="twice"):
-        rpc.decode_message(twice)
+        rpc.decode_message(message)
 
 
-def test_text_that_is_none_is_malformed() -> None:
+def test_a_method_name_that_is_not_utf8_is_an_error() -> None:
     with pytest.raises(rpc.InvalidMessageError):
         rpc.decode_message(b"\x94\x00\x07\xa1\xff\x92\x80\xc4\x00")
 
 
-def test_replies_decode() -> None:
+def test_replies_are_encoded() -> None:
     decode = msgspec.msgpack.decode
     assert decode(rpc.encode_reply(rpc.Reply(7, None, {}, b"rows"))) == [1, 7, None, [b"rows", {}]]
     assert decode(rpc.encode_reply(rpc.Reply(7, None, {}, True))) == [1, 7, None, [True, {}]]
-    shed = rpc.encode_reply(rpc.Reply(7, "Shed", {"backoff": "20"}))
-    assert decode(shed) == [1, 7, ["Shed", {"backoff": "20"}], None]
+    rejection = rpc.encode_reply(rpc.Reply(7, "Shed", {"backoff": "20"}))
+    assert decode(rejection) == [1, 7, ["Shed", {"backoff": "20"}], None]
 
 
 @given(st.lists(st.binary(max_size=200), max_size=20))
-def test_any_bytes_end_as_messages_or_an_error(parts: list[bytes]) -> None:
-    one = scanner()
+def test_any_bytes_are_messages_or_an_error(parts: list[bytes]) -> None:
+    message_scanner = scanner()
     for part in parts:
-        found, error = one.feed(part)
-        assert one.pending_bytes <= MOST_BYTES
-        for message in found:
+        messages, error = message_scanner.feed(part)
+        assert message_scanner.pending_bytes <= MAX_BYTES
+        for message in messages:
             with contextlib.suppress(rpc.InvalidMessageError):
                 rpc.decode_message(message)
         if error is not None:
@@ -163,9 +165,9 @@
 
 
 @given(st.binary(max_size=60), st.integers(0, 200), st.integers(0, 255))
-def test_a_call_with_a_changed_byte_is_read_or_refused(body: bytes, at: int, value: int) -> None:
+def test_a_call_with_a_changed_byte_is_decoded_or_rejected(body: bytes, index: int, value: int) -> None:
     data = bytearray(call(body=body, rid="9b1f03aa5c7e2d41", budget="1500"))
-    data[at % len(data)] = value
+    data[index % len(data)] = value
     for message in scanner().feed(bytes(data))[0]:
         with contextlib.suppress(rpc.InvalidMessageError):
             rpc.decode_message(message)
--- a/tests/test_platform_parts.py
+++ b/tests/test_platform_parts.py
@@ -1,4 +1,4 @@
-"""The node's parts without sockets: settings in two forms, the table group, the configuration, the fleet."""
+"""The platform's parts without sockets: settings, table groups, the configuration, the endpoint table."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 
 import pytest
 from platform_world import SETTINGS, dispatcher_config, member
-from test_benchlink import PARAMS
+from test_benchlink import SETTINGS_LINES
 
 from saffronlane import interface as api
 from saffronlane.platform.config import ConfigError, EndpointList, load_config, parse_config
 from saffronlane.platform.discovery.endpoints import EndpointTable
 from saffronlane.platform.sql_tables import table_group
-from saffronlane.simulator import settings as params
+from saffronlane.simulator import settings as simulator_settings
 
 
 def nested(lines: str) -> dict[str, Any]:
-    """The nested form of path=value lines, as the platform writes it."""
+    """Convert path=value lines to the nested form that the platform uses."""
     root: dict[str, Any] = {}
     for line in lines.splitlines():
         path, value = line.split("=", 1)
         *parents, name = path.split(".")
-        at = root
+        mapping = root
         for parent in parents:
-            at = at.setdefault(parent, {})
-        at[name] = _typed(value)
+            mapping = mapping.setdefault(parent, {})
+        mapping[name] = _typed(value)
     for name in ("services", "tenants"):
         if name in root:
             count = root[name].pop("count")
@@ -44,16 +44,18 @@
         return value
 
 
-def test_both_forms_of_the_settings_are_one() -> None:
-    by_lines = params.read_settings(params.Params.from_lines(PARAMS))
-    by_object = params.read_settings(params.Params.from_object(nested(PARAMS)))
+def test_both_forms_of_the_settings_give_equal_settings() -> None:
+    by_lines = simulator_settings.read_settings(simulator_settings.Params.from_lines(SETTINGS_LINES))
+    by_object = simulator_settings.read_settings(
+        simulator_settings.Params.from_object(nested(SETTINGS_LINES))
+    )
     assert by_lines == by_object
     assert by_lines.classes[1].idempotency is api.Idempotency.KEYED
 
 
-def test_each_key_of_the_nested_form_is_read_as_the_line_says_it() -> None:
-    lines = params.Params.from_lines(PARAMS)._values
-    flat = params.Params.from_object(nested(PARAMS))._values
+def test_each_nested_key_has_the_value_of_its_line() -> None:
+    lines = simulator_settings.Params.from_lines(SETTINGS_LINES)._values
+    flat = simulator_settings.Params.from_object(nested(SETTINGS_LINES))._values
     for path, value in lines.items():
         try:
             assert float(flat[path]) == float(value), path
@@ -91,25 +93,25 @@
         ("", 0),
     ],
 )
-def test_table_group(statement: str, group: float) -> None:
+def test_the_table_group_of_a_statement(statement: str, group: float) -> None:
     assert table_group(statement.encode()) == group
 
 
-def test_table_group_takes_linear_time() -> None:
-    """Guards against statements made to be slow to look at: each would hold up all clients."""
+def test_the_table_group_is_found_in_linear_time() -> None:
+    """Guards against statements that are crafted to be slow to parse and would delay all clients."""
     import time
 
-    for odd in (b"'", b'"', b"/*", b"--", b"a.", b"*", b"a", b"''", b'""."'):
-        began = time.process_time()
-        table_group(odd * (200_000 // len(odd)))
-        assert time.process_time() - began < 2.0, odd
+    for pattern in (b"'", b'"', b"/*", b"--", b"a.", b"*", b"a", b"''", b'""."'):
+        started_at = time.process_time()
+        table_group(pattern * (200_000 // len(pattern)))
+        assert time.process_time() - started_at < 2.0, pattern
 
 
 def raw(**changes: Any) -> bytes:
     return json.dumps(dispatcher_config([], 9, **changes)).encode()
 
 
-def test_a_configuration_is_read() -> None:
+def test_a_valid_configuration_is_parsed() -> None:
     config = parse_config(raw(peers=["10.0.0.1:1", "10.0.0.2:2"], peers_all="10.0.0.255:3"))
     assert (
         config.last_sequence == 1
@@ -143,59 +145,61 @@
         (raw(settings=SETTINGS | {"fleetSize": 0}), "/settings"),
     ],
 )
-def test_a_bad_configuration_is_one_line_with_its_place(data: bytes, pointer: str) -> None:
-    with pytest.raises(ConfigError) as caught:
+def test_an_invalid_configuration_is_reported_in_one_line_with_its_pointer(data: bytes, pointer: str) -> None:
+    with pytest.raises(ConfigError) as raised:
         parse_config(data)
-    assert str(caught.value).startswith(pointer + ":"), caught.value
-    assert "\n" not in str(caught.value)
+    assert str(raised.value).startswith(pointer + ":"), raised.value
+    assert "\n" not in str(raised.value)
 
 
-def test_a_file_that_is_not_there_is_an_error(tmp_path: Any) -> None:
+def test_a_missing_configuration_file_is_an_error(tmp_path: Any) -> None:
     with pytest.raises(ConfigError, match="No such file"):
         load_config(tmp_path / "none.json")
 
 
-def told(*members: dict[str, Any], complete: bool = False) -> EndpointList:
+def endpoint_list(*members: dict[str, Any], complete: bool = False) -> EndpointList:
     import msgspec
 
     return msgspec.convert({"members": list(members), "revision": 3, "complete": complete}, EndpointList)
 
 
-def fleet() -> EndpointTable:
-    settings = params.read_settings(params.Params.from_object(SETTINGS))
+def endpoint_table() -> EndpointTable:
+    settings = simulator_settings.read_settings(simulator_settings.Params.from_object(SETTINGS))
     return EndpointTable(settings, lambda: 100.0, lambda: 1_000_000.0)
 
 
-def test_removed_nodes_leave_nothing() -> None:
-    one = fleet()
-    one.apply(told(member("a", 1), member("b", 2), complete=True))
-    update, gone = one.apply(told(member("a", 1, "removed")))
-    assert gone == [b"a"] and one.address(b"a") is None and len(one) == 1
+def test_removed_engines_leave_no_entry() -> None:
+    table = endpoint_table()
+    table.apply(endpoint_list(member("a", 1), member("b", 2), complete=True))
+    update, removed = table.apply(endpoint_list(member("a", 1, "removed")))
+    assert removed == [b"a"] and table.address(b"a") is None and len(table) == 1
     assert update.mode is api.EndpointListMode.DELTA and update.entries[0].state is api.EngineState.REMOVED
-    _, gone = one.apply(told(member("c", 1), complete=True))
-    assert gone == [b"b"] and len(one) == 1
+    _, removed = table.apply(endpoint_list(member("c", 1), complete=True))
+    assert removed == [b"b"] and len(table) == 1
 
 
-def test_a_new_node_at_a_known_address_is_a_new_node() -> None:
-    one = fleet()
-    one.apply(told(member("a", 1), complete=True))
-    update, gone = one.apply(told(member("a", 1, "removed"), member("b", 1, up_since_ms=999_990_000.0)))
-    assert gone == [b"a"] and one.address(b"b") == ("127.0.0.1", 1)
+def test_a_new_engine_at_a_known_address_has_its_own_entry() -> None:
+    table = endpoint_table()
+    table.apply(endpoint_list(member("a", 1), complete=True))
+    update, removed = table.apply(
+        endpoint_list(member("a", 1, "removed"), member("b", 1, up_since_ms=999_990_000.0))
+    )
+    assert removed == [b"a"] and table.address(b"b") == ("127.0.0.1", 1)
     assert update.entries[1].started_at == pytest.approx(90.0)
 
 
-def test_a_start_is_converted_once() -> None:
-    """Guards against a step of the wall clock, which would look like a restart of every node."""
-    walls = iter([1_000_000.0, 2_000_000.0])
-    settings = params.read_settings(params.Params.from_object(SETTINGS))
-    one = EndpointTable(settings, lambda: 100.0, lambda: next(walls))
-    first, _ = one.apply(told(member("a", 1, up_since_ms=999_990_000.0)))
-    second, _ = one.apply(told(member("a", 1, "draining", up_since_ms=999_990_000.0)))
+def test_a_start_time_is_converted_to_monotonic_time_once() -> None:
+    """Guards against a step of the wall clock, which would look like a restart of every engine."""
+    wall_times = iter([1_000_000.0, 2_000_000.0])
+    settings = simulator_settings.read_settings(simulator_settings.Params.from_object(SETTINGS))
+    table = EndpointTable(settings, lambda: 100.0, lambda: next(wall_times))
+    first, _ = table.apply(endpoint_list(member("a", 1, up_since_ms=999_990_000.0)))
+    second, _ = table.apply(endpoint_list(member("a", 1, "draining", up_since_ms=999_990_000.0)))
     assert first.entries[0].started_at == second.entries[0].started_at == pytest.approx(90.0)
 
 
-def test_a_member_that_cannot_be_read_is_left_out_alone() -> None:
-    one = fleet()
-    odd = [member("a", 1, "asleep"), member("b", 1, flavor="none"), member("c", 0), member("d", 4)]
-    update, _ = one.apply(told(*odd))
+def test_only_invalid_members_are_ignored() -> None:
+    table = endpoint_table()
+    members = [member("a", 1, "asleep"), member("b", 1, flavor="none"), member("c", 0), member("d", 4)]
+    update, _ = table.apply(endpoint_list(*members))
     assert [entry.engine for entry in update.entries] == [b"d"]
