--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -23,7 +23,7 @@
 from pathlib import Path
 
 from node import ROOT, process_cpu  # importing node also puts tests/ on the path
-from platform_world import Client, Compute, FeedServer, config_text
+from platform_world import Client, ComputeNode, FeedServer, dispatcher_config
 
 # Seconds between two requests of a regular client. The node may close a connection that is idle for a shorter
 # time.
@@ -45,7 +45,7 @@
                 try:
                     if client is None:
                         client = Client(*await asyncio.open_connection("127.0.0.1", self.port))
-                    await client.answer(client.call("ask", f"{self.number:08x}{request_number:08x}"))
+                    await client.read_answer(client.call("ask", f"{self.number:08x}{request_number:08x}"))
                     break
                 except ConnectionError:
                     client, self.reconnections = None, self.reconnections + 1
@@ -77,14 +77,14 @@
     parser.add_argument("--usual", type=int, default=20)
     parser.add_argument("--sockets", type=int, default=256)
     options = parser.parse_args()
-    compute, feed = Compute(), FeedServer()
+    compute, feed = ComputeNode(), FeedServer()
     await compute.start()
     await feed.start()
     with socket.socket() as port_probe:
         port_probe.bind(("127.0.0.1", 0))
         port = port_probe.getsockname()[1]
     limits = {"cores": 1.0, "memory_mb": 96, "sockets": options.sockets}
-    config = config_text([compute], feed.port, listen=f"127.0.0.1:{port}", limits=limits)
+    config = dispatcher_config([compute], feed.port, listen=f"127.0.0.1:{port}", limits=limits)
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
         path.write_text(json.dumps(config))
--- a/benchmarks/node.py
+++ b/benchmarks/node.py
@@ -24,7 +24,7 @@
 ROOT = Path(__file__).parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
-from platform_world import Client, Compute, FeedServer, Peer, config_text  # noqa: E402
+from platform_world import Client, ComputeNode, ComputeNodeConnection, FeedServer, dispatcher_config  # noqa: E402
 
 PAGE = b"abcdefgh\t12345\txyz\n" * 250
 COMPUTE_NODES, CLIENTS = 5, 4
@@ -42,9 +42,9 @@
 
 
 def answer_script(pages: int):  # type: ignore[no-untyped-def]
-    async def answer(peer: Peer, words: list[bytes]) -> None:
+    async def answer(peer: ComputeNodeConnection, words: list[bytes]) -> None:
         if words[0] == b"fetch":
-            peer.done(words[1], PAGE, pages)
+            peer.send_result(words[1], PAGE, pages)
         elif words[0] == b"more":
             peer.send(words[1], b"MORE", b"sheet=" + words[2], PAGE)
 
@@ -52,7 +52,7 @@
 
 
 async def run(rate: float, seconds: float, pages: int) -> None:
-    computes = [Compute(answer_script(pages)) for _ in range(COMPUTE_NODES)]
+    computes = [ComputeNode(answer_script(pages)) for _ in range(COMPUTE_NODES)]
     feed = FeedServer()
     await feed.start()
     for compute in computes:
@@ -62,7 +62,7 @@
         port = port_probe.getsockname()[1]
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
-        path.write_text(json.dumps(config_text(computes, feed.port, listen=f"127.0.0.1:{port}")))
+        path.write_text(json.dumps(dispatcher_config(computes, feed.port, listen=f"127.0.0.1:{port}")))
         command = [sys.executable, "-m", "saffronlane.platform"]
         environment = os.environ | {"BALANCER_CONFIG": str(path)}
         process = subprocess.Popen(  # noqa: ASYNC220 - nothing else runs on the loop yet
@@ -99,7 +99,7 @@
 async def _read_answers(client: Client) -> None:
     while data := await client.reader.read(262_144):
         client._buffer += data
-        client._cut()
+        client._parse_answers()
 
 
 async def _measure(pid: int, port: int, rate: float, seconds: float) -> None:
