--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -13,7 +13,7 @@
 import time
 from pathlib import Path
 
-from saffronlane.lab.engine import EngineConfig, StandIn
+from saffronlane.lab.engine import EngineConfig, StandInEngine
 from saffronlane.lab.up import GatewayProcess, write_list
 from saffronlane.proto import flight_pb2 as flight
 from saffronlane.proto import flight_sql_pb2 as sql
@@ -102,7 +102,7 @@
 
 async def large(folder: Path) -> None:
     """A result of 1 GB, read at about 100 MB/s."""
-    engine = StandIn(EngineConfig("e0"))
+    engine = StandInEngine(EngineConfig("e0"))
     engine.start()
     process = await gateway(folder, [{"id": "e0", "address": engine.address}], deadline=120.0)
     assert process.process is not None
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -94,7 +94,7 @@
         self.random = np.random.default_rng([seed, 1])
         shape = EngineShape(CORES, 4096.0, 1.0, 0.4, 8.0, 3.0, 2.0)
         self.engines = [Engine(Machine(shape, -1e6)) for _ in range(ENGINES)]
-        self.engines[0].machine.slow = 2.5  # one engine is slow, another one breaks now and then
+        self.engines[0].machine.slowdown = 2.5  # one engine is slow, another one breaks now and then
         self.now = 0.0
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.order = itertools.count()
--- a/saffronlane/lab/__init__.py
+++ b/saffronlane/lab/__init__.py
@@ -1,4 +1,4 @@
-"""The laboratory's seed: stand-in engines, scripted days, and an audit of the rules from recorded traffic.
+"""Laboratory: stand-in engines, scripted scenarios ("days") of load and faults, and an audit of the traffic.
 
-Nothing here is part of the product; it needs the extra `[lab]` (pyarrow, numpy).
+Production code does not use this package. It needs the packages of the extra `[lab]` (pyarrow, numpy).
 """
--- a/saffronlane/lab/day.py
+++ b/saffronlane/lab/day.py
@@ -1,6 +1,8 @@
-"""A scripted bad day through real sockets: engines here, gateways as processes, and clients that give up.
+"""Plays a scenario of load and faults (a "day") over real sockets.
 
-Everything that the engines and the clients see on their sockets is recorded; `audit` judges the record.
+The engines and the clients run in this process, and each gateway runs in its own. All that engines and
+clients observe on their sockets is recorded, and `audit` checks the record against the guarantees of the
+gateways.
 """
 
 from __future__ import annotations
@@ -22,30 +24,42 @@
 from ..config.check import Problem, load_json, problems_of
 from ..config.errors import ConfigError
 from .audit import Audit, Event, Report
-from .clients import AdbcClient, Asker, Query
-from .engine import EngineConfig, Keys, StandIn
+from .clients import AdbcClient, Query, QueryClient
+from .engine import EngineConfig, KeyedResults, StandInEngine
 from .model import EngineShape
 from .up import GatewayProcess, write_list
 
-SETTLE = 0.3  # seconds before the first query: the lists have been read
-POLL = 0.05  # seconds between the gateways' looks at the list
-GONE_AFTER = 1.0  # seconds from the listing of a drain to the engine's end
+STARTUP_DELAY = 0.3  # seconds before the first query, in which the gateways read the endpoint list
+LIST_POLL_INTERVAL = 0.05  # seconds between two reads of the endpoint list by a gateway
+DRAIN_DURATION = 1.0  # seconds from listing an engine as draining until it stops
 
 
 @dataclass(frozen=True, slots=True)
 class Day:
-    """A checked day."""
+    """A validated scenario.
+
+    Attributes:
+        raw: The content of the scenario file.
+        config: Configuration of gateway 0. The other gateways differ only in index, seed, zone and state
+            directory.
+    """
 
     raw: dict[str, Any]
-    config: Config  # of a gateway, without its place
+    config: Config
 
     @property
     def duration(self) -> float:
+        """Time in which queries arrive, in seconds."""
         return float(self.raw["duration_s"])
 
 
 def load_day(path: Path) -> Day:
-    """ConfigError has every problem of the file, those of the gateways' settings with their place too."""
+    """Load and validate a scenario file.
+
+    Raises:
+        ConfigError: The file is invalid. The error lists all problems, including those in the settings of the
+            gateways, each with a JSON pointer into the file.
+    """
     raw = load_json(path)
     problems = problems_of(raw, "day")
     if problems:
@@ -53,118 +67,148 @@
     try:
         config = parse_config(gateway_settings(raw, 0), str(path), path.parent)
     except ConfigError as error:
-        nested = [Problem("/gateway" + p.pointer, p.text) for p in error.problems]
-        raise ConfigError(str(path), nested) from None
+        gateway_problems = [Problem("/gateway" + p.pointer, p.text) for p in error.problems]
+        raise ConfigError(str(path), gateway_problems) from None
     classes = [c.name for c in config.settings.classes]
-    ids = [engine_id for engine_id, _ in expand(raw["engines"])]
+    ids = [engine_id for engine_id, _ in expand_engines(raw["engines"])]
     for index, stream in enumerate(raw["arrivals"]):
         if stream["class"] not in classes:
-            text = f"{stream['class']!r} is none of {', '.join(classes)}"
+            text = f"unknown class {stream['class']!r}; expected one of {', '.join(classes)}"
             problems.append(Problem(f"/arrivals/{index}/class", text))
     for index, fault in enumerate(raw.get("faults", [])):
-        at = f"/faults/{index}"
+        pointer = f"/faults/{index}"
         if fault["fault"] in ("kill", "stop"):
             if not 0 <= fault.get("gateway", -1) < raw.get("gateways", 1):
-                problems.append(Problem(at, "kill and stop need `gateway`, counted from 0"))
+                problems.append(Problem(pointer, "kill and stop need `gateway`, an index that starts at 0"))
         elif fault["fault"] != "list-broken" and fault.get("engine") not in (*ids, "*"):
-            problems.append(Problem(at + "/engine", f"{fault.get('engine')!r} is none of {', '.join(ids)}"))
+            problems.append(
+                Problem(
+                    pointer + "/engine",
+                    f"unknown engine {fault.get('engine')!r}; expected one of {', '.join(ids)}",
+                )
+            )
     if problems:
         raise ConfigError(str(path), problems)
     return Day(raw, config)
 
 
 def gateway_settings(raw: dict[str, Any], position: int) -> dict[str, Any]:
-    """The settings of one gateway of a day."""
-    place = {"count": raw.get("gateways", 1), "position": position, "seed": raw.get("seed", 0) + position}
+    """Build the settings of the gateway at an index.
+
+    Args:
+        raw: The content of the scenario file.
+        position: Index of the gateway.
+    """
+    gateway = {"count": raw.get("gateways", 1), "position": position, "seed": raw.get("seed", 0) + position}
     zones = raw["gateway"].get("zones", [])
     if zones:
-        place["zone"] = zones[position % len(zones)]
-    place["grace_s"] = raw.get("grace_s", 2.0)
-    kept = raw["gateway"].get("knowledge")
-    if kept is not None:
-        kept = kept | {"folder": f"{kept['folder']}-{position}"}
+        gateway["zone"] = zones[position % len(zones)]
+    gateway["grace_s"] = raw.get("grace_s", 2.0)
+    knowledge = raw["gateway"].get("knowledge")
+    if knowledge is not None:
+        knowledge = knowledge | {"folder": f"{knowledge['folder']}-{position}"}
     return {
         "listen": {"port": 0},
-        "engines": {"file": "engines.json", "poll_s": POLL},
-        "gateway": place,
+        "engines": {"file": "engines.json", "poll_s": LIST_POLL_INTERVAL},
+        "gateway": gateway,
         **raw["gateway"],
-        **({"knowledge": kept} if kept is not None else {}),
+        **({"knowledge": knowledge} if knowledge is not None else {}),
     }
 
 
-def expand(engines: list[dict[str, Any]]) -> list[tuple[str, dict[str, Any]]]:
-    """Each engine by its id."""
-    found = []
-    for one in engines:
-        count = one.get("count", 1)
-        names = [one["id"]] if count == 1 else [f"{one['id']}{n}" for n in range(count)]
-        found += [(name, one) for name in names]
-    return found
+def expand_engines(engines: list[dict[str, Any]]) -> list[tuple[str, dict[str, Any]]]:
+    """Return the id and the entry of each engine. An entry with a count stands for several engines."""
+    expanded = []
+    for entry in engines:
+        count = entry.get("count", 1)
+        names = [entry["id"]] if count == 1 else [f"{entry['id']}{n}" for n in range(count)]
+        expanded += [(name, entry) for name in names]
+    return expanded
 
 
 class Fleet:
-    """The day's engines, and the list that tells of them."""
-
-    def __init__(self, day: Day, folder: Path, record: Callable[[Event], None]) -> None:
-        self._folder, self._record = folder, record
+    """The engines of a scenario, and the endpoint list that announces them to the gateways.
+
+    Args:
+        day: The scenario.
+        folder: Directory of the endpoint list file.
+        record_event: Called with every event that the audit needs.
+
+    Attributes:
+        engines: The engines by id.
+        placements: Machine type (`kind`) and zone of each engine.
+        states: State of each engine: `ready`, `draining` or `gone`. The endpoint list omits engines that are
+            `gone`.
+    """
+
+    def __init__(self, day: Day, folder: Path, record_event: Callable[[Event], None]) -> None:
+        self._folder, self._record_event = folder, record_event
         self._loop = asyncio.get_running_loop()
-        self._gateways = day.raw.get("gateways", 1)
+        self._gateway_count = day.raw.get("gateways", 1)
         self._version = 0
-        self._keys: Keys = {}  # what engines remember is shared, as the group `all` has it
-        self.engines: dict[str, StandIn] = {}
-        self.places: dict[str, dict[str, Any]] = {}
+        self._keyed_results: KeyedResults = {}  # All engines share the idempotency keys that they remember.
+        self.engines: dict[str, StandInEngine] = {}
+        self.placements: dict[str, dict[str, Any]] = {}
         self.states: dict[str, str] = {}
-        for name, one in expand(day.raw["engines"]):
-            shape = EngineShape(**{k: one[k] for k in EngineShape.__dataclass_fields__ if k in one})
-            rest = {k: one[k] for k in ("key_ttl", "note_period") if k in one}
-            config = EngineConfig(name, shape, seed=day.raw.get("seed", 0), **rest)
-            self.engines[name] = StandIn(config, record, self._keys)
-            kind = one.get("kind", day.config.settings.machine_types[0].name)
-            zone = one.get("zone", (day.config.settings.zones or ("",))[0])
-            self.places[name] = {"kind": kind, "zone": zone}
+        for name, entry in expand_engines(day.raw["engines"]):
+            shape = EngineShape(**{k: entry[k] for k in EngineShape.__dataclass_fields__ if k in entry})
+            config_values = {k: entry[k] for k in ("key_ttl", "note_period") if k in entry}
+            config = EngineConfig(name, shape, seed=day.raw.get("seed", 0), **config_values)
+            self.engines[name] = StandInEngine(config, record_event, self._keyed_results)
+            machine_type = entry.get("kind", day.config.settings.machine_types[0].name)
+            zone = entry.get("zone", (day.config.settings.zones or ("",))[0])
+            self.placements[name] = {"kind": machine_type, "zone": zone}
             self.states[name] = "ready"
-            record({"at": self._loop.time(), "kind": "place", "engine": name, **self.places[name]})
+            record_event({"at": self._loop.time(), "kind": "place", "engine": name, **self.placements[name]})
 
     def start(self) -> None:
+        """Start all engines, and write the endpoint list."""
         for engine in self.engines.values():
             engine.start()
         self.publish()
 
     def publish(self) -> None:
-        """Write the list; the gateways have read it one look later."""
+        """Write the endpoint list. The gateways have read it one poll interval later."""
         self._version += 1
         records = []
         for name, state in self.states.items():
             if state == "gone":
                 continue
-            engine, place = self.engines[name], self.places[name]
-            entry = {"id": name, "address": engine.address, "state": state, "kind": place["kind"]}
-            if place["zone"]:
-                entry["zone"] = place["zone"]
+            engine, placement = self.engines[name], self.placements[name]
+            entry = {"id": name, "address": engine.address, "state": state, "kind": placement["kind"]}
+            if placement["zone"]:
+                entry["zone"] = placement["zone"]
             if engine.started_wall:
                 entry["started"] = engine.started_wall
             records.append(entry)
         write_list(self._folder / "engines.json", records, self._version)
         now = self._loop.time()
-        for gateway in range(self._gateways):
+        for gateway in range(self._gateway_count):
             for name, state in self.states.items():
-                # Between a write and the next look nobody outside knows: the gateway has the benefit of it.
-                told = now if state == "ready" else now + POLL
-                event = {"at": told, "kind": "list", "gateway": str(gateway), "engine": name, "state": state}
-                self._record(event | {"incarnation": self.engines[name].incarnation})
-
-    def break_list(self) -> None:
-        """Leave half a file behind, as a writer without care does."""
+                # A gateway reads the list at an unknown time within one poll interval. The record gives it
+                # the whole interval to learn that an engine is no longer ready.
+                told_at = now if state == "ready" else now + LIST_POLL_INTERVAL
+                event = {
+                    "at": told_at,
+                    "kind": "list",
+                    "gateway": str(gateway),
+                    "engine": name,
+                    "state": state,
+                }
+                self._record_event(event | {"incarnation": self.engines[name].incarnation})
+
+    def truncate_list(self) -> None:
+        """Replace the endpoint list with a truncated file, as after a write that was not atomic."""
         (self._folder / "engines.json").write_text('{"version": 9999, "engines": [{"id": "hal')
 
-    def back(self, name: str) -> None:
-        """Start an engine again, cold."""
+    def restart_cold(self, name: str) -> None:
+        """Restart an engine cold, and list it as ready."""
         engine = self.engines[name]
-        if engine.up:
+        if engine.is_up:
             engine.crash()
         engine.start(cold=True)
         shape = engine.config.shape
-        self._record(
+        self._record_event(
             {
                 "at": self._loop.time(),
                 "kind": "cold",
@@ -181,145 +225,170 @@
         self.publish()
 
     def close(self) -> None:
+        """Stop all engines."""
         for engine in self.engines.values():
-            if engine.up:
+            if engine.is_up:
                 engine.crash()
 
 
-class Script:
-    """Carries out the day's faults at their times."""
+class FaultInjector:
+    """Injects the faults of a scenario at their times."""
 
     def __init__(
-        self, day: Day, fleet: Fleet, gateways: list[GatewayProcess], record: Callable[[Event], None]
+        self, day: Day, fleet: Fleet, gateways: list[GatewayProcess], record_event: Callable[[Event], None]
     ):
-        self._day, self._fleet, self._gateways, self._record = day, fleet, gateways, record
-        self._busy = [asyncio.Lock() for _ in gateways]
+        self._day, self._fleet, self._gateways, self._record_event = day, fleet, gateways, record_event
+        self._gateway_locks = [asyncio.Lock() for _ in gateways]
         self._loop = asyncio.get_running_loop()
 
     async def run(self, start: float) -> None:
-        """All faults; returns when the last one is over or for good."""
-        await asyncio.gather(*(self._one(fault, start) for fault in self._day.raw.get("faults", [])))
+        """Inject all faults. Returns when every fault has ended or is permanent.
 
-    async def _until(self, at: float) -> None:
+        Args:
+            start: Start of the scenario, as a time of the event loop.
+        """
+        await asyncio.gather(*(self._run_fault(fault, start) for fault in self._day.raw.get("faults", [])))
+
+    async def _sleep_until(self, at: float) -> None:
         await asyncio.sleep(max(0.0, at - self._loop.time()))
 
-    async def _one(self, fault: dict[str, Any], start: float) -> None:
+    async def _run_fault(self, fault: dict[str, Any], start: float) -> None:
         at, kind = start + fault["at_s"], fault["fault"]
         end = at + fault["for_s"] if "for_s" in fault else None
-        await self._until(at)
+        await self._sleep_until(at)
         if kind in ("kill", "stop"):
-            async with self._busy[fault["gateway"]]:  # one that is still starting is not ended yet
-                await self._gateway(kind, fault["gateway"], end)
+            async with self._gateway_locks[
+                fault["gateway"]
+            ]:  # A gateway that is restarting is not ended yet.
+                await self._end_gateway(kind, fault["gateway"], end)
         elif kind == "list-broken":
-            self._fleet.break_list()
+            self._fleet.truncate_list()
             if end is not None:
-                await self._until(end)
+                await self._sleep_until(end)
                 self._fleet.publish()
         else:
             names = list(self._fleet.engines) if fault["engine"] == "*" else [fault["engine"]]
             value = fault.get("value", 1.0)
-            await asyncio.gather(*(self._engine(kind, name, value, end) for name in names))
+            await asyncio.gather(*(self._run_engine_fault(kind, name, value, end) for name in names))
 
-    async def _engine(self, kind: str, name: str, value: Any, end: float | None) -> None:
+    async def _run_engine_fault(self, kind: str, name: str, value: Any, end: float | None) -> None:
         fleet, engine = self._fleet, self._fleet.engines[name]
         if kind == "drain":
             fleet.states[name] = "draining"
             fleet.publish()
-            await asyncio.sleep(GONE_AFTER / 2)
+            await asyncio.sleep(DRAIN_DURATION / 2)
             engine.drain()
-            await asyncio.sleep(GONE_AFTER / 2)
+            await asyncio.sleep(DRAIN_DURATION / 2)
             fleet.states[name] = "gone"
             fleet.publish()
             engine.crash()
         elif kind == "crash":
             engine.crash()
         else:
-            self._switch(engine, kind, value, on=True)
+            self._set_fault(engine, kind, value, enabled=True)
         if end is None:
             return
-        await self._until(end)
+        await self._sleep_until(end)
         if kind in ("drain", "crash"):
-            fleet.back(name)
+            fleet.restart_cold(name)
         else:
-            self._switch(engine, kind, value, on=False)
+            self._set_fault(engine, kind, value, enabled=False)
 
     @staticmethod
-    def _switch(engine: StandIn, kind: str, value: Any, on: bool) -> None:
+    def _set_fault(engine: StandInEngine, kind: str, value: Any, enabled: bool) -> None:
         if kind == "hang":
-            engine.hang(on)
+            engine.hang(enabled)
         elif kind == "slow":
-            engine.slow(float(value) if on else 1.0)
+            engine.slow(float(value) if enabled else 1.0)
         elif kind == "half-open":
-            engine.faults.half_open = on
+            engine.faults.half_open = enabled
         elif kind == "report":
-            engine.faults.report = str(value) if on else "true"
+            engine.faults.report = str(value) if enabled else "true"
         else:
-            setattr(engine.faults, kind, float(value) if on else 0.0)
+            setattr(engine.faults, kind, float(value) if enabled else 0.0)
 
-    async def _gateway(self, kind: str, position: int, end: float | None) -> None:
+    async def _end_gateway(self, kind: str, position: int, end: float | None) -> None:
         gateway = self._gateways[position]
         if kind == "kill":
-            self._record({"at": self._loop.time(), "kind": "killed", "gateway": str(position)})
+            self._record_event({"at": self._loop.time(), "kind": "killed", "gateway": str(position)})
             gateway.send(signal.SIGKILL)
         else:
             gateway.send(signal.SIGTERM)
         assert gateway.process is not None
-        code = await gateway.process.wait()
-        event = {"at": self._loop.time(), "kind": "ended", "gateway": str(position), "code": code}
-        self._record(event)
+        exit_code = await gateway.process.wait()
+        event = {"at": self._loop.time(), "kind": "ended", "gateway": str(position), "code": exit_code}
+        self._record_event(event)
         if kind == "stop":
-            self._record(event | {"kind": "killed"})
+            self._record_event(event | {"kind": "killed"})
         if end is not None:
-            await self._until(end)
+            await self._sleep_until(end)
             await gateway.start()
 
 
-def draw(day: Day) -> list[tuple[float, Query]]:
-    """All queries of the day with their times, in order; the same for the same seed."""
+def draw_queries(day: Day) -> list[tuple[float, Query]]:
+    """Generate all queries of a scenario with their arrival times, in order.
+
+    The result depends only on the scenario and its seed.
+    """
     raw, settings = day.raw, day.config.settings
     random = np.random.default_rng(raw.get("seed", 0))
-    found: list[tuple[float, Query]] = []
+    queries: list[tuple[float, Query]] = []
     for index, stream in enumerate(raw["arrivals"]):
-        cls = next(c for c in settings.classes if c.name == stream["class"])
-        at, to = stream.get("from_s", 0.0), min(day.duration, stream.get("to_s", day.duration))
+        query_class = next(c for c in settings.classes if c.name == stream["class"])
+        at, end = stream.get("from_s", 0.0), min(day.duration, stream.get("to_s", day.duration))
         number = 0
-        while (at := at + float(random.exponential(1.0 / stream["rate"]))) < to:
+        while (at := at + float(random.exponential(1.0 / stream["rate"]))) < end:
             sigma = stream.get("spread", 0.0)
             work = stream["work_s"] * float(random.lognormal(-sigma * sigma / 2.0, sigma))
             table = int(random.integers(stream.get("tables", 1)))
-            order = f"k{random.integers(stream['keys'])}" if stream.get("keys") else ""
-            hints = f"work={work:.5f} threads={cls.threads} memory={stream.get('memory_mb', 1.0)}"
-            hints += f" rows={stream.get('rows', 2)} batches={stream.get('batches', 1)}"
-            verb = "INSERT INTO {} VALUES (1)" if stream.get("update") else "SELECT * FROM {}"
-            text = verb.format(f"t{index}_{table}") + f" /* lab {hints} */"
+            ordering_key = f"k{random.integers(stream['keys'])}" if stream.get("keys") else ""
+            options = f"work={work:.5f} threads={query_class.threads} memory={stream.get('memory_mb', 1.0)}"
+            options += f" rows={stream.get('rows', 2)} batches={stream.get('batches', 1)}"
+            template = "INSERT INTO {} VALUES (1)" if stream.get("update") else "SELECT * FROM {}"
+            text = template.format(f"t{index}_{table}") + f" /* lab {options} */"
             query = Query(
                 id=f"{index}.{number}",
                 text=text,
-                cls=cls.name,
+                query_class=query_class.name,
                 work=work,
-                order=order,
-                update=stream.get("update", False),
-                timeout=stream.get("timeout_s", cls.deadline),
-                cost=work if stream.get("tells_cost") else 0.0,
+                ordering_key=ordering_key,
+                is_update=stream.get("update", False),
+                timeout=stream.get("timeout_s", query_class.deadline),
+                estimated_cost=work if stream.get("tells_cost") else 0.0,
                 driver=stream.get("driver", "grpc"),
-                gateway=int(random.integers(raw.get("gateways", 1))),
-                repeats=stream.get("repeats", 0),
+                gateway_index=int(random.integers(raw.get("gateways", 1))),
+                max_retries=stream.get("repeats", 0),
             )
-            found.append((at, query))
+            queries.append((at, query))
             number += 1
-    return sorted(found, key=lambda pair: pair[0])
+    return sorted(queries, key=lambda pair: pair[0])
 
 
 @dataclass(slots=True)
 class Outcome:
+    """The result of a scenario.
+
+    Attributes:
+        report: The audit's report.
+        record: All recorded events, with times in seconds since the start of the scenario.
+        exit_codes: Exit code of each gateway at the end of the scenario; 0 for one that a fault had ended.
+        duration: Seconds from the start of the gateways to the end of the audit.
+    """
+
     report: Report
     record: list[Event]
     exit_codes: list[int]
-    took: float
+    duration: float
 
 
 async def play(day: Day, folder: Path, level: str = "warning") -> Outcome:
-    """Play a day; the folder holds the gateways' settings and the list."""
+    """Play a scenario, and audit its record.
+
+    Args:
+        day: The scenario.
+        folder: Directory for the settings of the gateways and for the endpoint list.
+        level: Not used; the gateways always log at level `info`.
+    """
     loop = asyncio.get_running_loop()
     record: list[Event] = []
     fleet = Fleet(day, folder, record.append)
@@ -329,41 +398,47 @@
         path = folder / f"gateway-{position}.json"
         path.write_text(json.dumps(gateway_settings(day.raw, position)))
         gateways.append(GatewayProcess(path, "info"))
-    began = time.monotonic()
-    threads = ThreadPoolExecutor(16)
+    started_at = time.monotonic()
+    thread_pool = ThreadPoolExecutor(16)
     try:
         await asyncio.gather(*(g.start() for g in gateways))
-        askers = [Asker(str(n), g, record.append) for n, g in enumerate(gateways)]
-        drivers = [AdbcClient(str(n), g, record.append, threads) for n, g in enumerate(gateways)]
-        await asyncio.sleep(SETTLE)
+        grpc_clients = [QueryClient(str(n), g, record.append) for n, g in enumerate(gateways)]
+        adbc_clients = [AdbcClient(str(n), g, record.append, thread_pool) for n, g in enumerate(gateways)]
+        await asyncio.sleep(STARTUP_DELAY)
         start = loop.time()
-        script = asyncio.create_task(Script(day, fleet, gateways, record.append).run(start))
-        asks: list[asyncio.Task[None]] = []
-        for at, query in draw(day):
+        faults = asyncio.create_task(FaultInjector(day, fleet, gateways, record.append).run(start))
+        submissions: list[asyncio.Task[None]] = []
+        for at, query in draw_queries(day):
             await asyncio.sleep(max(0.0, start + at - loop.time()))
-            who = drivers if query.driver == "adbc" else askers
-            asks.append(asyncio.create_task(who[query.gateway].ask(query)))
-        await asyncio.gather(*asks)
-        await script
-        codes = [await g.end() if g.process and g.process.returncode is None else 0 for g in gateways]
-        for asker in askers:
-            asker.close()
+            clients = adbc_clients if query.driver == "adbc" else grpc_clients
+            submissions.append(asyncio.create_task(clients[query.gateway_index].submit(query)))
+        await asyncio.gather(*submissions)
+        await faults
+        exit_codes = [await g.end() if g.process and g.process.returncode is None else 0 for g in gateways]
+        for client in grpc_clients:
+            client.close()
     finally:
         for gateway in gateways:
             if gateway.process is not None and gateway.process.returncode is None:
                 gateway.process.kill()
         fleet.close()
-        threads.shutdown(wait=False, cancel_futures=True)
+        thread_pool.shutdown(wait=False, cancel_futures=True)
     record = [event | {"at": event["at"] - start} for event in record]
     for event in record:
         if "limit" in event:
             event["limit"] -= start
     report = Audit(record, day.config.settings, day.raw.get("lasting", False)).run()
-    return Outcome(report, record, codes, time.monotonic() - began)
+    return Outcome(report, record, exit_codes, time.monotonic() - started_at)
 
 
 def run_day(day: Day, report_dir: Path | None = None) -> Outcome:
-    """Play a day in a folder of its own; with `report_dir`, leave record and result there."""
+    """Play a scenario in a temporary directory.
+
+    Args:
+        day: The scenario.
+        report_dir: Directory for the record (`record.jsonl`) and the summary (`report.json`); None to write
+            neither.
+    """
     with tempfile.TemporaryDirectory(prefix="saffronlane-") as name:
         outcome = asyncio.run(play(day, Path(name)))
     if report_dir is not None:
@@ -375,23 +450,24 @@
 
 
 def summary(outcome: Outcome) -> dict[str, Any]:
+    """Return the violations and the results of each query class as JSON values."""
     rows = []
     for row in outcome.report.rows:
         latencies = sorted(row.latencies)
-        told = {k: getattr(row, k) for k in row.__dataclass_fields__ if k != "latencies"}
-        for name, part in (("p50_s", 0.5), ("p99_s", 0.99)):
-            told[name] = round(latencies[int(part * (len(latencies) - 1))], 4) if latencies else None
-        rows.append(told)
-    return {"breaches": [str(b) for b in outcome.report.breaches], "classes": rows}
+        values = {k: getattr(row, k) for k in row.__dataclass_fields__ if k != "latencies"}
+        for name, quantile in (("p50_s", 0.5), ("p99_s", 0.99)):
+            values[name] = round(latencies[int(quantile * (len(latencies) - 1))], 4) if latencies else None
+        rows.append(values)
+    return {"breaches": [str(v) for v in outcome.report.violations], "classes": rows}
 
 
 def table(outcome: Outcome) -> str:
-    """What came of each class, for people."""
+    """Return a text table with the results of each query class."""
     columns = ("class", "asked", "in time", "late", "refused", "failed", "attempts", "p50 ms", "p99 ms")
     lines = ["".join(f"{c:>10}" for c in columns)]
     for row in summary(outcome)["classes"]:
-        fifty, most = (f"{1000 * row[k]:.0f}" if row[k] is not None else "-" for k in ("p50_s", "p99_s"))
+        p50, p99 = (f"{1000 * row[k]:.0f}" if row[k] is not None else "-" for k in ("p50_s", "p99_s"))
         values = [row["name"], row["asked"], row["in_time"], row["late"], row["refused"]]
-        values += [row["failed"] + row["unanswered"], row["attempts"], fifty, most]
+        values += [row["failed"] + row["unanswered"], row["attempts"], p50, p99]
         lines.append("".join(f"{v!s:>10}" for v in values))
     return "\n".join(lines)
--- a/saffronlane/lab/engine.py
+++ b/saffronlane/lab/engine.py
@@ -1,7 +1,8 @@
-"""A stand-in engine: a Flight SQL server on the project's own stack, with faults on order.
+"""A stand-in engine: a Flight SQL server on the project's own stack, with fault injection.
 
-What a query takes stands in its text: `/* lab work=0.2 threads=2 memory=100 rows=5 batches=1 */`:
-seconds of one thread, threads, MB, rows and batches of the result.
+A comment in the query text sets the resources that the query uses and the size of its result:
+`/* lab work=0.2 threads=2 memory=100 rows=5 batches=1 */`. Work is in seconds of one thread, memory in MB.
+The result has `batches` record batches of `rows` rows each.
 """
 
 from __future__ import annotations
@@ -29,14 +30,22 @@
 from ..rpc.status import detailed_status
 from .model import EngineShape, Machine, Run
 
-_HINT = re.compile(r"/\*\s*lab\s+([^*]*)\*/")
-Record = Callable[[dict[str, Any]], None]
-Keys = dict[str, tuple[float, list[bytes]]]  # by key: until when it is remembered, and the answer
+_OPTIONS_COMMENT = re.compile(r"/\*\s*lab\s+([^*]*)\*/")
+RecordEvent = Callable[[dict[str, Any]], None]
+KeyedResults = dict[str, tuple[float, list[bytes]]]  # by idempotency key: time of expiry, result messages
 
 
 @dataclass(frozen=True, slots=True)
-class Hints:
-    """What a query's text says that it takes."""
+class QueryOptions:
+    """Resources and result size of a query, from the options comment in its text.
+
+    Attributes:
+        work: Work, in seconds of one thread.
+        threads: Number of threads.
+        memory: Memory in MB.
+        rows: Rows of each record batch, or the record count of an update.
+        batches: Record batches of the result.
+    """
 
     work: float = 0.002
     threads: float = 1.0
@@ -45,26 +54,49 @@
     batches: float = 1.0
 
     @classmethod
-    def of(cls, text: str) -> Hints:
-        found = _HINT.search(text)
-        pairs = (part.split("=", 1) for part in (found.group(1).split() if found else ()) if "=" in part)
+    def parse(cls, text: str) -> QueryOptions:
+        """Parse the options in a query text. Options that are missing have their defaults."""
+        match = _OPTIONS_COMMENT.search(text)
+        pairs = (part.split("=", 1) for part in (match.group(1).split() if match else ()) if "=" in part)
         return cls(**{k: float(v) for k, v in pairs if k in cls.__dataclass_fields__})
 
 
 @dataclass(slots=True)
 class Faults:
-    """What is wrong with an engine now. Each is switched by name; numbers are chances or seconds."""
-
-    refuse: float = 0.0  # chance that a query is turned away unseen
-    error: float = 0.0  # chance of a quick error
-    lose: float = 0.0  # chance that the answer of a query that ran goes missing
-    cut: float = 0.0  # chance that the stream is reset in the middle
-    half_open: bool = False  # takes connections and bytes, and never answers
-    report: str = "true"  # true, none, absurd or stale
+    """The faults that are currently injected into an engine. Scenarios set them by name.
+
+    Attributes:
+        refuse: Probability that a query is rejected before it runs.
+        error: Probability that a query fails at once.
+        lose: Probability that a query runs, but its answer is never sent.
+        cut: Probability that the stream is reset in the middle of the result.
+        half_open: Whether the engine accepts connections and calls, but never answers.
+        report: Content of the load reports: `true` for correct values, `none` for no report, `absurd` for
+            invalid values, `stale` for an outdated number of active queries.
+    """
+
+    refuse: float = 0.0
+    error: float = 0.0
+    lose: float = 0.0
+    cut: float = 0.0
+    half_open: bool = False
+    report: str = "true"
 
 
 @dataclass(slots=True, eq=False)
 class EngineConfig:
+    """Configuration of one stand-in engine.
+
+    Attributes:
+        id: Engine id.
+        shape: Capacity of the engine.
+        host: Address on which the engine listens.
+        port: Port on which the engine listens; 0 for any free port.
+        key_ttl: Seconds for which the engine remembers an idempotency key.
+        note_period: Seconds between the progress reports of a query; 0 if the engine sends none.
+        seed: Random seed of the injected faults.
+    """
+
     id: str
     shape: EngineShape = field(default_factory=EngineShape)
     host: str = "127.0.0.1"
@@ -74,32 +106,45 @@
     seed: int = 0
 
 
-class StandIn:
-    """One engine. Every query's start and end goes to `record`, as seen on its sockets."""
+class StandInEngine:
+    """One stand-in engine.
 
-    def __init__(self, config: EngineConfig, record: Record | None = None, keys: Keys | None = None) -> None:
+    Args:
+        config: The engine's configuration.
+        record_event: Called with an event for the arrival, the start and the end of every query, as observed
+            on the engine's sockets.
+        keyed_results: Results of the idempotency keys that the engine remembers. Engines that share this
+            dictionary recognize each other's keys.
+    """
+
+    def __init__(
+        self,
+        config: EngineConfig,
+        record_event: RecordEvent | None = None,
+        keyed_results: KeyedResults | None = None,
+    ) -> None:
         import numpy as np
 
         self.config = config
         self.faults = Faults()
         self.incarnation = 0
-        self.queries = 0
+        self.answered_count = 0
         self._random = np.random.default_rng([config.seed, *config.id.encode()])
-        self._record = record or (lambda event: None)
+        self._record_event = record_event or (lambda event: None)
         self._loop = asyncio.get_running_loop()
-        self._keys: Keys = {} if keys is None else keys
-        self._ends: dict[int, asyncio.Future[None]] = {}
+        self._keyed_results: KeyedResults = {} if keyed_results is None else keyed_results
+        self._run_ends: dict[int, asyncio.Future[None]] = {}  # by id() of the run
         self._timer: asyncio.TimerHandle | None = None
         self._server: Server | None = None
-        self._active: float | None = None  # last reported
+        self._last_reported_active: float | None = None
         self.machine = Machine(config.shape, -1e9)
         self.port = config.port
         self.started_wall = 0.0
 
-    # --- life ---
+    # --- lifecycle ---
 
     def start(self, cold: bool = False) -> None:
-        """Listen; a cold one has a part of its capacity at first."""
+        """Start to listen. A cold engine has only a part of its capacity at first."""
         import time
 
         self.incarnation += 1
@@ -119,55 +164,59 @@
         self._server.listen(sockets)
 
     def crash(self) -> None:
-        """Gone at once, with all that it was doing."""
+        """Stop at once: close all connections and abandon all queries."""
         if self._server is not None:
             self._server.close()
             self._server = None
-        for end in self._ends.values():
+        for end in self._run_ends.values():
             end.cancel()
-        self._ends.clear()
+        self._run_ends.clear()
         if self._timer is not None:
             self._timer.cancel()
 
     def drain(self) -> None:
-        """GOAWAY on every connection; what runs may end."""
+        """Send GOAWAY on every connection. Running queries may finish."""
         if self._server is not None:
             self._server.drain()
 
-    def hang(self, on: bool) -> None:
+    def hang(self, enabled: bool) -> None:
+        """Start or end a hang, in which no query makes progress."""
         self.machine.advance(self._loop.time())
-        self.machine.hung = on
+        self.machine.hung = enabled
         self._schedule()
 
     def slow(self, factor: float) -> None:
+        """Multiply all run times by a factor; 1 restores the normal speed."""
         self.machine.advance(self._loop.time())
-        self.machine.slow = factor
+        self.machine.slowdown = factor
         self._schedule()
 
     @property
     def address(self) -> str:
+        """Address as `host:port`."""
         return f"{self.config.host}:{self.port}"
 
     @property
-    def up(self) -> bool:
+    def is_up(self) -> bool:
+        """Whether the engine is listening."""
         return self._server is not None
 
     # --- calls ---
 
     async def _get_flight_info(self, call: ServerCall) -> None:
-        await self._still(call)
+        await self._block_while_half_open(call)
         descriptor = flight.FlightDescriptor.FromString(await call.read_single("GetFlightInfo"))
         command = AnyMessage.FromString(descriptor.cmd)
-        if _is(command, sql.CommandStatementQuery):
+        if _is_command(command, sql.CommandStatementQuery):
             text = sql.CommandStatementQuery.FromString(command.value).query
-        elif _is(command, sql.CommandPreparedStatementQuery):
+        elif _is_command(command, sql.CommandPreparedStatementQuery):
             text = sql.CommandPreparedStatementQuery.FromString(
                 command.value
             ).prepared_statement_handle.decode()
         else:
             raise RpcError(Status(Code.UNIMPLEMENTED, f"{command.type_url} is not served"))
-        held = packed(sql.TicketStatementQuery(statement_handle=text.encode()))
-        ticket = flight.Ticket(ticket=held.SerializeToString())
+        statement = packed(sql.TicketStatementQuery(statement_handle=text.encode()))
+        ticket = flight.Ticket(ticket=statement.SerializeToString())
         info = flight.FlightInfo(
             flight_descriptor=descriptor,
             endpoint=[flight.FlightEndpoint(ticket=ticket)],
@@ -177,62 +226,64 @@
         await call.write(info.SerializeToString())
 
     async def _do_get(self, call: ServerCall) -> None:
-        await self._still(call)
+        await self._block_while_half_open(call)
         ticket = flight.Ticket.FromString(await call.read_single("DoGet"))
-        box = AnyMessage.FromString(ticket.ticket)
-        text = sql.TicketStatementQuery.FromString(box.value).statement_handle.decode()
-        hints = Hints.of(text)
-        await self._execute(call, text, hints, lambda: result_of(int(hints.rows), int(hints.batches)))
+        statement = AnyMessage.FromString(ticket.ticket)
+        text = sql.TicketStatementQuery.FromString(statement.value).statement_handle.decode()
+        options = QueryOptions.parse(text)
+        await self._execute(call, text, options, lambda: result_of(int(options.rows), int(options.batches)))
 
     async def _do_put(self, call: ServerCall) -> None:
-        await self._still(call)
-        first = flight.FlightData.FromString(await call.read_single("DoPut"))
-        command = AnyMessage.FromString(first.flight_descriptor.cmd)
-        rows = 0
+        await self._block_while_half_open(call)
+        first_message = flight.FlightData.FromString(await call.read_single("DoPut"))
+        command = AnyMessage.FromString(first_message.flight_descriptor.cmd)
+        further_messages = 0
         while await call.read() is not None:
-            rows += 1
-        if _is(command, sql.CommandPreparedStatementQuery):
+            further_messages += 1
+        if _is_command(command, sql.CommandPreparedStatementQuery):
             handle = sql.CommandPreparedStatementQuery.FromString(command.value).prepared_statement_handle
-            bound = sql.DoPutPreparedStatementResult(prepared_statement_handle=handle)
-            await call.write(flight.PutResult(app_metadata=bound.SerializeToString()).SerializeToString())
+            bind_result = sql.DoPutPreparedStatementResult(prepared_statement_handle=handle)
+            await call.write(
+                flight.PutResult(app_metadata=bind_result.SerializeToString()).SerializeToString()
+            )
             return
-        if _is(command, sql.CommandStatementUpdate):
+        if _is_command(command, sql.CommandStatementUpdate):
             text = sql.CommandStatementUpdate.FromString(command.value).query
         else:
             prepared = sql.CommandPreparedStatementUpdate.FromString(command.value)
             text = prepared.prepared_statement_handle.decode()
-        hints = Hints.of(text)
-        counted = sql.DoPutUpdateResult(record_count=int(hints.rows))
-        answer = [flight.PutResult(app_metadata=counted.SerializeToString()).SerializeToString()]
-        await self._execute(call, text, hints, lambda: answer)
+        options = QueryOptions.parse(text)
+        update_result = sql.DoPutUpdateResult(record_count=int(options.rows))
+        messages = [flight.PutResult(app_metadata=update_result.SerializeToString()).SerializeToString()]
+        await self._execute(call, text, options, lambda: messages)
 
     async def _do_action(self, call: ServerCall) -> None:
-        await self._still(call)
+        await self._block_while_half_open(call)
         action = flight.Action.FromString(await call.read_single("DoAction"))
         if action.type != "CreatePreparedStatement":
-            raise RpcError(Status(Code.UNIMPLEMENTED, f"action {action.type!r}"))
-        box = AnyMessage.FromString(action.body)
-        asked = sql.ActionCreatePreparedStatementRequest.FromString(box.value)
-        made = sql.ActionCreatePreparedStatementResult(prepared_statement_handle=asked.query.encode())
-        answer = packed(made)
-        await call.write(flight.Result(body=answer.SerializeToString()).SerializeToString())
+            raise RpcError(Status(Code.UNIMPLEMENTED, f"action {action.type!r} is not served"))
+        body = AnyMessage.FromString(action.body)
+        request = sql.ActionCreatePreparedStatementRequest.FromString(body.value)
+        result = sql.ActionCreatePreparedStatementResult(prepared_statement_handle=request.query.encode())
+        packed_result = packed(result)
+        await call.write(flight.Result(body=packed_result.SerializeToString()).SerializeToString())
 
     async def _list_actions(self, call: ServerCall) -> None:
-        await self._still(call)
-        call.trailers = ((orca.TRAILER, self._report(0.0, 0.0)),)
+        await self._block_while_half_open(call)
+        call.trailers = ((orca.TRAILER, self._load_report(0.0, 0.0)),)
 
-    async def _still(self, call: ServerCall) -> None:
-        """An engine that hangs half open takes the call, and that is all."""
+    async def _block_while_half_open(self, call: ServerCall) -> None:
+        """Leave an accepted call unanswered while the half-open fault lasts."""
         while self.faults.half_open:
             await asyncio.sleep(0.05)
 
-    def _drawn(self, chance: float) -> bool:
-        return chance > 0.0 and float(self._random.random()) < chance
+    def _occurs(self, probability: float) -> bool:
+        return probability > 0.0 and float(self._random.random()) < probability
 
     async def _execute(
-        self, call: ServerCall, text: str, hints: Hints, result: Callable[[], list[bytes]]
+        self, call: ServerCall, text: str, options: QueryOptions, build_result: Callable[[], list[bytes]]
     ) -> None:
-        told = {
+        attempt = {
             "engine": self.config.id,
             "incarnation": self.incarnation,
             "gateway": call.metadata.text("saffronlane-gateway"),
@@ -240,51 +291,53 @@
             "attempt": call.metadata.text("saffronlane-attempt"),
             "key": call.metadata.text("saffronlane-key"),
             "query": call.metadata.text("x-lab-query"),
-            "work": hints.work,
+            "work": options.work,
         }
-        self._tell("sent", told)
+        self._record_attempt("sent", attempt)
         faults = self.faults
-        if self._drawn(faults.refuse):
-            self._tell("refused", told)
-            raise RpcError(detailed_status(Code.UNAVAILABLE, "turned away", NEVER_RAN_REASON, None))
-        if self._drawn(faults.error):
-            self._tell("error", told)
-            raise RpcError(Status(Code.INTERNAL, "a fault of the engine"))
-        key = str(told["key"])
+        if self._occurs(faults.refuse):
+            self._record_attempt("refused", attempt)
+            raise RpcError(
+                detailed_status(Code.UNAVAILABLE, "query rejected by fault injection", NEVER_RAN_REASON, None)
+            )
+        if self._occurs(faults.error):
+            self._record_attempt("error", attempt)
+            raise RpcError(Status(Code.INTERNAL, "injected fault of the engine"))
+        key = str(attempt["key"])
         now = self._loop.time()
-        for old in [k for k, v in self._keys.items() if v[0] <= now]:
-            del self._keys[old]
-        if key and key in self._keys:
-            self._tell("discarded", told)  # the repeat of a keyed query has no effect of its own
-            messages = self._keys[key][1]
+        for expired_key in [k for k, v in self._keyed_results.items() if v[0] <= now]:
+            del self._keyed_results[expired_key]
+        if key and key in self._keyed_results:
+            self._record_attempt("discarded", attempt)  # A repeated keyed query does not run again.
+            messages = self._keyed_results[key][1]
         else:
-            messages = result()
+            messages = build_result()
             if key:
-                self._keys[key] = (now + self.config.key_ttl, messages)
-            self._tell("ran", told)
+                self._keyed_results[key] = (now + self.config.key_ttl, messages)
+            self._record_attempt("ran", attempt)
             try:
-                await self._run(call, hints)
+                await self._run_query(call, options)
             except asyncio.CancelledError:
-                self._tell("stopped", told)
+                self._record_attempt("stopped", attempt)
                 raise
-        call.trailers = ((orca.TRAILER, self._report(hints.work, hints.memory)),)
-        if self._drawn(faults.lose):
-            self._tell("lost", told)
+        call.trailers = ((orca.TRAILER, self._load_report(options.work, options.memory)),)
+        if self._occurs(faults.lose):
+            self._record_attempt("lost", attempt)
             await asyncio.sleep(3600.0)
-        cut = self._drawn(faults.cut)
+        is_cut = self._occurs(faults.cut)
         for index, message in enumerate(messages):
-            if cut and index >= len(messages) // 2:
-                self._tell("cut", told)
+            if is_cut and index >= len(messages) // 2:
+                self._record_attempt("cut", attempt)
                 call.reset(ErrorCode.INTERNAL_ERROR)
                 return
             await call.write(message)
-        self.queries += 1
-        self._tell("answered", told)
+        self.answered_count += 1
+        self._record_attempt("answered", attempt)
 
-    def _tell(self, kind: str, told: dict[str, Any]) -> None:
-        self._record({"at": self._loop.time(), "kind": kind, **told})
+    def _record_attempt(self, kind: str, attempt: dict[str, Any]) -> None:
+        self._record_event({"at": self._loop.time(), "kind": kind, **attempt})
 
-    def _report(self, work: float, memory: float) -> bytes:
+    def _load_report(self, work: float, memory: float) -> bytes:
         machine = self.machine
         if self.faults.report == "none":
             return b""
@@ -293,38 +346,40 @@
             return OrcaLoadReport(
                 named_metrics={"active": nan}, request_cost={"work": -1.0, "memory": float("inf")}
             ).SerializeToString()
-        if self.faults.report != "stale" or self._active is None:
-            self._active = float(len(machine.running) + len(machine.line))
-        active = self._active  # a stale report says what was true when the fault began
+        if self.faults.report != "stale" or self._last_reported_active is None:
+            self._last_reported_active = float(len(machine.running) + len(machine.queue))
+        active = self._last_reported_active  # A stale report repeats the value from the start of the fault.
         threads = sum(run.threads for run in machine.running)
         return OrcaLoadReport(
             cpu_utilization=min(1.0, threads / machine.shape.cores),
-            named_metrics={"active": active, "queue": float(len(machine.line))},
+            named_metrics={"active": active, "queue": float(len(machine.queue))},
             request_cost={"work": work, "memory": memory},
         ).SerializeToString()
 
-    # --- time ---
+    # --- execution ---
 
-    async def _run(self, call: ServerCall, hints: Hints) -> None:
-        run = Run(hints.work, min(hints.threads, self.config.shape.cores), hints.memory)
+    async def _run_query(self, call: ServerCall, options: QueryOptions) -> None:
+        run = Run(options.work, min(options.threads, self.config.shape.cores), options.memory)
         end: asyncio.Future[None] = self._loop.create_future()
-        self._ends[id(run)] = end
+        self._run_ends[id(run)] = end
         if not self.machine.add(run, self._loop.time()):
-            self._record({"at": self._loop.time(), "kind": "fell", "engine": self.config.id})
+            self._record_event({"at": self._loop.time(), "kind": "fell", "engine": self.config.id})
             self.crash()
             raise asyncio.CancelledError
         self._schedule()
-        notes = asyncio.ensure_future(self._notes(call, run)) if self.config.note_period else None
+        progress_reports = (
+            asyncio.ensure_future(self._send_progress_reports(call, run)) if self.config.note_period else None
+        )
         try:
             await end
         finally:
-            self._ends.pop(id(run), None)
+            self._run_ends.pop(id(run), None)
             self.machine.remove(run, self._loop.time())
             self._schedule()
-            if notes is not None:
-                notes.cancel()
+            if progress_reports is not None:
+                progress_reports.cancel()
 
-    async def _notes(self, call: ServerCall, run: Run) -> None:
+    async def _send_progress_reports(self, call: ServerCall, run: Run) -> None:
         while True:
             await asyncio.sleep(self.config.note_period)
             self.machine.advance(self._loop.time())
@@ -332,28 +387,33 @@
             call.write_now(orca.encode_progress_report(kind, amount))
 
     def _schedule(self) -> None:
-        """Tell what has ended, and look again when the next run will."""
+        """Complete the queries that have finished, and set the timer to the next end of a query."""
         for run in self.machine.collect():
-            end = self._ends.get(id(run))
+            end = self._run_ends.get(id(run))
             if end is not None and not end.done():
                 end.set_result(None)
         if self._timer is not None:
             self._timer.cancel()
-        at = self.machine.next_end(self._loop.time())
-        self._timer = self._loop.call_at(at, self._tick) if at < float("inf") else None
+        next_end = self.machine.next_end(self._loop.time())
+        self._timer = self._loop.call_at(next_end, self._on_timer) if next_end < float("inf") else None
 
-    def _tick(self) -> None:
+    def _on_timer(self) -> None:
         self.machine.advance(self._loop.time())
         self._schedule()
 
 
-def _is(command: AnyMessage, kind: type[Message]) -> bool:
-    return command.type_url.endswith("." + kind.DESCRIPTOR.name)
+def _is_command(command: AnyMessage, message_type: type[Message]) -> bool:
+    return command.type_url.endswith("." + message_type.DESCRIPTOR.name)
 
 
 @cache
 def result_of(rows: int, batches: int) -> list[bytes]:
-    """A result of so many batches of so many rows, as FlightData messages."""
+    """Build a result as FlightData messages.
+
+    Args:
+        rows: Rows of each record batch.
+        batches: Number of record batches.
+    """
     import pyarrow as pa
 
     schema = pa.schema([("id", pa.int64()), ("name", pa.string())])
@@ -363,14 +423,23 @@
 
 
 def read_engine_config(value: dict[str, Any], fallback_id: str = "engine") -> EngineConfig:
-    """ValueError names the key that is unknown or of the wrong type."""
-    known = {"id", "host", "port", "key_ttl", "note_period", "seed"}
+    """Read an engine's configuration from a JSON object.
+
+    Args:
+        value: The JSON object.
+        fallback_id: Engine id if the object has none.
+
+    Raises:
+        ValueError: A key is unknown, or a value of the engine's shape is a string that is not a number.
+        TypeError: A value of the engine's shape is neither a number nor a string.
+    """
+    own_keys = {"id", "host", "port", "key_ttl", "note_period", "seed"}
     shape_keys = set(EngineShape.__dataclass_fields__)
-    unknown = set(value) - known - shape_keys
+    unknown = set(value) - own_keys - shape_keys
     if unknown:
         raise ValueError(
-            f"/{min(unknown)}: not known; expected some of {', '.join(sorted(known | shape_keys))}"
+            f"/{min(unknown)}: unknown key; expected one of {', '.join(sorted(own_keys | shape_keys))}"
         )
     shape = EngineShape(**{k: float(v) for k, v in value.items() if k in shape_keys})
-    rest = {k: v for k, v in value.items() if k in known}
-    return EngineConfig(rest.pop("id", fallback_id), shape, **rest)
+    own_values = {k: v for k, v in value.items() if k in own_keys}
+    return EngineConfig(own_values.pop("id", fallback_id), shape, **own_values)
--- a/saffronlane/lab/fleet/audit.py
+++ b/saffronlane/lab/fleet/audit.py
@@ -40,7 +40,7 @@
     waiting = [
         event for event in record.events if event.get("query") not in left
     ]  # the others are owed nothing
-    findings += [Finding(*_plain(breach)) for breach in Audit(waiting, given).run().breaches]
+    findings += [Finding(*_plain(breach)) for breach in Audit(waiting, given).run().violations]
     findings += (
         _lost(waiting) + _left(record.events) + _cold_sum(record.events, shape) + _ready(record.events)
     )
--- a/saffronlane/lab/fleet/nodes.py
+++ b/saffronlane/lab/fleet/nodes.py
@@ -111,7 +111,7 @@
 
     def slow(self, times: float) -> None:
         self.machine.advance(self.record.now())
-        self.machine.slow = times
+        self.machine.slowdown = times
         self._plan()
 
     def hang(self, on: bool) -> None:
--- a/saffronlane/lab/fleet/virtual.py
+++ b/saffronlane/lab/fleet/virtual.py
@@ -279,7 +279,7 @@
 
     def _pace(self, node: VirtualNode, slow: float) -> None:
         node.machine.advance(self.now)
-        node.machine.slow = slow
+        node.machine.slowdown = slow
         self._plan(node)
 
     def _hang(self, node: VirtualNode, on: bool) -> None:
--- a/saffronlane/lab/model.py
+++ b/saffronlane/lab/model.py
@@ -1,4 +1,4 @@
-"""How a stand-in engine shares its cores and memory. No I/O: time comes in by arguments."""
+"""Model of how a stand-in engine shares its cores and memory. It does no I/O; callers pass in the time."""
 
 from __future__ import annotations
 
@@ -9,22 +9,44 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineShape:
-    """One engine. Work is in seconds of one thread, memory in MB."""
+    """Capacity of one engine, and its behaviour while it is cold (just started) or overloaded.
+
+    Attributes:
+        cores: Number of cores.
+        memory_mb: Memory in MB.
+        speed: Work of one core per second, in seconds of one thread.
+        cold_share: Share of the capacity that is available right after a cold start.
+        warm_after: Seconds from a cold start until the full capacity is available.
+        fall_multiple: A cold engine crashes from overload if it gets more work in `fall_window` than this
+            multiple of its capacity in that time; 0 if it never crashes.
+        fall_window: Window of `fall_multiple`, in seconds.
+        knee: Threads per core above which the total throughput drops.
+        thrash: Loss of throughput above the knee: the throughput is divided by 1 plus this value times the
+            threads per core above the knee.
+    """
 
     cores: float = 4.0
     memory_mb: float = 4096.0
     speed: float = 1.0
-    cold_share: float = 1.0  # of its capacity just after the start
+    cold_share: float = 1.0
     warm_after: float = 0.0
-    fall_multiple: float = 0.0  # 0: it never falls over
+    fall_multiple: float = 0.0
     fall_window: float = 0.0
-    knee: float = math.inf  # threads a core past which less is done in all
-    thrash: float = 0.0  # how much less: each thread a core past the knee takes this part of what is left
+    knee: float = math.inf
+    thrash: float = 0.0
 
 
 @dataclass(slots=True, eq=False)
 class Run:
-    """One query on an engine."""
+    """One query on an engine.
+
+    Attributes:
+        work: Total work, in seconds of one thread.
+        threads: Number of threads that the query uses.
+        memory_mb: Memory that the query needs, in MB.
+        done: Work done so far, in seconds of one thread.
+        waiting: Whether the query waits in the queue for memory.
+    """
 
     work: float
     threads: float
@@ -34,99 +56,118 @@
 
     @property
     def progress(self) -> float:
+        """Share of the work that is done."""
         return min(1.0, self.done / self.work) if self.work > 0.0 else 1.0
 
 
 @dataclass(slots=True, eq=False)
 class Machine:
-    """Processor sharing: threads share the cores evenly; what passes the memory waits in a line."""
+    """Processor sharing: threads share the cores evenly, and queries that exceed the memory wait in a queue.
+
+    Attributes:
+        shape: Capacity of the engine.
+        started: Start time of the engine.
+        slowdown: Factor on all run times, set by fault injection.
+        hung: Whether all work stands still, set by fault injection.
+        has_crashed: Whether the engine has crashed from overload while cold.
+        running: The running queries.
+        queue: The queries that wait for memory.
+        recent_arrivals: (time, work) of the queries that arrived within the overload window while cold.
+        finished: The finished queries that were not collected yet.
+    """
 
     shape: EngineShape
     started: float
-    slow: float = 1.0  # a fault: everything takes so many times as long
+    slowdown: float = 1.0
     hung: bool = False
-    fallen: bool = False
+    has_crashed: bool = False
     running: list[Run] = field(default_factory=list)
-    line: deque[Run] = field(default_factory=deque)
-    sent: deque[tuple[float, float]] = field(default_factory=deque)  # (time, work) while cold
-    ended: list[Run] = field(default_factory=list)  # and not collected yet
-    _at: float = -math.inf
+    queue: deque[Run] = field(default_factory=deque)
+    recent_arrivals: deque[tuple[float, float]] = field(default_factory=deque)
+    finished: list[Run] = field(default_factory=list)
+    _last_advance: float = -math.inf
 
     def capacity(self, now: float) -> float:
-        """Cores' worth of work a second that it can do now."""
+        """Return the current capacity, in seconds of work per second."""
         shape = self.shape
         share = 1.0
         if shape.warm_after > 0.0:
-            warm = min(1.0, max(0.0, (now - self.started) / shape.warm_after))
-            share = shape.cold_share + (1.0 - shape.cold_share) * warm
-        return shape.cores * shape.speed * share / self.slow
+            warm_ratio = min(1.0, max(0.0, (now - self.started) / shape.warm_after))
+            share = shape.cold_share + (1.0 - shape.cold_share) * warm_ratio
+        return shape.cores * shape.speed * share / self.slowdown
 
-    def _rate(self, now: float) -> float:
-        """Work a second of one thread."""
+    def _rate_per_thread(self, now: float) -> float:
+        """Return the work that one thread does per second."""
         threads = sum(run.threads for run in self.running)
         capacity = self.capacity(now)
-        single = capacity / self.shape.cores
-        past = max(0.0, threads / self.shape.cores - self.shape.knee)
-        able = capacity / (1.0 + self.shape.thrash * past)
-        return 0.0 if self.hung or not threads else min(single, able / threads)
+        core_capacity = capacity / self.shape.cores
+        threads_above_knee = max(0.0, threads / self.shape.cores - self.shape.knee)
+        throughput = capacity / (1.0 + self.shape.thrash * threads_above_knee)
+        return 0.0 if self.hung or not threads else min(core_capacity, throughput / threads)
 
     def collect(self) -> list[Run]:
-        """The runs that have ended since it was last asked, whatever made time pass."""
-        ended, self.ended = self.ended, []
-        return ended
+        """Return the queries that have finished since the last call, whichever method advanced the time."""
+        finished, self.finished = self.finished, []
+        return finished
 
     def advance(self, now: float) -> None:
-        """Let time pass."""
-        if self._at > -math.inf and self.running:
-            rate = self._rate(now)
+        """Advance the time: running queries progress, and queued queries start as memory becomes free."""
+        if self._last_advance > -math.inf and self.running:
+            rate = self._rate_per_thread(now)
             for run in self.running:
-                run.done += rate * run.threads * (now - self._at)
-        self._at = now
-        self.ended += [run for run in self.running if run.done >= run.work - 1e-9]
+                run.done += rate * run.threads * (now - self._last_advance)
+        self._last_advance = now
+        self.finished += [run for run in self.running if run.done >= run.work - 1e-9]
         self.running = [run for run in self.running if run.done < run.work - 1e-9]
-        self._let_in()
+        self._start_queued()
 
-    def _let_in(self) -> None:
-        used = sum(run.memory_mb for run in self.running)
-        while self.line and (not self.running or used + self.line[0].memory_mb <= self.shape.memory_mb):
-            run = self.line.popleft()
+    def _start_queued(self) -> None:
+        used_mb = sum(run.memory_mb for run in self.running)
+        while self.queue and (not self.running or used_mb + self.queue[0].memory_mb <= self.shape.memory_mb):
+            run = self.queue.popleft()
             run.waiting = False
             self.running.append(run)
-            used += run.memory_mb
+            used_mb += run.memory_mb
 
     def add(self, run: Run, now: float) -> bool:
-        """Take a query; False: this one made the cold engine fall over."""
+        """Add a query. Return False if it made the cold engine crash from overload."""
         self.advance(now)
         run.waiting = True
-        self.line.append(run)
-        self._let_in()
-        return not self._falls(run, now)
+        self.queue.append(run)
+        self._start_queued()
+        return not self._is_overloaded_by(run, now)
 
-    def _falls(self, run: Run, now: float) -> bool:
+    def _is_overloaded_by(self, run: Run, now: float) -> bool:
         shape = self.shape
         if not shape.fall_multiple or now - self.started > shape.warm_after:
             return False
-        self.sent.append((now, run.work))
-        while self.sent[0][0] < now - shape.fall_window:
-            self.sent.popleft()
+        self.recent_arrivals.append((now, run.work))
+        while self.recent_arrivals[0][0] < now - shape.fall_window:
+            self.recent_arrivals.popleft()
         limit = shape.fall_multiple * self.capacity(now) * shape.fall_window
-        self.fallen = self.fallen or sum(work for _, work in self.sent) > limit
-        return self.fallen
+        self.has_crashed = self.has_crashed or sum(work for _, work in self.recent_arrivals) > limit
+        return self.has_crashed
 
     def remove(self, run: Run, now: float) -> None:
+        """Remove a query that is running or queued; has no effect if it has finished."""
         self.advance(now)
         if run in self.running:
             self.running.remove(run)
-        elif run in self.line:
-            self.line.remove(run)
-        self._let_in()
+        elif run in self.queue:
+            self.queue.remove(run)
+        self._start_queued()
 
     def next_end(self, now: float) -> float:
-        """When the next run ends if nothing changes; infinity: none does."""
-        rate = self._rate(now)
+        """Return when to call `collect` next.
+
+        This is the time at which the next query finishes if nothing changes. While the engine is cold, it is
+        at most 0.05 s ahead. It is infinite if no query makes progress.
+        """
+        rate = self._rate_per_thread(now)
         if rate <= 0.0 or not self.running:
             return math.inf
-        soonest = min((run.work - run.done) / run.threads for run in self.running)
-        # Capacity grows while cold: look again soon, so that the end is not told late.
-        ahead = max(0.0, soonest / rate)
-        return now + (min(ahead, 0.05) if now - self.started < self.shape.warm_after else ahead)
+        shortest = min((run.work - run.done) / run.threads for run in self.running)
+        # The capacity grows while the engine is cold, so queries finish earlier than predicted: check again
+        # soon, so that no end is noticed late.
+        delay = max(0.0, shortest / rate)
+        return now + (min(delay, 0.05) if now - self.started < self.shape.warm_after else delay)
--- a/tests/gateways.py
+++ b/tests/gateways.py
@@ -12,9 +12,9 @@
 
 from saffronlane.config import parse_config
 from saffronlane.daemon import Daemon
-from saffronlane.lab.engine import EngineConfig, StandIn
+from saffronlane.lab.engine import EngineConfig, StandInEngine
 from saffronlane.lab.model import EngineShape
-from saffronlane.lab.up import PLAIN, write_list
+from saffronlane.lab.up import DEFAULT_SETTINGS, write_list
 
 T = TypeVar("T")
 
@@ -25,21 +25,23 @@
     def __init__(self, folder: Path, engines: int, changes: dict[str, Any], note_period: float) -> None:
         self.folder = folder
         self.raw = (
-            PLAIN | {"listen": {"port": 0}, "engines": {"file": "engines.json", "poll_s": 0.02}} | changes
+            DEFAULT_SETTINGS
+            | {"listen": {"port": 0}, "engines": {"file": "engines.json", "poll_s": 0.02}}
+            | changes
         )
         self.record: list[dict[str, Any]] = []
         self.loop = asyncio.new_event_loop()
         self.thread = threading.Thread(target=self.loop.run_forever, daemon=True)
         self.thread.start()
         self.states = {f"e{n}": "ready" for n in range(engines)}
-        self.engines: dict[str, StandIn] = {}
+        self.engines: dict[str, StandInEngine] = {}
         self.version = 0
         self.daemon = self.call(lambda: self._start(note_period))
 
     def _start(self, note_period: float) -> Daemon:
         for number, name in enumerate(self.states):
             config = EngineConfig(name, EngineShape(), note_period=note_period, seed=number)
-            self.engines[name] = StandIn(config, self.record.append)
+            self.engines[name] = StandInEngine(config, self.record.append)
             self.engines[name].start()
         self.publish()
         daemon = Daemon(parse_config(self.raw, "test", self.folder))
@@ -113,7 +115,7 @@
 
 
 def write_config(folder: Path, **changes: Any) -> Path:
-    raw = PLAIN | {"listen": {"port": 0}, "engines": {"file": "engines.json"}} | changes
+    raw = DEFAULT_SETTINGS | {"listen": {"port": 0}, "engines": {"file": "engines.json"}} | changes
     path = folder / "gateway.json"
     path.write_text(json.dumps(raw))
     return path
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -1,4 +1,7 @@
-"""The audit itself: for each rule a forged record that breaks it is caught, and an honest one passes."""
+"""Tests of the audit: for each rule, a record that violates it is reported, and a correct record passes.
+
+The rules and their numbers are explained in `saffronlane.lab.audit`.
+"""
 
 from __future__ import annotations
 
@@ -33,9 +36,9 @@
 )
 
 
-def asked(query: str, at: float, cls: str = "safe", key: str = "", limit: float = 3.0) -> Event:
+def submission(query: str, at: float, cls: str = "safe", key: str = "", timeout: float = 3.0) -> Event:
     event = {"at": at, "kind": "asked", "query": query, "gateway": "0", "cls": cls, "key": key}
-    return event | {"work": 0.1, "limit": at + limit}
+    return event | {"work": 0.1, "limit": at + timeout}
 
 
 def answer(query: str, at: float, code: str = "OK", promise: bool = False) -> Event:
@@ -43,31 +46,33 @@
     return event | {"promise": promise, "retry_after": 0.5 if promise else None}
 
 
-def at_engine(
+def engine_event(
     kind: str, query: str, at: float, attempt: int = 0, engine: str = "e0", work: float = 0.1
 ) -> Event:
     event = {"at": at, "kind": kind, "query": query, "engine": engine, "gateway": "0", "work": work}
     return event | {"attempt": str(attempt), "incarnation": 1, "key": ""}
 
 
-def run_of(query: str, at: float, took: float = 0.1, attempt: int = 0, engine: str = "e0") -> list[Event]:
+def execution(
+    query: str, at: float, duration: float = 0.1, attempt: int = 0, engine: str = "e0"
+) -> list[Event]:
     return [
-        at_engine("sent", query, at, attempt, engine),
-        at_engine("ran", query, at, attempt, engine),
-        at_engine("answered", query, at + took, attempt, engine),
+        engine_event("sent", query, at, attempt, engine),
+        engine_event("ran", query, at, attempt, engine),
+        engine_event("answered", query, at + duration, attempt, engine),
     ]
 
 
-def rules_broken(record: list[Event], settings: api.Settings = SETTINGS) -> list[int]:
-    return [b.rule for b in Audit(record, settings).run().breaches]
+def violated_rules(record: list[Event], settings: api.Settings = SETTINGS) -> list[int]:
+    return [violation.rule for violation in Audit(record, settings).run().violations]
 
 
-def test_an_honest_record_passes_and_is_counted() -> None:
-    record = [asked("a", 0.0), *run_of("a", 0.1), answer("a", 0.3)]
-    record += [asked("b", 1.0), answer("b", 1.1, "UNAVAILABLE", promise=True)]
-    record += [asked("c", 2.0), *run_of("c", 2.0, 0.9), answer("c", 3.0)]
+def test_correct_record_passes_and_its_queries_are_counted_by_result() -> None:
+    record = [submission("a", 0.0), *execution("a", 0.1), answer("a", 0.3)]
+    record += [submission("b", 1.0), answer("b", 1.1, "UNAVAILABLE", promise=True)]
+    record += [submission("c", 2.0), *execution("c", 2.0, 0.9), answer("c", 3.0)]
     report = Audit(record, SETTINGS).run()
-    assert report.good
+    assert report.passed
     row = report.rows[0]
     assert (row.asked, row.in_time, row.late, row.refused, row.attempts) == (3, 1, 1, 1, 2)
 
@@ -75,115 +80,159 @@
 @pytest.mark.parametrize(
     "record",
     [
-        [asked("a", 0.0)],
-        [asked("a", 0.0), answer("a", 0.1), answer("a", 0.2)],
-        [asked("a", 0.0), answer("a", 3.2, "ABORTED")],
-        [asked("a", 0.0), answer("a", 0.1, "ABORTED"), *run_of("a", 0.5)],
-        run_of("never-asked", 0.5),
+        [submission("a", 0.0)],
+        [submission("a", 0.0), answer("a", 0.1), answer("a", 0.2)],
+        [submission("a", 0.0), answer("a", 3.2, "ABORTED")],
+        [submission("a", 0.0), answer("a", 0.1, "ABORTED"), *execution("a", 0.5)],
+        execution("never-asked", 0.5),
     ],
-    ids=["none", "two", "too late", "sent after the answer", "sent unasked"],
+    ids=["none", "two", "too late", "dispatched after the answer", "never submitted"],
 )
-def test_rule_1(record: list[Event]) -> None:
-    assert rules_broken(record) == [1]
+def test_rule_1_reports_missing_repeated_and_late_answers_and_unexpected_dispatches(
+    record: list[Event],
+) -> None:
+    assert violated_rules(record) == [1]
 
 
-def test_rule_1_lets_a_killed_gateways_queries_be() -> None:
+def test_rule_1_ignores_unanswered_queries_of_a_killed_gateway() -> None:
     killed = {"at": 0.5, "kind": "killed", "gateway": "0"}
-    assert rules_broken([asked("a", 0.0), killed]) == []
-    assert rules_broken([asked("a", 0.0), killed, asked("b", 1.0), answer("b", 1.1)]) == []
+    assert violated_rules([submission("a", 0.0), killed]) == []
+    assert violated_rules([submission("a", 0.0), killed, submission("b", 1.0), answer("b", 1.1)]) == []
 
 
-def test_rule_2_effects_twice() -> None:
-    record = [asked("a", 0.0, "keyed"), *run_of("a", 0.1), *run_of("a", 0.5, attempt=1), answer("a", 0.7)]
-    assert rules_broken(record) == [2]
-    assert rules_broken([e for e in record if not (e["kind"] == "ran" and e["at"] > 0.2)]) == []
+def test_rule_2_reports_a_keyed_query_that_ran_twice() -> None:
+    record = [
+        submission("a", 0.0, "keyed"),
+        *execution("a", 0.1),
+        *execution("a", 0.5, attempt=1),
+        answer("a", 0.7),
+    ]
+    assert violated_rules(record) == [2]
+    assert violated_rules([e for e in record if not (e["kind"] == "ran" and e["at"] > 0.2)]) == []
 
 
-def test_rule_2_an_unsafe_query_sent_again() -> None:
-    again = [at_engine("sent", "a", 0.1), at_engine("lost", "a", 0.2), at_engine("sent", "a", 0.9, 1)]
-    assert rules_broken([asked("a", 0.0, "unsafe"), *again, answer("a", 1.0)]) == [2]
-    turned_away = [at_engine("sent", "a", 0.1), at_engine("refused", "a", 0.1), *run_of("a", 0.9, attempt=1)]
-    assert rules_broken([asked("a", 0.0, "unsafe"), *turned_away, answer("a", 1.1)]) == []
+def test_rule_2_reports_a_retry_of_an_unsafe_query_unless_it_was_refused() -> None:
+    retried = [
+        engine_event("sent", "a", 0.1),
+        engine_event("lost", "a", 0.2),
+        engine_event("sent", "a", 0.9, 1),
+    ]
+    assert violated_rules([submission("a", 0.0, "unsafe"), *retried, answer("a", 1.0)]) == [2]
+    refused = [
+        engine_event("sent", "a", 0.1),
+        engine_event("refused", "a", 0.1),
+        *execution("a", 0.9, attempt=1),
+    ]
+    assert violated_rules([submission("a", 0.0, "unsafe"), *refused, answer("a", 1.1)]) == []
 
 
-def test_rule_2_an_unsafe_query_that_ran_and_was_refused() -> None:
-    record = [asked("a", 0.0, "unsafe"), *run_of("a", 0.1), answer("a", 0.5, "UNAVAILABLE", promise=True)]
-    assert rules_broken(record) == [2]
-    assert rules_broken([*record[:-1], answer("a", 0.5, "ABORTED")]) == []
+def test_rule_2_reports_an_unsafe_query_that_ran_but_was_rejected_as_retryable() -> None:
+    record = [
+        submission("a", 0.0, "unsafe"),
+        *execution("a", 0.1),
+        answer("a", 0.5, "UNAVAILABLE", promise=True),
+    ]
+    assert violated_rules(record) == [2]
+    assert violated_rules([*record[:-1], answer("a", 0.5, "ABORTED")]) == []
 
 
-def test_rule_2_a_keyed_query_outside_its_window() -> None:
-    record = [asked("a", 0.0, "keyed"), at_engine("sent", "a", 0.1), at_engine("lost", "a", 0.2)]
-    record += [at_engine("sent", "a", 2.3, 1), at_engine("discarded", "a", 2.3, 1), answer("a", 2.4)]
-    assert rules_broken(record) == [2]
+def test_rule_2_reports_a_retry_of_a_keyed_query_after_its_key_expired() -> None:
+    record = [submission("a", 0.0, "keyed"), engine_event("sent", "a", 0.1), engine_event("lost", "a", 0.2)]
+    record += [engine_event("sent", "a", 2.3, 1), engine_event("discarded", "a", 2.3, 1), answer("a", 2.4)]
+    assert violated_rules(record) == [2]
 
 
-def test_rule_2_attempts_that_overlap() -> None:
-    record = [asked("a", 0.0), *run_of("a", 0.1, took=1.0), *run_of("a", 0.5, attempt=1, engine="e1")]
+def test_rule_2_reports_overlapping_attempts_unless_hedging_is_enabled() -> None:
+    record = [
+        submission("a", 0.0),
+        *execution("a", 0.1, duration=1.0),
+        *execution("a", 0.5, attempt=1, engine="e1"),
+    ]
     record += [answer("a", 1.2)]
-    assert rules_broken(record) == [2]
-    copies = replace(SETTINGS, limits=replace(SETTINGS.limits, hedged_requests_enabled=True))
-    assert rules_broken(record, copies) == []
+    assert violated_rules(record) == [2]
+    hedging_settings = replace(SETTINGS, limits=replace(SETTINGS.limits, hedged_requests_enabled=True))
+    assert violated_rules(record, hedging_settings) == []
 
 
-def test_rule_3() -> None:
-    told = {"at": 1.0, "kind": "list", "gateway": "0", "engine": "e0", "state": "draining"}
-    late = [asked("a", 1.4), *run_of("a", 1.4), answer("a", 1.6)]
-    assert rules_broken([told, *late]) == [3]
-    assert rules_broken([told | {"gateway": "1"}, *late]) == []
-    assert rules_broken([told, told | {"at": 1.3, "state": "ready"}, *late]) == []
-    soon = [asked("a", 1.1), *run_of("a", 1.1), answer("a", 1.3)]
-    assert rules_broken([told, *soon]) == []
+def test_rule_3_reports_a_dispatch_to_a_draining_engine_after_the_grace_period() -> None:
+    drain_listed = {"at": 1.0, "kind": "list", "gateway": "0", "engine": "e0", "state": "draining"}
+    late = [submission("a", 1.4), *execution("a", 1.4), answer("a", 1.6)]
+    assert violated_rules([drain_listed, *late]) == [3]
+    assert violated_rules([drain_listed | {"gateway": "1"}, *late]) == []
+    assert violated_rules([drain_listed, drain_listed | {"at": 1.3, "state": "ready"}, *late]) == []
+    within_grace = [submission("a", 1.1), *execution("a", 1.1), answer("a", 1.3)]
+    assert violated_rules([drain_listed, *within_grace]) == []
 
 
-def cold(at: float) -> Event:
+def cold_start(at: float) -> Event:
     shape = {"capacity": 4.0, "share": 0.25, "warm_after": 4.0, "multiple": 2.0, "window": 1.0}
     return {"at": at, "kind": "cold", "engine": "e0", "incarnation": 1, **shape}
 
 
-def test_rule_4() -> None:
-    told = {"at": 1.0, "kind": "list", "gateway": "0", "engine": "e0", "state": "ready", "incarnation": 1}
-    record: list[Event] = [cold(1.0), told]
-    for n in range(3):  # 3 s of work where 2 x 4 x 0.25 x 1 s are borne
-        sent = at_engine("sent", f"q{n}", 1.05 + n / 100, work=1.0)
-        record += [asked(f"q{n}", 1.0), sent, answer(f"q{n}", 1.5)]
-    assert rules_broken(record) == [4]
-    assert rules_broken([e for e in record if e["kind"] != "list"]) == []  # nobody had been told
-    spread = [e | ({"at": e["at"] + 5.0} if e["kind"] == "sent" else {}) for e in record]
-    assert 4 not in rules_broken(spread)  # warm by then
-
-
-def test_rule_5() -> None:
-    first, second = asked("a", 0.0, "unsafe", "k"), asked("b", 0.2, "unsafe", "k")
-    ends = [answer("a", 0.7), answer("b", 0.8)]
-    assert rules_broken([first, second, *run_of("a", 0.1, 0.5), *run_of("b", 0.4), *ends]) == [5]
-    assert rules_broken([first, second, *run_of("a", 0.1, 0.2), *run_of("b", 0.4), *ends]) == []
-    assert 5 in rules_broken([first, second, *run_of("b", 0.25), *run_of("a", 0.4), *ends])
-    other = second | {"key": "another"}
-    assert rules_broken([first, other, *run_of("a", 0.1, 0.5), *run_of("b", 0.4), *ends]) == []
-
-
-def test_rule_5_a_key_rests_after_an_open_end() -> None:
-    record = [asked("a", 0.0, "unsafe", "k"), asked("b", 0.1, "unsafe", "k")]
-    record += [at_engine("sent", "a", 0.1), at_engine("ran", "a", 0.1), at_engine("stopped", "a", 0.5)]
+def test_rule_4_reports_an_overloaded_cold_engine_if_the_gateway_was_told_of_the_start() -> None:
+    start_listed = {
+        "at": 1.0,
+        "kind": "list",
+        "gateway": "0",
+        "engine": "e0",
+        "state": "ready",
+        "incarnation": 1,
+    }
+    record: list[Event] = [cold_start(1.0), start_listed]
+    for n in range(3):  # 3 s of work; the engine tolerates 2 x 4 x 0.25 x 1 s
+        sent = engine_event("sent", f"q{n}", 1.05 + n / 100, work=1.0)
+        record += [submission(f"q{n}", 1.0), sent, answer(f"q{n}", 1.5)]
+    assert violated_rules(record) == [4]
+    assert violated_rules([e for e in record if e["kind"] != "list"]) == []  # no gateway was told
+    sent_later = [e | ({"at": e["at"] + 5.0} if e["kind"] == "sent" else {}) for e in record]
+    assert 4 not in violated_rules(sent_later)  # the engine is warm by then
+
+
+def test_rule_5_reports_overlapping_or_reordered_queries_with_one_ordering_key() -> None:
+    first, second = submission("a", 0.0, "unsafe", "k"), submission("b", 0.2, "unsafe", "k")
+    answers = [answer("a", 0.7), answer("b", 0.8)]
+    assert violated_rules([first, second, *execution("a", 0.1, 0.5), *execution("b", 0.4), *answers]) == [5]
+    assert violated_rules([first, second, *execution("a", 0.1, 0.2), *execution("b", 0.4), *answers]) == []
+    assert 5 in violated_rules([first, second, *execution("b", 0.25), *execution("a", 0.4), *answers])
+    second_with_other_key = second | {"key": "another"}
+    assert (
+        violated_rules(
+            [first, second_with_other_key, *execution("a", 0.1, 0.5), *execution("b", 0.4), *answers]
+        )
+        == []
+    )
+
+
+def test_rule_5_requires_a_cooldown_of_the_key_after_an_uncertain_outcome() -> None:
+    record = [submission("a", 0.0, "unsafe", "k"), submission("b", 0.1, "unsafe", "k")]
+    record += [
+        engine_event("sent", "a", 0.1),
+        engine_event("ran", "a", 0.1),
+        engine_event("stopped", "a", 0.5),
+    ]
     record += [answer("a", 0.5, "ABORTED"), answer("b", 1.0)]
-    assert rules_broken([*record, *run_of("b", 0.6)]) == [5]
-    assert rules_broken([*record, *run_of("b", 0.85)]) == []
+    assert violated_rules([*record, *execution("b", 0.6)]) == [5]
+    assert violated_rules([*record, *execution("b", 0.85)]) == []
 
 
-def test_rule_6() -> None:
-    place = {"at": 0.0, "kind": "place", "engine": "e0", "zone": "two"}
-    record = [place, asked("a", 0.1, "bound"), *run_of("a", 0.1), answer("a", 0.4)]
-    assert rules_broken(record) == [6]
+def test_rule_6_reports_a_dispatch_outside_the_allowed_zones() -> None:
+    placement = {"at": 0.0, "kind": "place", "engine": "e0", "zone": "two"}
+    record = [placement, submission("a", 0.1, "bound"), *execution("a", 0.1), answer("a", 0.4)]
+    assert violated_rules(record) == [6]
     record[0] = record[0] | {"zone": "one"}
-    assert rules_broken(record) == []
+    assert violated_rules(record) == []
 
 
-def test_rule_7() -> None:
+def test_rule_7_reports_retries_beyond_the_retry_budget() -> None:
     record: list[Event] = []
     for n in range(3):
-        record += [asked(f"q{n}", 1.0 + n), at_engine("sent", f"q{n}", 1.0 + n)]
-        record += [at_engine("refused", f"q{n}", 1.0 + n), at_engine("sent", f"q{n}", 1.1 + n, attempt=1)]
+        record += [submission(f"q{n}", 1.0 + n), engine_event("sent", f"q{n}", 1.0 + n)]
+        record += [
+            engine_event("refused", f"q{n}", 1.0 + n),
+            engine_event("sent", f"q{n}", 1.1 + n, attempt=1),
+        ]
         record += [answer(f"q{n}", 1.5 + n)]
-    assert rules_broken(record) == [7]
-    assert rules_broken([e for e in record if not (e.get("query") == "q0" and e.get("attempt") == "1")]) == []
+    assert violated_rules(record) == [7]
+    assert (
+        violated_rules([e for e in record if not (e.get("query") == "q0" and e.get("attempt") == "1")]) == []
+    )
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -287,7 +287,7 @@
 def test_peers_tell_each_other(tmp_path: Path) -> None:
     from saffronlane.config import parse_config
     from saffronlane.gossip_transport import GossipTransport
-    from saffronlane.lab.up import PLAIN
+    from saffronlane.lab.up import DEFAULT_SETTINGS
 
     def free() -> int:
         import socket
@@ -300,7 +300,7 @@
     heard: list[list[tuple[int, bytes]]] = [[], [], []]
 
     def peers(position: int) -> GossipTransport:
-        raw = PLAIN | {
+        raw = DEFAULT_SETTINGS | {
             "listen": {"port": 0},
             "engines": {"file": "e"},
             "gateway": {"count": 3, "position": position},
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,4 +1,7 @@
-"""The shipped days through real sockets. All at once, each a process: a day is mostly waiting."""
+"""Plays the shipped scenarios ("days") over real sockets.
+
+All scenarios run at the same time, each in its own process, because a scenario mostly waits.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 import pytest
 
 from saffronlane.config import ConfigError
-from saffronlane.lab.day import draw, load_day
+from saffronlane.lab.day import draw_queries, load_day
 from saffronlane.lab.days import names, shipped
 from saffronlane.lab.model import EngineShape, Machine, Run
 
@@ -28,18 +31,19 @@
     "unsafe-and-ordered",
     "whole-path",
 ]
+# Exit code, output, content of report.json, events of record.jsonl.
 Result = tuple[int, str, dict[str, object], list[dict[str, object]]]
 
 
 @pytest.fixture(scope="module")
-def played(tmp_path_factory: pytest.TempPathFactory) -> Iterator[dict[str, Result]]:
+def results(tmp_path_factory: pytest.TempPathFactory) -> Iterator[dict[str, Result]]:
     folder = tmp_path_factory.mktemp("days")
     processes = {}
-    careless = json.loads(shipped("restarts").read_text())
-    del careless["gateway"]["knowledge"]
-    careless["gateway"]["rules"]["order_settle_s"] = 4.0  # longer than any restart here takes
-    (folder / "careless.json").write_text(json.dumps(careless))
-    for day in (*DAYS, str(folder / "careless.json")):
+    stateless = json.loads(shipped("restarts").read_text())
+    del stateless["gateway"]["knowledge"]
+    stateless["gateway"]["rules"]["order_settle_s"] = 4.0  # longer than any restart in this scenario takes
+    (folder / "stateless.json").write_text(json.dumps(stateless))
+    for day in (*DAYS, str(folder / "stateless.json")):
         name = Path(day).stem
         command = [
             sys.executable,
@@ -54,19 +58,19 @@
         processes[name] = subprocess.Popen(
             command, cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True
         )
-    results: dict[str, Result] = {}
+    results_by_name: dict[str, Result] = {}
     for name, process in processes.items():
-        out, _ = process.communicate(timeout=90)
+        output, _ = process.communicate(timeout=90)
         report = json.loads((folder / name / "report.json").read_text())
         lines = (folder / name / "record.jsonl").read_text().splitlines()
-        results[name] = (process.returncode, out, report, [json.loads(line) for line in lines])
-    yield results
+        results_by_name[name] = (process.returncode, output, report, [json.loads(line) for line in lines])
+    yield results_by_name
 
 
 @pytest.mark.parametrize("name", DAYS)
-def test_a_shipped_day_breaks_no_rule(name: str, played: dict[str, Result]) -> None:
-    code, out, report, _ = played[name]
-    assert report["breaches"] == [] and code == 0, out
+def test_shipped_scenario_violates_no_rule(name: str, results: dict[str, Result]) -> None:
+    exit_code, output, report, _ = results[name]
+    assert report["breaches"] == [] and exit_code == 0, output
 
 
 @pytest.mark.parametrize(
@@ -81,47 +85,54 @@
         ("restarts", {"killed", "ended", "cold", "error", "unreachable"}),
     ],
 )
-def test_a_day_has_the_troubles_that_it_is_for(name: str, kinds: set[str], played: dict[str, Result]) -> None:
-    """Else a day that breaks no rule would prove nothing."""
-    assert kinds <= {str(e["kind"]) for e in played[name][3]}
+def test_scenario_records_the_events_that_it_is_meant_to_cause(
+    name: str, kinds: set[str], results: dict[str, Result]
+) -> None:
+    """Guards against a scenario that violates no rule only because its faults never happened."""
+    assert kinds <= {str(e["kind"]) for e in results[name][3]}
+
 
+def test_gateways_that_restart_without_learned_state_violate_rules(results: dict[str, Result]) -> None:
+    """Plays `restarts` without a state directory.
 
-def test_gateways_that_forget_break_rules_when_they_come_back(played: dict[str, Result]) -> None:
-    """The day of the restarts without the folder: else that it breaks no rule with it would prove nothing."""
-    assert played["careless"][2]["breaches"]
+    Guards against a scenario that violates no rule whether or not the gateways keep their learned state.
+    """
+    assert results["stateless"][2]["breaches"]
 
 
-def test_repeats_happen_and_most_are_served_all_the_same(played: dict[str, Result]) -> None:
-    rows = {r["name"]: r for r in played["lost-answers"][2]["classes"]}  # type: ignore[attr-defined]
-    again = [e for e in played["lost-answers"][3] if e["kind"] == "sent" and e["attempt"] == "1"]
-    assert again
+def test_queries_are_retried_and_at_least_80_percent_are_answered_in_time(results: dict[str, Result]) -> None:
+    rows = {r["name"]: r for r in results["lost-answers"][2]["classes"]}  # type: ignore[attr-defined]
+    retries = [e for e in results["lost-answers"][3] if e["kind"] == "sent" and e["attempt"] == "1"]
+    assert retries
     for row in rows.values():
         assert row["in_time"] >= 0.8 * row["asked"]
 
 
-def test_overload_is_refused_with_a_time_to_come_back(played: dict[str, Result]) -> None:
-    refused = [e for e in played["overload"][3] if e["kind"] == "answer" and e["code"] == "UNAVAILABLE"]
+def test_rejections_under_overload_have_a_retry_delay_and_spare_the_cheap_class(
+    results: dict[str, Result],
+) -> None:
+    refused = [e for e in results["overload"][3] if e["kind"] == "answer" and e["code"] == "UNAVAILABLE"]
     assert refused and all(e["promise"] and float(str(e["retry_after"])) > 0.0 for e in refused)
-    rows = {r["name"]: r for r in played["overload"][2]["classes"]}  # type: ignore[attr-defined]
+    rows = {r["name"]: r for r in results["overload"][2]["classes"]}  # type: ignore[attr-defined]
     lookup, report = rows["lookup"], rows["report"]
     assert lookup["refused"] / lookup["asked"] < report["refused"] / report["asked"]
 
 
-def test_a_stopped_gateway_ends_with_code_0(played: dict[str, Result]) -> None:
-    ended = [e for e in played["gateway-kill"][3] if e["kind"] == "ended"]
+def test_stopped_gateway_exits_with_status_0(results: dict[str, Result]) -> None:
+    ended = [e for e in results["gateway-kill"][3] if e["kind"] == "ended"]
     assert {e["gateway"]: e["code"] for e in ended} == {"0": -9, "1": 0}
 
 
-def test_all_shipped_days_are_played_here() -> None:
+def test_this_file_plays_all_shipped_scenarios() -> None:
     assert names() == DAYS
 
 
-def test_a_day_is_drawn_alike_for_a_seed() -> None:
+def test_same_seed_generates_the_same_queries() -> None:
     day = load_day(shipped("whole-path"))
-    first, second = draw(day), draw(day)
+    first, second = draw_queries(day), draw_queries(day)
     assert first == second
     day.raw["seed"] = 99
-    assert draw(day) != first
+    assert draw_queries(day) != first
 
 
 @pytest.mark.parametrize(
@@ -135,17 +146,22 @@
         ({"gateway": {"kinds": [], "classes": []}}, "/gateway/classes"),
     ],
 )
-def test_a_wrong_day_names_the_place(change: dict[str, object], pointer: str, tmp_path: Path) -> None:
+def test_error_for_an_invalid_scenario_points_to_the_invalid_value(
+    change: dict[str, object], pointer: str, tmp_path: Path
+) -> None:
     raw = json.loads(shipped("whole-path").read_text()) | change
     path = tmp_path / "day.json"
     path.write_text(json.dumps(raw))
-    with pytest.raises(ConfigError) as caught:
+    with pytest.raises(ConfigError) as raised:
         load_day(path)
-    assert pointer in [p.pointer for p in caught.value.problems]
+    assert pointer in [p.pointer for p in raised.value.problems]
+
 
+def test_query_that_finishes_while_another_starts_is_collected() -> None:
+    """Guards against a finished query that is never collected.
 
-def test_a_run_that_ends_while_another_begins_is_not_forgotten() -> None:
-    """It was: the stand-in then looked like an engine whose answer goes missing, on a day without fault."""
+    The stand-in engine would then never answer it, although no fault was injected.
+    """
     machine = Machine(EngineShape(cores=4.0), started=-1e6)
     first, second = Run(0.1, 1.0), Run(0.1, 1.0)
     machine.add(first, 0.0)
@@ -155,7 +171,7 @@
     assert machine.collect() == [] and machine.next_end(1.05) == math.inf
 
 
-def test_threads_share_the_cores_and_memory_makes_a_line() -> None:
+def test_threads_share_the_cores_and_queries_queue_for_memory() -> None:
     machine = Machine(EngineShape(cores=2.0, memory_mb=100.0), started=-1e6)
     runs = [Run(1.0, 2.0, 40.0), Run(1.0, 2.0, 40.0), Run(1.0, 1.0, 40.0)]
     for run in runs:
@@ -167,7 +183,7 @@
     assert machine.collect() == runs[:2] and not runs[2].waiting
 
 
-def test_a_cold_machine_falls_over_when_too_much_is_sent() -> None:
+def test_cold_engine_crashes_when_it_is_sent_too_much_work() -> None:
     shape = EngineShape(cores=4.0, cold_share=0.25, warm_after=10.0, fall_multiple=2.0, fall_window=1.0)
     machine = Machine(shape, started=0.0)
     assert machine.add(Run(1.9, 1.0), 0.0)
