--- a/saffronlane/lab/audit.py
+++ b/saffronlane/lab/audit.py
@@ -18,8 +18,8 @@
 - Events from the engines: `sent` (a query reached an engine), `refused` (rejected before it ran),
   `discarded` (a repeat of a keyed query that already ran), `ran` (it started to run, so its side effect
   counts), `stopped` (cancelled while it ran), `answered`, `lost` (it ran, but its answer was never sent),
-  `cut` (the stream was reset in the middle of the result), `error`. Each has engine, incarnation, gateway,
-  request, attempt, key, query and work.
+  `cut` (the stream was reset in the middle of the result), `error` (it failed without having run). Each has
+  engine, incarnation, gateway, request, attempt, key, query and work.
 - Events from the clients: `asked` (a client submitted a query; the event has query, gateway, cls, key, and
   limit, the time at which the client times out), `answer` (query, gateway, code, retry_after), `unreachable`
   (the gateway was down).
@@ -39,7 +39,7 @@
 
 Event = dict[str, Any]
 CLOCK_SLACK = 0.05  # seconds; the two ends of a loopback connection observe an event at different times
-REFUSALS = ("UNAVAILABLE", "RESOURCE_EXHAUSTED")
+REFUSAL_CODES = ("UNAVAILABLE", "RESOURCE_EXHAUSTED")
 UNCERTAIN_ENDS = ("stopped", "lost", "cut")  # after these, the gateway cannot be certain of the outcome
 
 
@@ -212,7 +212,7 @@
                     executions[1]["at"],
                     f"query {query} ({query_class.idempotency.value}) ran {len(executions)} times",
                 )
-            refusals = [a for a in self.answers[query] if a.get("code") in REFUSALS and a.get("promise")]
+            refusals = [a for a in self.answers[query] if a.get("code") in REFUSAL_CODES and a.get("promise")]
             if refusals and executions and query_class.idempotency is api.Idempotency.UNSAFE:
                 self.add_violation(
                     2, refusals[0]["at"], f"unsafe query {query} ran, but was rejected as safe to retry"
@@ -457,7 +457,7 @@
                 )
                 row.in_time += latency <= objective
                 row.late += latency > objective
-            elif answers[0]["code"] in REFUSALS and answers[0].get("promise"):
+            elif answers[0]["code"] in REFUSAL_CODES and answers[0].get("promise"):
                 row.refused += 1
             else:
                 row.failed += 1
--- a/saffronlane/lab/day.py
+++ b/saffronlane/lab/day.py
@@ -257,9 +257,8 @@
         end = at + fault["for_s"] if "for_s" in fault else None
         await self._sleep_until(at)
         if kind in ("kill", "stop"):
-            async with self._gateway_locks[
-                fault["gateway"]
-            ]:  # A gateway that is restarting is not ended yet.
+            # The lock delays this fault until the gateway has restarted after an earlier one.
+            async with self._gateway_locks[fault["gateway"]]:
                 await self._end_gateway(kind, fault["gateway"], end)
         elif kind == "list-broken":
             self._fleet.truncate_list()
--- a/saffronlane/lab/engine.py
+++ b/saffronlane/lab/engine.py
@@ -139,7 +139,7 @@
         self._last_reported_active: float | None = None
         self.machine = Machine(config.shape, -1e9)
         self.port = config.port
-        self.started_wall = 0.0
+        self.started_wall = 0.0  # Unix time of the last cold start; 0 if the engine started warm
 
     # --- lifecycle ---
 
@@ -149,6 +149,7 @@
 
         self.incarnation += 1
         now = self._loop.time()
+        # A warm engine is modelled as one that started long ago.
         self.machine = Machine(self.config.shape, now if cold else now - 1e6)
         self.started_wall = time.time() if cold else 0.0
         handlers = {
