--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -104,7 +104,7 @@
         shape = EngineShape(CORES, 4096.0, 1.0, 0.4, 8.0, 3.0, 2.0)
         self.engines = [Engine(Machine(shape, -1e6)) for _ in range(ENGINES)]
         # Engine 0 is slow. Engine 1 resets some attempts, see `start_attempt`.
-        self.engines[0].machine.slow = 2.5
+        self.engines[0].machine.slowdown = 2.5
         self.now = 0.0
         self.timers: list[tuple[float, int, Callable[[], None]]] = []
         self.timer_numbers = itertools.count()
--- a/tests/gateways.py
+++ b/tests/gateways.py
@@ -12,9 +12,9 @@
 
 from saffronlane.config import parse_config
 from saffronlane.daemon import Daemon
-from saffronlane.lab.engine import EngineConfig, StandIn
+from saffronlane.lab.engine import EngineConfig, StandInEngine
 from saffronlane.lab.model import EngineShape
-from saffronlane.lab.up import PLAIN, write_list
+from saffronlane.lab.up import DEFAULT_SETTINGS, write_list
 
 T = TypeVar("T")
 
@@ -32,21 +32,23 @@
     def __init__(self, directory: Path, engines: int, changes: dict[str, Any], note_period: float) -> None:
         self.directory = directory
         self.settings = (
-            PLAIN | {"listen": {"port": 0}, "engines": {"file": "engines.json", "poll_s": 0.02}} | changes
+            DEFAULT_SETTINGS
+            | {"listen": {"port": 0}, "engines": {"file": "engines.json", "poll_s": 0.02}}
+            | changes
         )
         self.events: list[dict[str, Any]] = []  # recorded by the engines
         self.loop = asyncio.new_event_loop()
         self.thread = threading.Thread(target=self.loop.run_forever, daemon=True)
         self.thread.start()
         self.engine_states = {f"e{number}": "ready" for number in range(engines)}
-        self.engines: dict[str, StandIn] = {}
+        self.engines: dict[str, StandInEngine] = {}
         self.list_version = 0
         self.daemon = self.call_in_loop(lambda: self._start(note_period))
 
     def _start(self, note_period: float) -> Daemon:
         for number, name in enumerate(self.engine_states):
             config = EngineConfig(name, EngineShape(), note_period=note_period, seed=number)
-            self.engines[name] = StandIn(config, self.events.append)
+            self.engines[name] = StandInEngine(config, self.events.append)
             self.engines[name].start()
         self.publish_list()
         daemon = Daemon(parse_config(self.settings, "test", self.directory))
@@ -129,7 +131,7 @@
 
 def write_config(directory: Path, **changes: Any) -> Path:
     """Write the default settings with changes, and return the path of the file."""
-    settings = PLAIN | {"listen": {"port": 0}, "engines": {"file": "engines.json"}} | changes
+    settings = DEFAULT_SETTINGS | {"listen": {"port": 0}, "engines": {"file": "engines.json"}} | changes
     path = directory / "gateway.json"
     path.write_text(json.dumps(settings))
     return path
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -316,7 +316,7 @@
 def test_gossip_reaches_the_addressed_peers_only(tmp_path: Path) -> None:
     from saffronlane.config import parse_config
     from saffronlane.gossip_transport import GossipTransport
-    from saffronlane.lab.up import PLAIN
+    from saffronlane.lab.up import DEFAULT_SETTINGS
 
     def free_port() -> int:
         import socket
@@ -329,7 +329,7 @@
     received: list[list[tuple[int, bytes]]] = [[], [], []]
 
     def make_transport(position: int) -> GossipTransport:
-        settings = PLAIN | {
+        settings = DEFAULT_SETTINGS | {
             "listen": {"port": 0},
             "engines": {"file": "e"},
             "gateway": {"count": 3, "position": position},
