--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -22,7 +22,7 @@
 from pathlib import Path
 
 from node import ROOT, process_cpu  # which also finds the stand-ins of the tests
-from platform_world import Client, Compute, FeedServer, config_text
+from platform_world import Client, ComputeNode, FeedServer, dispatcher_config
 
 EVERY = 0.5  # seconds between the requests of a usual client: longer than idle connections are safe
 
@@ -42,7 +42,7 @@
                 try:
                     if client is None:
                         client = Client(*await asyncio.open_connection("127.0.0.1", self.port))
-                    await client.answer(client.call("ask", f"{self.number:08x}{asked:08x}"))
+                    await client.read_answer(client.call("ask", f"{self.number:08x}{asked:08x}"))
                     break
                 except ConnectionError:
                     client, self.anew = None, self.anew + 1
@@ -74,14 +74,14 @@
     reader.add_argument("--usual", type=int, default=20)
     reader.add_argument("--sockets", type=int, default=256)
     asked = reader.parse_args()
-    compute, feed = Compute(), FeedServer()
+    compute, feed = ComputeNode(), FeedServer()
     await compute.start()
     await feed.start()
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))
         port = free.getsockname()[1]
     limits = {"cores": 1.0, "memory_mb": 96, "sockets": asked.sockets}
-    text = config_text([compute], feed.port, listen=f"127.0.0.1:{port}", limits=limits)
+    text = dispatcher_config([compute], feed.port, listen=f"127.0.0.1:{port}", limits=limits)
     with tempfile.TemporaryDirectory() as name:
         path = Path(name) / "config.json"
         path.write_text(json.dumps(text))
--- a/benchmarks/node.py
+++ b/benchmarks/node.py
@@ -23,7 +23,7 @@
 ROOT = Path(__file__).parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
-from platform_world import Client, Compute, FeedServer, Peer, config_text  # noqa: E402
+from platform_world import Client, ComputeNode, ComputeNodeConnection, FeedServer, dispatcher_config  # noqa: E402
 
 PAGE = b"abcdefgh\t12345\txyz\n" * 250
 NODES, CLIENTS = 5, 4
@@ -39,9 +39,9 @@
 
 
 def script(pages: int):  # type: ignore[no-untyped-def]
-    async def answer(peer: Peer, words: list[bytes]) -> None:
+    async def answer(peer: ComputeNodeConnection, words: list[bytes]) -> None:
         if words[0] == b"fetch":
-            peer.done(words[1], PAGE, pages)
+            peer.send_result(words[1], PAGE, pages)
         elif words[0] == b"more":
             peer.send(words[1], b"MORE", b"sheet=" + words[2], PAGE)
 
@@ -49,7 +49,7 @@
 
 
 async def run(rate: float, seconds: float, pages: int) -> None:
-    computes = [Compute(script(pages)) for _ in range(NODES)]
+    computes = [ComputeNode(script(pages)) for _ in range(NODES)]
     feed = FeedServer()
     await feed.start()
     for compute in computes:
@@ -59,7 +59,7 @@
         port = free.getsockname()[1]
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
-        path.write_text(json.dumps(config_text(computes, feed.port, listen=f"127.0.0.1:{port}")))
+        path.write_text(json.dumps(dispatcher_config(computes, feed.port, listen=f"127.0.0.1:{port}")))
         command = [sys.executable, "-m", "saffronlane.platform"]
         environment = os.environ | {"BALANCER_CONFIG": str(path)}
         process = subprocess.Popen(  # noqa: ASYNC220 - nothing else runs on the loop yet
@@ -96,7 +96,7 @@
 async def _pump(client: Client) -> None:
     while data := await client.reader.read(262_144):
         client._buffer += data
-        client._cut()
+        client._parse_answers()
 
 
 async def _measure(pid: int, port: int, rate: float, seconds: float) -> None:
--- a/tests/node/support.py
+++ b/tests/node/support.py
@@ -1,4 +1,4 @@
-"""Helpers of the tests of one platform node on loopback."""
+"""Helpers for the tests of a platform server on loopback."""
 
 from __future__ import annotations
 
@@ -17,79 +17,111 @@
 
 import msgspec
 import pytest
-from platform_world import Client, Compute, FeedServer, Peer, Script, World, answer, config_text, world
+from platform_world import (
+    Client,
+    ComputeNode,
+    ComputeNodeConnection,
+    FeedServer,
+    Harness,
+    Script,
+    answer_fetches,
+    dispatcher_config,
+    running_harness,
+)
 
 from saffronlane.interface import Outcome
 from saffronlane.platform import descriptors as descriptors_module
 from saffronlane.platform.downstream.client_connection import ClientConnection
 from saffronlane.platform.upstream.connection import UpstreamConnection
 
-RID = "9b1f03aa5c7e2d41"
+REQUEST_ID = "9b1f03aa5c7e2d41"
 
 
-def rid(n: int) -> str:
+def request_id(n: int) -> str:
     return f"{n:016x}"
 
 
-def play(work: Callable[[World], Awaitable[None]], *scripts: Script, **changes: Any) -> None:
+def run_with_harness(
+    scenario: Callable[[Harness], Awaitable[None]], *scripts: Script, **config_changes: Any
+) -> None:
+    """Run a scenario against a server with one compute node per script, or with a single healthy one."""
+
     async def run() -> None:
-        async with world(*scripts, **changes) as built:
-            await work(built)
+        async with running_harness(*scripts, **config_changes) as harness:
+            await scenario(harness)
 
     asyncio.run(run())
 
 
-def once(first: Script, then: Script = answer) -> Script:
-    """A script for the first fetch, and another for the rest."""
-    seen: list[bytes] = []
-
-    async def script(peer: Peer, words: list[bytes]) -> None:
-        if words[0] == b"fetch" and not seen:
-            seen.append(words[1])
-            await first(peer, words)
-        elif words[0] != b"fetch" and seen and words[1:2] == seen[:1] and first is not answer:
-            await first(peer, words)
+def on_first_request(first: Script, then: Script = answer_fetches) -> Script:
+    """Return a script that handles the first request with `first` and all other requests with `then`.
+
+    Compute nodes may share the returned script; only one request among all of them is then the first. Its
+    later commands are handled by `first` as well, but a second fetch of it, which is a retry, by `then`.
+    """
+    first_request_ids: list[bytes] = []
+
+    async def script(connection: ComputeNodeConnection, command: list[bytes]) -> None:
+        if command[0] == b"fetch" and not first_request_ids:
+            first_request_ids.append(command[1])
+            await first(connection, command)
+        elif (
+            command[0] != b"fetch"
+            and first_request_ids
+            and command[1:2] == first_request_ids[:1]
+            and first is not answer_fetches
+        ):
+            await first(connection, command)
         else:
-            await then(peer, words)
+            await then(connection, command)
 
     return script
 
 
-def holding(held: list[tuple[Peer, bytes]]) -> Script:
-    """A node that answers no fetch by itself; each is kept with its connection, for the test to answer."""
+def hold_fetches(held_fetches: list[tuple[ComputeNodeConnection, bytes]]) -> Script:
+    """Return a script that answers no fetch.
 
-    async def script(peer: Peer, words: list[bytes]) -> None:
-        if words[0] == b"fetch":
-            held.append((peer, words[1]))
+    Each fetch is recorded as its connection and request id, so that the test can answer it.
+    """
+
+    async def script(connection: ComputeNodeConnection, command: list[bytes]) -> None:
+        if command[0] == b"fetch":
+            held_fetches.append((connection, command[1]))
 
     return script
 
 
-async def silent(peer: Peer, words: list[bytes]) -> None:
-    return None
+async def never_answer(connection: ComputeNodeConnection, command: list[bytes]) -> None:
+    """Script of a compute node that accepts connections and commands but sends nothing."""
+    return
 
 
-def outcomes(built: World) -> list[Outcome]:
-    """Collects the outcomes that the dispatcher is told from now on."""
-    told: list[Outcome] = []
-    done = built.node.executor.finish_attempt
+def record_outcomes(harness: Harness) -> list[Outcome]:
+    """Return a list that collects the outcomes of all attempts that end from now on."""
+    outcomes: list[Outcome] = []
+    finish_attempt = harness.server.executor.finish_attempt
 
-    def spy(attempt: Any, outcome: Outcome, *rest: Any) -> None:
+    def record(attempt: Any, outcome: Outcome, *measurements: Any) -> None:
         if not attempt.has_ended:
-            told.append(outcome)
-        done(attempt, outcome, *rest)
+            outcomes.append(outcome)
+        finish_attempt(attempt, outcome, *measurements)
 
-    built.node.executor.finish_attempt = spy  # type: ignore[method-assign]
-    return told
+    harness.server.executor.finish_attempt = record  # type: ignore[method-assign]
+    return outcomes
 
 
-def call(msgid: int, cls: object = "ask", body: object = b"SELECT 1", **fields: object) -> bytes:
-    told = {"rid": RID, "budget": "3000", "acct": "acme"} | fields
-    return msgspec.msgpack.encode([0, msgid, cls, [{k: v for k, v in told.items() if v is not None}, body]])
+def encode_call(message_id: int, cls: object = "ask", body: object = b"SELECT 1", **fields: object) -> bytes:
+    """Encode a request; a field that is None is omitted."""
+    params = {"rid": REQUEST_ID, "budget": "3000", "acct": "acme"} | fields
+    params = {key: value for key, value in params.items() if value is not None}
+    return msgspec.msgpack.encode([0, message_id, cls, [params, body]])
 
 
 class SyncClient:
-    """A client whose bytes leave at once, in the middle of a turn of the loop: so a crossing is forced."""
+    """A client whose data is sent synchronously, in the middle of an event-loop iteration.
+
+    Tests use it to force a race with what the server does in the same iteration.
+    """
 
     def __init__(self, port: int) -> None:
         self.socket = socket.create_connection(("127.0.0.1", port))
@@ -105,128 +137,136 @@
     def close(self) -> None:
         self.socket.close()
 
-    async def rest(self) -> tuple[bytes, bool]:
-        """All bytes until the other side ends, and whether that was a reset."""
+    async def read_to_end(self) -> tuple[bytes, bool]:
+        """Return all data until the server ends the connection, and whether it ended with a reset."""
         self.socket.setblocking(False)
-        loop, found = asyncio.get_running_loop(), b""
+        loop, received = asyncio.get_running_loop(), b""
         try:
             async with asyncio.timeout(5.0):
                 while data := await loop.sock_recv(self.socket, 65_536):
-                    found += data
+                    received += data
         except ConnectionResetError:
-            return found, True
+            return received, True
         finally:
             self.socket.close()
-        return found, False
+        return received, False
 
 
-def hold_connections(monkeypatch: pytest.MonkeyPatch) -> asyncio.Event:
-    """No connection to a compute node comes up until the event is set."""
-    free = asyncio.Event()
-    real = UpstreamConnection.connect
+def delay_connections(monkeypatch: pytest.MonkeyPatch) -> asyncio.Event:
+    """Delay the establishment of connections to compute nodes until the returned event is set."""
+    may_connect = asyncio.Event()
+    real_connect = UpstreamConnection.connect
 
-    async def connect(link: UpstreamConnection) -> None:
-        await free.wait()
-        await real(link)
+    async def connect(connection: UpstreamConnection) -> None:
+        await may_connect.wait()
+        await real_connect(connection)
 
     monkeypatch.setattr(UpstreamConnection, "connect", connect)
-    return free
+    return may_connect
 
 
-def own_descriptors(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The node counts what a process of its own would have open, not what the tests hold beside it."""
+def assume_default_open_descriptors(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Make the server assume the open descriptors of a separate process, without those of the tests."""
     monkeypatch.setattr(
         descriptors_module, "_open_descriptor_count", lambda: descriptors_module.DEFAULT_OPEN_DESCRIPTORS
     )
 
 
-def paged(page: bytes, pages: int) -> Script:
-    """A node whose every result is so many of these pages."""
+def paged_results(page: bytes, page_count: int) -> Script:
+    """Return a script that answers each fetch with a result of `page_count` identical pages."""
 
-    async def script(peer: Peer, words: list[bytes]) -> None:
-        if words[0] == b"fetch":
-            peer.done(words[1], page, pages)
-        elif words[0] == b"more":
-            peer.send(words[1], b"MORE", b"sheet=" + words[2], page)
+    async def script(connection: ComputeNodeConnection, command: list[bytes]) -> None:
+        if command[0] == b"fetch":
+            connection.send_result(command[1], page, page_count)
+        elif command[0] == b"more":
+            connection.send(command[1], b"MORE", b"sheet=" + command[2], page)
 
     return script
 
 
 @dataclass
-class Running:
-    """A node in a process of its own, that is ready."""
+class ServerProcess:
+    """A server in a process of its own that is listening."""
 
     process: asyncio.subprocess.Process
-    path: Path  # of its configuration
+    config_path: Path
     port: int
-    computes: list[Compute]
+    compute_nodes: list[ComputeNode]
     feed: FeedServer
 
     async def client(self) -> Client:
         return Client(*await asyncio.open_connection("127.0.0.1", self.port))
 
-    async def logged(self) -> bytes:
+    async def read_log_line(self) -> bytes:
         assert self.process.stderr is not None
         return await self.process.stderr.readline()
 
-    async def until_logged(self, event: bytes) -> None:
-        while event not in await self.logged():
+    async def wait_for_log(self, text: bytes) -> None:
+        while text not in await self.read_log_line():
             pass
 
 
 @contextlib.asynccontextmanager
-async def own_process(
-    tmp_path: Path, *scripts: Script, descriptors: int = 0, **changes: Any
-) -> AsyncIterator[Running]:
-    """A node as `run` starts it; it is ended by its number, whatever becomes of the test."""
-
-    def limit() -> None:
-        if descriptors:
-            resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors))
-
-    computes, feed = [Compute(script) for script in scripts or (answer,)], FeedServer()
-    for compute in computes:
-        await compute.start()
+async def server_process(
+    tmp_path: Path, *scripts: Script, descriptor_limit: int = 0, **config_changes: Any
+) -> AsyncIterator[ServerProcess]:
+    """Start a server as the `run` script does, and kill its process when the test ends, even if it fails."""
+
+    def set_descriptor_limit() -> None:
+        if descriptor_limit:
+            resource.setrlimit(resource.RLIMIT_NOFILE, (descriptor_limit, descriptor_limit))
+
+    compute_nodes, feed = [ComputeNode(script) for script in scripts or (answer_fetches,)], FeedServer()
+    for compute_node in compute_nodes:
+        await compute_node.start()
     await feed.start()
-    with socket.socket() as free:
-        free.bind(("127.0.0.1", 0))
-        port = free.getsockname()[1]
-    path = tmp_path / "config.json"
-    path.write_text(json.dumps(config_text(computes, feed.port, listen=f"127.0.0.1:{port}", **changes)))
+    with socket.socket() as port_finder:
+        port_finder.bind(("127.0.0.1", 0))
+        port = port_finder.getsockname()[1]
+    config_path = tmp_path / "config.json"
+    config = dispatcher_config(compute_nodes, feed.port, listen=f"127.0.0.1:{port}", **config_changes)
+    config_path.write_text(json.dumps(config))
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "saffronlane.platform",
-        env=os.environ | {"BALANCER_CONFIG": str(path)},
+        env=os.environ | {"BALANCER_CONFIG": str(config_path)},
         stderr=asyncio.subprocess.PIPE,
-        preexec_fn=limit,
+        preexec_fn=set_descriptor_limit,
         limit=1_000_000,
     )
-    running = Running(process, path, port, computes, feed)
+    running = ServerProcess(process, config_path, port, compute_nodes, feed)
     try:
         async with asyncio.timeout(20.0):
-            await running.until_logged(b"listening")
+            await running.wait_for_log(b"listening")
         yield running
     finally:
         if process.returncode is None:
             process.kill()
         await process.wait()
-        for compute in computes:
-            compute.close()
+        for compute_node in compute_nodes:
+            compute_node.close()
         feed.close()
 
 
 @contextlib.asynccontextmanager
-async def slow_client(built: World, asked: int) -> AsyncIterator[tuple[socket.socket, ClientConnection]]:
-    """A client that has asked so much and read nothing, through small buffers; all has been answered."""
-    front = built.node.downstream
+async def slow_client(
+    harness: Harness, request_count: int
+) -> AsyncIterator[tuple[socket.socket, ClientConnection]]:
+    """Yield a client that has sent requests and read no answer, and its connection at the server.
+
+    All requests have been answered, and both sides have small buffers.
+    """
+    downstream = harness.server.downstream
     with socket.socket() as client:
         client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        client.connect(("127.0.0.1", front.port))
-        await built.until(lambda: front.clients)
-        (one,) = front.clients
-        one.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8192)
-        client.sendall(b"".join(call(n, rid=rid(n)) for n in range(1, asked + 1)))
-        await built.until(lambda: front.request_count == asked and not one.open_requests)
+        client.connect(("127.0.0.1", downstream.port))
+        await harness.wait_until(lambda: downstream.clients)
+        (connection,) = downstream.clients
+        connection.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8192)
+        client.sendall(b"".join(encode_call(n, rid=request_id(n)) for n in range(1, request_count + 1)))
+        await harness.wait_until(
+            lambda: downstream.request_count == request_count and not connection.open_requests
+        )
         client.setblocking(False)
-        yield client, one
+        yield client, connection
--- a/tests/node/test_certainty.py
+++ b/tests/node/test_certainty.py
@@ -8,12 +8,19 @@
 from typing import Any
 
 import pytest
-from platform_world import ROWS, SETTINGS, Peer, World, answer
+from platform_world import ROWS, SETTINGS, ComputeNodeConnection, Harness, answer_fetches
 
 from saffronlane.interface import Outcome
 from saffronlane.platform.upstream.connection import UpstreamConnection
 
-from .support import hold_connections, holding, outcomes, play, rid, silent
+from .support import (
+    delay_connections,
+    hold_fetches,
+    never_answer,
+    record_outcomes,
+    request_id,
+    run_with_harness,
+)
 
 
 class RawNode:
@@ -44,16 +51,18 @@
             self.connection.close()
 
 
-async def one_link(built: World, node: RawNode) -> UpstreamConnection:
+async def one_link(harness: Harness, node: RawNode) -> UpstreamConnection:
     """Let the node's link come up at a raw node, and give it."""
     from platform_world import member
 
-    await built.until(lambda: built.feed.writers)
-    built.feed.event(2, [member("raw", node.port), member("node-0", built.computes[0].port, "draining")])
-    await built.until(lambda: built.node.discovery.last_sequence == 2)
-    link = built.node.upstream.pool.select(b"raw", b"first")
+    await harness.wait_until(lambda: harness.feed.writers)
+    harness.feed.send_event(
+        2, [member("raw", node.port), member("node-0", harness.compute_nodes[0].port, "draining")]
+    )
+    await harness.wait_until(lambda: harness.server.discovery.last_sequence == 2)
+    link = harness.server.upstream.pool.select(b"raw", b"first")
     assert link is not None
-    await built.until(lambda: link.is_established)
+    await harness.wait_until(lambda: link.is_established)
     node.accept()
     return link
 
@@ -61,10 +70,10 @@
 def test_a_reset_in_the_instant_of_the_write_never_ran(monkeypatch: pytest.MonkeyPatch) -> None:
     """The system took no byte: so an unsafe request may go again. It counted as one that may have run."""
 
-    async def work(built: World) -> None:
+    async def scenario(harness: Harness) -> None:
         node = RawNode()
-        told = outcomes(built)
-        await one_link(built, node)
+        told = record_outcomes(harness)
+        await one_link(harness, node)
         pour = UpstreamConnection.flush
 
         def crossed(link: UpstreamConnection) -> None:
@@ -73,56 +82,56 @@
                 node.listener.close()
                 from platform_world import member
 
-                built.feed.event(3, [member("node-0", built.computes[0].port)])
+                harness.feed.send_event(3, [member("node-0", harness.compute_nodes[0].port)])
             pour(link)
 
         monkeypatch.setattr(UpstreamConnection, "flush", crossed)
-        client = await built.client()
-        answered = await client.answer(client.call("frail", rid(1)))
+        client = await harness.client()
+        answered = await client.read_answer(client.call("frail", request_id(1)))
         assert set(told[:-1]) == {Outcome.CONNECT_FAILED} and answered == (None, [ROWS, {}])
         node.close()
 
-    play(work)
+    run_with_harness(scenario)
 
 
 def test_what_the_node_cannot_have_whole_never_ran() -> None:
     """Its last bytes are still ours when the connection is reset: half of a command runs nowhere."""
 
-    async def work(built: World) -> None:
+    async def scenario(harness: Harness) -> None:
         node = RawNode(receive=4096)
-        told = outcomes(built)
-        link = await one_link(built, node)
+        told = record_outcomes(harness)
+        link = await one_link(harness, node)
         link.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8192)
-        client = await built.client()
+        client = await harness.client()
         body = b"SELECT 1 FROM s_3.t -- " + b"x" * 200_000
-        msgid = client.call("frail", rid(1), body)
-        await built.until(lambda: link.stream.writing())
+        msgid = client.call("frail", request_id(1), body)
+        await harness.wait_until(lambda: link.stream.writing())
         from platform_world import member
 
-        built.feed.event(3, [member("node-0", built.computes[0].port)])
-        await built.until(lambda: built.node.discovery.last_sequence == 3)
+        harness.feed.send_event(3, [member("node-0", harness.compute_nodes[0].port)])
+        await harness.wait_until(lambda: harness.server.discovery.last_sequence == 3)
         node.reset()
-        answered = await client.answer(msgid)
+        answered = await client.read_answer(msgid)
         assert told == [Outcome.CONNECT_FAILED, Outcome.OK] and answered == (None, [ROWS, {}])
         node.close()
 
-    play(work)
+    run_with_harness(scenario)
 
 
 def test_what_waits_behind_a_node_that_does_not_read_can_be_taken_back() -> None:
     """Nothing more is handed to a stream that does not get rid of what it has: its client may leave."""
 
-    async def work(built: World) -> None:
+    async def scenario(harness: Harness) -> None:
         node = RawNode(receive=4096)
-        link = await one_link(built, node)
+        link = await one_link(harness, node)
         link.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8192)
-        first, second = await built.client(), await built.client()
-        first.call("ask", rid(1), b"SELECT 1 -- " + b"x" * 100_000)
-        await built.until(lambda: link.stream.writing())
-        second.call("ask", rid(2))
-        await built.until(lambda: len(link.attempts) == 2)
+        first, second = await harness.client(), await harness.client()
+        first.call("ask", request_id(1), b"SELECT 1 -- " + b"x" * 100_000)
+        await harness.wait_until(lambda: link.stream.writing())
+        second.call("ask", request_id(2))
+        await harness.wait_until(lambda: len(link.attempts) == 2)
         second.close()
-        await built.until(lambda: len(link.attempts) == 1, 0.1)
+        await harness.wait_until(lambda: len(link.attempts) == 1, 0.1)
         # The node reads on: what it gets is the first alone.
         assert node.connection is not None
         node.connection.setblocking(False)
@@ -133,42 +142,46 @@
         await asyncio.sleep(0.05)
         with pytest.raises(BlockingIOError):
             node.connection.recv(1)
-        assert rid(2).encode() not in data
+        assert request_id(2).encode() not in data
         node.close()
 
-    play(work)
+    run_with_harness(scenario)
 
 
 def test_more_than_a_stream_may_hold_leaves_piece_by_piece(monkeypatch: pytest.MonkeyPatch) -> None:
     """Statements that waited for one connection were written in one piece, which was too much for it."""
 
-    async def work(built: World) -> None:
-        free = hold_connections(monkeypatch)
-        told = outcomes(built)
-        clients = [await built.client() for _ in range(2)]
+    async def scenario(harness: Harness) -> None:
+        free = delay_connections(monkeypatch)
+        told = record_outcomes(harness)
+        clients = [await harness.client() for _ in range(2)]
         body = b"SELECT 1 FROM s_3.t -- " + b"x" * 200_000
         asked = [
-            (one, one.call("frail", rid(10 * n + m), body)) for n, one in enumerate(clients) for m in range(6)
+            (one, one.call("frail", request_id(10 * n + m), body))
+            for n, one in enumerate(clients)
+            for m in range(6)
         ]
-        await built.until(lambda: built.tables()["open"] == 12)
+        await harness.wait_until(lambda: harness.table_sizes()["connection_attempts"] == 12)
         free.set()
         for one, msgid in asked:
-            assert await one.answer(msgid) == (None, [ROWS, {}])
+            assert await one.read_answer(msgid) == (None, [ROWS, {}])
         assert told == [Outcome.OK] * 12
 
-    play(work)
+    run_with_harness(scenario)
 
 
 def test_an_answer_before_a_reset_that_a_write_meets_is_taken(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a failed write that closes the stream over answers which are there."""
 
-    async def work(built: World) -> None:
+    async def scenario(harness: Harness) -> None:
         node = RawNode()
-        told = outcomes(built)
-        link = await one_link(built, node)
-        client = await built.client()
-        first = client.call("frail", rid(1))
-        await built.until(lambda: rid(1).encode() in link.attempts and link.attempts[rid(1).encode()].sent_at)
+        told = record_outcomes(harness)
+        link = await one_link(harness, node)
+        client = await harness.client()
+        first = client.call("frail", request_id(1))
+        await harness.wait_until(
+            lambda: request_id(1).encode() in link.attempts and link.attempts[request_id(1).encode()].sent_at
+        )
         from platform_world import member
 
         from saffronlane.resp import encode_command
@@ -177,22 +190,22 @@
 
         def crossed(one: UpstreamConnection) -> None:
             if one is link and link.has_queued_output:
-                done = encode_command(rid(1).encode(), b"DONE", b"sheets=1,toil=5,room=7", ROWS)
+                done = encode_command(request_id(1).encode(), b"DONE", b"sheets=1,toil=5,room=7", ROWS)
                 assert node.connection is not None
                 node.connection.sendall(done)
                 node.reset()
                 node.listener.close()
-                built.feed.event(3, [member("node-0", built.computes[0].port)])
+                harness.feed.send_event(3, [member("node-0", harness.compute_nodes[0].port)])
             pour(one)
 
         monkeypatch.setattr(UpstreamConnection, "flush", crossed)
-        second = client.call("frail", rid(2))
-        assert await client.answer(first) == (None, [ROWS, {}])
-        assert await client.answer(second) == (None, [ROWS, {}])
+        second = client.call("frail", request_id(2))
+        assert await client.read_answer(first) == (None, [ROWS, {}])
+        assert await client.read_answer(second) == (None, [ROWS, {}])
         assert told.count(Outcome.OK) == 2 and set(told) == {Outcome.OK, Outcome.CONNECT_FAILED}
         node.close()
 
-    play(work)
+    run_with_harness(scenario)
 
 
 def test_a_connection_that_its_node_closes_at_rest_is_no_attempts_end(
@@ -203,56 +216,56 @@
     It left, and counted as one that may have run: an unsafe request failed, and its node was blamed.
     """
 
-    async def work(built: World) -> None:
-        told, pour, crossed = outcomes(built), UpstreamConnection.flush, []
-        client = await built.client()
-        assert (await client.answer(client.call("ask", rid(1))))[0] is None
-        (link,) = built.node.upstream.pool.connections_by_engine[b"node-0"]
+    async def scenario(harness: Harness) -> None:
+        told, pour, crossed = record_outcomes(harness), UpstreamConnection.flush, []
+        client = await harness.client()
+        assert (await client.read_answer(client.call("ask", request_id(1))))[0] is None
+        (link,) = harness.server.upstream.pool.connections_by_engine[b"node-0"]
 
         def cross(one: UpstreamConnection) -> None:
             if one is link and one.has_queued_output and not crossed:
                 crossed.append(one)
-                peer = built.computes[0].peers[0]
+                peer = harness.compute_nodes[0].connections[0]
                 peer.writer.transport.get_extra_info("socket").shutdown(socket.SHUT_WR)
             pour(one)
 
         monkeypatch.setattr(UpstreamConnection, "flush", cross)
-        assert await client.answer(client.call("frail", rid(2))) == (None, [ROWS, {}])
+        assert await client.read_answer(client.call("frail", request_id(2))) == (None, [ROWS, {}])
         assert crossed and told == [Outcome.OK, Outcome.OK]
-        assert not built.node.dispatcher.gateway.engine_registry.engines[b"node-0"].failure_ratio
+        assert not harness.server.dispatcher.gateway.engine_registry.engines[b"node-0"].failure_ratio
 
-    play(work)
+    run_with_harness(scenario)
 
 
 def test_a_link_whose_end_its_reader_has_not_seen_is_left_like_any_other() -> None:
     """Its node is removed, or the link is idle, in that instant: the half-close failed there."""
 
-    async def work(built: World) -> None:
-        client = await built.client()
-        assert (await client.answer(client.call("ask", rid(1))))[0] is None
-        upstream = built.node.upstream
+    async def scenario(harness: Harness) -> None:
+        client = await harness.client()
+        assert (await client.read_answer(client.call("ask", request_id(1))))[0] is None
+        upstream = harness.server.upstream
         (link,) = upstream.pool.connections_by_engine[b"node-0"]
         link.stream.close()  # as where the system told of the node's end in this turn of the loop
         upstream.remove_engine(b"node-0")
-        assert await client.answer(client.call("ask", rid(2))) == (None, [ROWS, {}])
-        await built.until(
+        assert await client.read_answer(client.call("ask", request_id(2))) == (None, [ROWS, {}])
+        await harness.wait_until(
             lambda: (
                 link.lifecycle.is_closed
                 and link not in upstream.pool.connections_by_engine.get(b"node-0", ())
             )
         )
 
-    play(work)
+    run_with_harness(scenario)
 
 
 def test_what_is_queued_when_we_close_never_leaves() -> None:
     """It was flushed just before the close, and ended as one that may have run."""
 
-    async def work(built: World) -> None:
-        told = outcomes(built)
-        client = await built.client()
-        assert (await client.answer(client.call("ask", rid(1))))[0] is None
-        upstream = built.node.upstream
+    async def scenario(harness: Harness) -> None:
+        told = record_outcomes(harness)
+        client = await harness.client()
+        assert (await client.read_answer(client.call("ask", request_id(1))))[0] is None
+        upstream = harness.server.upstream
         (link,) = next(iter(upstream.pool.connections_by_engine.values()))
         begin = upstream.begin
 
@@ -262,50 +275,53 @@
                 link.abort("spoilt answer")
 
         upstream.begin = crossed  # type: ignore[method-assign]
-        assert await client.answer(client.call("frail", rid(2))) == (None, [ROWS, {}])
+        assert await client.read_answer(client.call("frail", request_id(2))) == (None, [ROWS, {}])
         assert told == [Outcome.OK, Outcome.NOT_SENT, Outcome.OK]
-        assert [words[1] for words in built.computes[0].words(b"fetch")] == [rid(1).encode(), rid(2).encode()]
+        assert [words[1] for words in harness.compute_nodes[0].commands(b"fetch")] == [
+            request_id(1).encode(),
+            request_id(2).encode(),
+        ]
 
-    play(work)
+    run_with_harness(scenario)
 
 
 def test_a_second_answer_does_not_pass_for_the_next_attempts() -> None:
     """`WAIT`, and some time later rows under the same id: when they come, the request is out again there."""
-    fetched: list[Peer] = []
+    fetched: list[ComputeNodeConnection] = []
 
-    async def script(peer: Peer, words: list[bytes]) -> None:
+    async def script(peer: ComputeNodeConnection, words: list[bytes]) -> None:
         if words[0] != b"fetch":
             return
         fetched.append(peer)
         if len(fetched) == 1:
             peer.send(words[1], b"WAIT", b"-", b"")
         else:
-            fetched[0].done(words[1], b"late\t\t\n")  # on the connection of the first
+            fetched[0].send_result(words[1], b"late\t\t\n")  # on the connection of the first
             await asyncio.sleep(0)
-            peer.done(words[1])
+            peer.send_result(words[1])
 
-    async def work(built: World) -> None:
-        client = await built.client()
-        assert await client.answer(client.call("ask", rid(1))) == (None, [ROWS, {}])
+    async def scenario(harness: Harness) -> None:
+        client = await harness.client()
+        assert await client.read_answer(client.call("ask", request_id(1))) == (None, [ROWS, {}])
         assert len(fetched) == 2
 
-    play(work, script)
+    run_with_harness(scenario, script)
 
 
 def test_an_unsafe_request_never_has_two_attempts_out() -> None:
     """Its node says nothing for longer than the decisions' patience, and then answers."""
-    held: list[tuple[Peer, bytes]] = []
+    held: list[tuple[ComputeNodeConnection, bytes]] = []
 
-    async def work(built: World) -> None:
-        client = await built.client()
-        msgid = client.call("frail", rid(1))
-        await built.until(lambda: held)
+    async def scenario(harness: Harness) -> None:
+        client = await harness.client()
+        msgid = client.call("frail", request_id(1))
+        await harness.wait_until(lambda: held)
         await asyncio.sleep(1.5)
         assert len(held) == 1
-        held[0][0].done(held[0][1])
-        assert await client.answer(msgid) == (None, [ROWS, {}])
+        held[0][0].send_result(held[0][1])
+        assert await client.read_answer(msgid) == (None, [ROWS, {}])
 
-    play(work, holding(held), holding(held))
+    run_with_harness(scenario, hold_fetches(held), hold_fetches(held))
 
 
 def test_no_repeat_reaches_a_node_after_its_keys_time(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -320,58 +336,60 @@
             await asyncio.sleep(0.38)
         await connect(link)
 
-    async def script(peer: Peer, words: list[bytes]) -> None:
+    async def script(peer: ComputeNodeConnection, words: list[bytes]) -> None:
         if words[0] == b"fetch":
             arrived.append(asyncio.get_running_loop().time())
             if len(arrived) == 1:
-                asyncio.get_running_loop().call_later(0.7, peer.cut)
+                asyncio.get_running_loop().call_later(0.7, peer.abort)
             else:
-                peer.done(words[1])
+                peer.send_result(words[1])
 
-    async def work(built: World) -> None:
+    async def scenario(harness: Harness) -> None:
         monkeypatch.setattr(UpstreamConnection, "connect", late)
-        client = await built.client()
-        error, _ = await client.answer(client.call("load", rid(1), token="t1", obj=rid(1)))
+        client = await harness.client()
+        error, _ = await client.read_answer(client.call("load", request_id(1), token="t1", obj=request_id(1)))
         assert arrived and arrived[-1] - arrived[0] <= 1.0 + 0.05
         assert error == ["Fault", {}]  # it may have run, and nobody knows its key any more
 
-    play(work, script, script, settings=SETTINGS | {"services": services, "limits": limits})
+    run_with_harness(scenario, script, script, settings=SETTINGS | {"services": services, "limits": limits})
 
 
 def test_a_retired_connection_still_brings_what_it_owes() -> None:
     """Its node moves; the answer to what is out comes on the old connection."""
-    held: list[tuple[Peer, bytes]] = []
+    held: list[tuple[ComputeNodeConnection, bytes]] = []
 
-    async def work(built: World) -> None:
-        from platform_world import Compute, member
+    async def scenario(harness: Harness) -> None:
+        from platform_world import ComputeNode, member
 
-        await built.until(lambda: built.feed.writers)
-        client = await built.client()
-        first = client.call("frail", rid(1))
-        await built.until(lambda: held)
-        other = Compute(answer)
+        await harness.wait_until(lambda: harness.feed.writers)
+        client = await harness.client()
+        first = client.call("frail", request_id(1))
+        await harness.wait_until(lambda: held)
+        other = ComputeNode(answer_fetches)
         await other.start()
-        built.computes.append(other)
-        built.feed.event(2, [member("node-0", other.port)])
-        await built.until(lambda: built.node.discovery.last_sequence == 2)
-        assert (await client.answer(client.call("ask", rid(2))))[0] is None
-        held[0][0].done(held[0][1])
-        assert await client.answer(first) == (None, [ROWS, {}])
-        await built.until(lambda: len(built.node.upstream.pool.connections_by_engine[b"node-0"]) == 1)
+        harness.compute_nodes.append(other)
+        harness.feed.send_event(2, [member("node-0", other.port)])
+        await harness.wait_until(lambda: harness.server.discovery.last_sequence == 2)
+        assert (await client.read_answer(client.call("ask", request_id(2))))[0] is None
+        held[0][0].send_result(held[0][1])
+        assert await client.read_answer(first) == (None, [ROWS, {}])
+        await harness.wait_until(
+            lambda: len(harness.server.upstream.pool.connections_by_engine[b"node-0"]) == 1
+        )
 
-    play(work, holding(held))
+    run_with_harness(scenario, hold_fetches(held))
 
 
 def test_a_probe_that_ends_last_closes_a_retired_connection() -> None:
     """It stayed open until it had been idle for long: nobody looked when a probe ended."""
 
-    async def work(built: World) -> None:
-        upstream = built.node.upstream
+    async def scenario(harness: Harness) -> None:
+        upstream = harness.server.upstream
         upstream.probe(b"node-0")
         (link,) = upstream.pool.connections_by_engine[b"node-0"]
-        await built.until(lambda: built.computes[0].words(b"alive"))
+        await harness.wait_until(lambda: harness.compute_nodes[0].commands(b"alive"))
         link.drain("its node has gone")
         assert not link.lifecycle.is_closing
-        await built.until(lambda: not upstream.pool.connections_by_engine, 1.5)
+        await harness.wait_until(lambda: not upstream.pool.connections_by_engine, 1.5)
 
-    play(work, silent)
+    run_with_harness(scenario, never_answer)
--- a/tests/node/test_descriptors.py
+++ b/tests/node/test_descriptors.py
@@ -12,12 +12,12 @@
 
 import pytest
 import structlog
-from platform_world import Compute, FeedServer, World, answer, member
+from platform_world import ComputeNode, FeedServer, Harness, answer_fetches, member
 
 from saffronlane.platform import descriptors
 from saffronlane.platform.upstream import connection as connection_module
 
-from .support import RID, SyncClient, call, own_process, play, rid
+from .support import REQUEST_ID, SyncClient, encode_call, request_id, run_with_harness, server_process
 
 
 def test_the_shares_leave_a_reserve_of_what_is_really_open() -> None:
@@ -60,31 +60,31 @@
 
 
 def test_no_descriptor_at_accept_is_met_once_and_without_a_busy_loop() -> None:
-    async def work(built: World) -> None:
-        listener = built.node.downstream.listener
+    async def scenario(harness: Harness) -> None:
+        listener = harness.server.downstream.listener
         starved = Starved(listener._sockets[0])
         listener.pause()
         listener._sockets[0] = starved  # type: ignore[call-overload]
         listener.resume()
         with structlog.testing.capture_logs() as logs:
-            client = SyncClient(built.node.downstream.port)
-            client.send(call(1))
-            await built.until(lambda: starved.tries > 1)
+            client = SyncClient(harness.server.downstream.port)
+            client.send(encode_call(1))
+            await harness.wait_until(lambda: starved.tries > 1)
             loop = asyncio.get_running_loop()
             since, before = loop.time(), starved.tries
             await asyncio.sleep(0.5)
             assert starved.tries - before <= (loop.time() - since) / 0.05 + 1
             starved.left = False  # one is free again: service returns by itself
-            await built.until(lambda: built.node.downstream.request_count == 1, 1.0)
+            await harness.wait_until(lambda: harness.server.downstream.request_count == 1, 1.0)
         said = [one for one in logs if one["event"] == "descriptors exhausted"]
         assert len(said) == 1 and said[0]["operation"] == "accept" and said[0]["remedy"]
         client.close()
 
-    play(work)
+    run_with_harness(scenario)
 
 
 def test_no_descriptor_at_connect_is_met_once_and_service_returns(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def work(built: World) -> None:
+    async def scenario(harness: Harness) -> None:
         real, tries = connection_module.socket.socket, []
 
         def none(*args: Any) -> socket.socket:
@@ -92,31 +92,31 @@
             raise OSError(errno.EMFILE, "Too many open files")
 
         with structlog.testing.capture_logs() as logs:
-            client = await built.client()
+            client = await harness.client()
             monkeypatch.setattr(connection_module.socket, "socket", none)
-            msgid = client.call("ask", RID)
-            await built.until(lambda: tries)
+            msgid = client.call("ask", REQUEST_ID)
+            await harness.wait_until(lambda: tries)
             monkeypatch.setattr(connection_module.socket, "socket", real)
-            error, _ = await client.answer(msgid)
+            error, _ = await client.read_answer(msgid)
             assert error is None or error[0] == "Shed"
-            assert (await client.answer(client.call("ask", rid(2))))[0] is None
+            assert (await client.read_answer(client.call("ask", request_id(2))))[0] is None
         said = [one for one in logs if one["event"] == "descriptors exhausted"]
         assert len(said) == 1 and said[0]["operation"] == "connect"
         assert not any("effect failed" in one["event"] for one in logs)
 
-    play(work)
+    run_with_harness(scenario)
 
 
 def test_idle_connections_to_nodes_make_way_where_the_system_gives_none(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def work(built: World) -> None:
-        upstream = built.node.upstream
+    async def scenario(harness: Harness) -> None:
+        upstream = harness.server.upstream
         upstream.probe(b"node-0")
-        await built.until(lambda: built.computes[0].words(b"alive"))
-        built.computes[0].peers[0].send(b"p1", b"FIT", b"-", b"")
+        await harness.wait_until(lambda: harness.compute_nodes[0].commands(b"alive"))
+        harness.compute_nodes[0].connections[0].send(b"p1", b"FIT", b"-", b"")
         (link,) = upstream.pool.connections_by_engine[b"node-0"]
-        await built.until(lambda: not link.has_pending_work)
+        await harness.wait_until(lambda: not link.has_pending_work)
         real, tries = connection_module.socket.socket, []
 
         def once(*args: Any) -> socket.socket:
@@ -129,38 +129,41 @@
         assert upstream.pool.select(b"node-1", b"x") is not None and not link.lifecycle.accepts_work
         monkeypatch.setattr(connection_module.socket, "socket", real)
 
-    play(work, answer, answer)
+    run_with_harness(scenario, answer_fetches, answer_fetches)
 
 
 @pytest.mark.parametrize("told", [96, 1024], ids=["as the limit is", "the system's limit is less"])
 def test_idle_clients_fill_the_descriptors_while_discovery_is_down(told: int, tmp_path: Path) -> None:
     """The feed's return, a new node and usual clients all find a descriptor."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         limits = {"cores": 1.0, "memory_mb": 64, "sockets": told}
         idle: list[SyncClient] = []
-        later = Compute()
+        later = ComputeNode()
         await later.start()
-        async with own_process(tmp_path, descriptors=96, limits=limits) as running, asyncio.timeout(40.0):
+        async with (
+            server_process(tmp_path, descriptor_limit=96, limits=limits) as running,
+            asyncio.timeout(40.0),
+        ):
             running.feed.close()  # and nobody listens there: discovery is down
             for _ in range(200):
                 idle.append(SyncClient(running.port))
                 await asyncio.sleep(0)
             logged: list[bytes] = []
             while sum(b"discovery watch interrupted" in line for line in logged) < 3:
-                logged.append(await running.logged())
+                logged.append(await running.read_log_line())
             again = FeedServer()
             again.port = running.feed.port
             await again.start()
-            while not again.asked:
+            while not again.subscribed_sequences:
                 await asyncio.sleep(0.01)
-            (first,) = running.computes
-            again.event(2, [member("node-1", later.port), member("node-0", first.port, "removed")])
+            (first,) = running.compute_nodes
+            again.send_event(2, [member("node-1", later.port), member("node-0", first.port, "removed")])
             while not any(b'"node-1 up' in line for line in logged):
-                logged.append(await running.logged())
+                logged.append(await running.read_log_line())
             client = await running.client()
-            assert (await client.answer(client.call("ask", RID)))[0] is None
-            assert later.words(b"fetch") and not first.words(b"fetch")
+            assert (await client.read_answer(client.call("ask", REQUEST_ID)))[0] is None
+            assert later.commands(b"fetch") and not first.commands(b"fetch")
             client.close()
             again.close()
             said = [line for line in logged if b"descriptors exhausted" in line]
@@ -169,4 +172,4 @@
             one.close()
         later.close()
 
-    asyncio.run(work())
+    asyncio.run(scenario())
--- a/tests/node/test_ends.py
+++ b/tests/node/test_ends.py
@@ -13,9 +13,9 @@
 import pytest
 from platform_world import (
     ROWS,
-    Peer,
-    World,
-    config_text,
+    ComputeNodeConnection,
+    Harness,
+    dispatcher_config,
     member,
 )
 
@@ -23,28 +23,30 @@
 from saffronlane.platform.upstream import paged_result
 from saffronlane.policy.gateway import MAX_REMOVED_ENGINES
 
-from .support import RID, own_process, play, rid
+from .support import REQUEST_ID, request_id, run_with_harness, server_process
 
 
 def test_every_map_is_back_to_its_size_after_churn() -> None:
     """Nodes replaced under new ids at known addresses, clients ever new: nothing of them stays."""
 
-    async def work(built: World) -> None:
-        feed, gateway = built.feed, built.node.dispatcher.gateway
-        await built.until(lambda: feed.writers)
+    async def scenario(harness: Harness) -> None:
+        feed, gateway = harness.feed, harness.server.dispatcher.gateway
+        await harness.wait_until(lambda: feed.writers)
         number, name = 1, "node-0"
-        port = built.computes[0].port
+        port = harness.compute_nodes[0].port
         for turn in range(MAX_REMOVED_ENGINES + 20):
-            client = await built.client()
-            assert (await client.answer(client.call("ask", rid(turn))))[0] is None
+            client = await harness.client()
+            assert (await client.read_answer(client.call("ask", request_id(turn))))[0] is None
             client.close()
             number += 1
-            feed.event(number, [member(name, port, "draining"), member(f"new-{turn}", port)])
-            feed.event(number + 1, [member(name, port, "removed")])
+            feed.send_event(number, [member(name, port, "draining"), member(f"new-{turn}", port)])
+            feed.send_event(number + 1, [member(name, port, "removed")])
             number, name = number + 1, f"new-{turn}"
-            await built.until(lambda last=number: built.node.discovery.last_sequence == last)  # type: ignore[misc]
-        await built.until(lambda: not any(built.tables().values()) and not built.node.downstream.clients)
-        node = built.node
+            await harness.wait_until(lambda last=number: harness.server.discovery.last_sequence == last)  # type: ignore[misc]
+        await harness.wait_until(
+            lambda: not any(harness.table_sizes().values()) and not harness.server.downstream.clients
+        )
+        node = harness.server
         assert len(node.endpoints) == len(node.dispatcher._engines) == 1
         assert len(node.upstream.pool.connections_by_engine) <= 1
         assert (
@@ -54,49 +56,49 @@
         )
         assert len(gateway.engine_selector.eligibility.rendezvous_order.cached_orders) <= 2
 
-    play(work)
+    run_with_harness(scenario)
 
 
 def test_sigterm_gives_every_answer_and_ends() -> None:
     """Requests in each stage: held, on their way, in pages, and one that comes after the signal."""
 
-    async def script(peer: Peer, words: list[bytes]) -> None:
+    async def script(peer: ComputeNodeConnection, words: list[bytes]) -> None:
         if words[0] == b"fetch":
             await asyncio.sleep(0.2)
-            peer.done(words[1], ROWS, 2)
+            peer.send_result(words[1], ROWS, 2)
         elif words[0] == b"more":
             peer.send(words[1], b"MORE", b"sheet=1", ROWS)
 
-    async def work(built: World) -> None:
-        client = await built.client()
-        ids = [client.call("ask", rid(n)) for n in range(6)]
-        await built.until(lambda: built.computes[0].words(b"fetch"))
-        built.node.stop()
-        ids.append(client.call("ask", rid(7)))
-        late = await built.client()
-        msgid = late.call("ask", rid(8))
+    async def scenario(harness: Harness) -> None:
+        client = await harness.client()
+        ids = [client.call("ask", request_id(n)) for n in range(6)]
+        await harness.wait_until(lambda: harness.compute_nodes[0].commands(b"fetch"))
+        harness.server.stop()
+        ids.append(client.call("ask", request_id(7)))
+        late = await harness.client()
+        msgid = late.call("ask", request_id(8))
         for one in ids:
-            assert await client.answer(one) == (None, [ROWS + ROWS, {}])
-        assert await late.answer(msgid) == (None, [ROWS + ROWS, {}])
+            assert await client.read_answer(one) == (None, [ROWS + ROWS, {}])
+        assert await late.read_answer(msgid) == (None, [ROWS + ROWS, {}])
         async with asyncio.timeout(5.0):
-            await built.node.run()
+            await harness.server.run()
 
-    play(work, script)
+    run_with_harness(scenario, script)
 
 
 def test_the_process_starts_light_serves_and_ends_on_sigterm(tmp_path: Path) -> None:
     """What `run` starts: no heavy library is loaded, a bad SIGHUP is no end, SIGTERM is one with exit 0."""
 
-    async def work() -> None:
-        async with own_process(tmp_path) as running, asyncio.timeout(20.0):
+    async def scenario() -> None:
+        async with server_process(tmp_path) as running, asyncio.timeout(20.0):
             client = await running.client()
-            running.path.write_text("not json")
+            running.config_path.write_text("not json")
             running.process.send_signal(signal.SIGHUP)
-            assert (await client.answer(client.call("ask", RID)))[0] is None
+            assert (await client.read_answer(client.call("ask", REQUEST_ID)))[0] is None
             running.process.send_signal(signal.SIGTERM)
             assert await running.process.wait() == 0
 
-    asyncio.run(work())
+    asyncio.run(scenario())
 
 
 def test_a_node_loads_nothing_heavy() -> None:
@@ -114,7 +116,7 @@
 
 def test_a_bad_configuration_ends_at_once_with_its_place(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(config_text([], 9, listen="nowhere")))
+    path.write_text(json.dumps(dispatcher_config([], 9, listen="nowhere")))
     done = subprocess.run(
         [sys.executable, "-m", "saffronlane.platform"],
         check=False,
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -1,4 +1,4 @@
-"""A world of one platform node on loopback: scripted stand-in compute nodes, a control feed, clients."""
+"""Harness of a platform server on loopback: stand-in compute nodes and control feed, and clients."""
 
 from __future__ import annotations
 
@@ -39,41 +39,43 @@
     ],
     "tenants": [{"name": "acme", "allowancePerS": 1000.0, "share": 1.0}],
 }
-Script = Callable[["Peer", list[bytes]], Awaitable[None]]
+# What a stand-in compute node does with a command that arrives on one of its connections.
+Script = Callable[["ComputeNodeConnection", list[bytes]], Awaitable[None]]
 
 
-class Peer:
-    """One connection at a stand-in compute node."""
+class ComputeNodeConnection:
+    """One connection, as a stand-in compute node sees it."""
 
-    def __init__(self, node: Compute, writer: asyncio.StreamWriter) -> None:
-        self.node, self.writer = node, writer
+    def __init__(self, compute_node: ComputeNode, writer: asyncio.StreamWriter) -> None:
+        self.compute_node, self.writer = compute_node, writer
 
-    def send(self, *words: bytes) -> None:
-        self.writer.write(encode_command(*words))
+    def send(self, *elements: bytes) -> None:
+        self.writer.write(encode_command(*elements))
 
-    def raw(self, data: bytes) -> None:
+    def send_raw(self, data: bytes) -> None:
         self.writer.write(data)
 
-    def done(self, name: bytes, body: bytes = ROWS, sheets: int = 1) -> None:
-        self.send(name, b"DONE", b"sheets=%d,toil=5,room=7" % sheets, body)
+    def send_result(self, request_id: bytes, page: bytes = ROWS, page_count: int = 1) -> None:
+        """Send the first page of a result."""
+        self.send(request_id, b"DONE", b"sheets=%d,toil=5,room=7" % page_count, page)
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         self.writer.transport.abort()
 
 
-async def answer(peer: Peer, words: list[bytes]) -> None:
-    """A node that is well."""
-    if words[0] == b"fetch":
-        peer.done(words[1])
+async def answer_fetches(connection: ComputeNodeConnection, command: list[bytes]) -> None:
+    """Script of a healthy compute node."""
+    if command[0] == b"fetch":
+        connection.send_result(command[1])
 
 
-class Compute:
-    """A stand-in compute node: each command is kept, and a script answers."""
+class ComputeNode:
+    """A stand-in compute node that records each command and runs a script for it."""
 
-    def __init__(self, script: Script = answer) -> None:
+    def __init__(self, script: Script = answer_fetches) -> None:
         self.script = script
-        self.heard: list[list[bytes]] = []
-        self.peers: list[Peer] = []
+        self.received_commands: list[list[bytes]] = []
+        self.connections: list[ComputeNodeConnection] = []
         self.server: asyncio.Server | None = None
         self.port = 0
 
@@ -82,35 +84,35 @@
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        peer = Peer(self, writer)
-        self.peers.append(peer)
+        connection = ComputeNodeConnection(self, writer)
+        self.connections.append(connection)
         parser = RespParser(8, 1_000_000)
         with contextlib.suppress(ConnectionError, asyncio.CancelledError):
             while data := await reader.read(65_536):
-                found, error = parser.feed(data)
+                commands, error = parser.feed(data)
                 assert error is None, error
-                for words in found:
-                    self.heard.append(words)
-                    await self.script(peer, words)
+                for command in commands:
+                    self.received_commands.append(command)
+                    await self.script(connection, command)
         writer.close()
 
-    def words(self, verb: bytes) -> list[list[bytes]]:
-        return [words for words in self.heard if words[0] == verb]
+    def commands(self, verb: bytes) -> list[list[bytes]]:
+        return [command for command in self.received_commands if command[0] == verb]
 
     def close(self) -> None:
         if self.server is not None:
             self.server.close()
-        for peer in self.peers:
-            peer.writer.close()
+        for connection in self.connections:
+            connection.writer.close()
 
 
 class FeedServer:
-    """A stand-in control feed: connections with the number that each asked from."""
+    """A stand-in control feed that records the sequence number each connection subscribes from."""
 
     def __init__(self) -> None:
-        self.asked: list[int] = []
+        self.subscribed_sequences: list[int] = []
         self.writers: list[asyncio.StreamWriter] = []
-        self.on_ask: Callable[[asyncio.StreamWriter], None] = lambda writer: None
+        self.on_subscribe: Callable[[asyncio.StreamWriter], None] = lambda writer: None
         self.server: asyncio.Server | None = None
         self.port = 0
 
@@ -122,17 +124,18 @@
         with contextlib.suppress(ConnectionError, asyncio.CancelledError):
             line = await reader.readline()
             if line.startswith(b"SUB "):
-                self.asked.append(int(line[4:]))
+                self.subscribed_sequences.append(int(line[4:]))
                 self.writers.append(writer)
-                self.on_ask(writer)
+                self.on_subscribe(writer)
             while await reader.read(100):
                 pass
 
-    def say(self, line: bytes) -> None:
+    def send_line(self, line: bytes) -> None:
+        """Send a line on the newest connection."""
         self.writers[-1].write(line)
 
-    def event(self, n: int, members: list[dict[str, Any]], complete: bool = False) -> None:
-        self.say(event_line(n, members, complete))
+    def send_event(self, sequence: int, members: list[dict[str, Any]], complete: bool = False) -> None:
+        self.send_line(event_line(sequence, members, complete))
 
     def close(self) -> None:
         if self.server is not None:
@@ -141,65 +144,67 @@
             writer.close()
 
 
-def event_line(n: int, members: list[dict[str, Any]], complete: bool = False) -> bytes:
-    told = {"n": n, "members": {"revision": n, "complete": complete, "members": members}}
-    return json.dumps(told).encode() + b"\n"
+def event_line(sequence: int, members: list[dict[str, Any]], complete: bool = False) -> bytes:
+    event = {"n": sequence, "members": {"revision": sequence, "complete": complete, "members": members}}
+    return json.dumps(event).encode() + b"\n"
 
 
-def member(name: str, port: int, phase: str = "up", **more: Any) -> dict[str, Any]:
+def member(name: str, port: int, phase: str = "up", **fields: Any) -> dict[str, Any]:
+    """Return a compute node as the control feed lists it."""
     return {
         "id": name,
         "host_port": f"127.0.0.1:{port}",
         "locality": "here",
         "flavor": "std",
         "phase": phase,
-    } | more
+    } | fields
 
 
 class Client:
-    """A client's connection. Message ids count up from 1."""
+    """A client with one connection. Its message ids count up from 1."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
-        self.next = 0
+        self.last_message_id = 0
         self.answers: dict[int, tuple[Any, Any]] = {}
         self._buffer = bytearray()
 
-    def call(self, cls: str, rid: str, body: bytes = b"SELECT 1 FROM s_3.t", **fields: str) -> int:
-        self.next += 1
-        told = {"rid": rid, "budget": "3000", "acct": "acme"} | fields
-        self.raw(msgspec.msgpack.encode([0, self.next, cls, [told, body]]))
-        return self.next
+    def call(self, cls: str, request_id: str, body: bytes = b"SELECT 1 FROM s_3.t", **fields: str) -> int:
+        """Send a request and return its message id."""
+        self.last_message_id += 1
+        params = {"rid": request_id, "budget": "3000", "acct": "acme"} | fields
+        self.send_raw(msgspec.msgpack.encode([0, self.last_message_id, cls, [params, body]]))
+        return self.last_message_id
 
-    def raw(self, data: bytes) -> None:
+    def send_raw(self, data: bytes) -> None:
         self.writer.write(data)
 
-    async def answer(self, msgid: int, seconds: float = 5.0) -> tuple[Any, Any]:
-        """The error and the result that came under a number. ConnectionError where the connection closed."""
-        async with asyncio.timeout(seconds):
-            while msgid not in self.answers:
+    async def read_answer(self, message_id: int, timeout: float = 5.0) -> tuple[Any, Any]:
+        """Return the error and the result of an answer; raise ConnectionError if the connection closes."""
+        async with asyncio.timeout(timeout):
+            while message_id not in self.answers:
                 data = await self.reader.read(65_536)
                 if not data:
                     raise ConnectionResetError("closed")
                 self._buffer += data
-                self._cut()
-        return self.answers[msgid]
+                self._parse_answers()
+        return self.answers[message_id]
 
-    def _cut(self) -> None:
+    def _parse_answers(self) -> None:
         from saffronlane.msgpackrpc import Scanner
 
-        found, error = Scanner(1_000_000, 10_000).feed(bytes(self._buffer))
+        messages, error = Scanner(1_000_000, 10_000).feed(bytes(self._buffer))
         assert error is None, error
-        for message in found:
+        for message in messages:
             del self._buffer[: len(message)]
-            kind, msgid, problem, result = msgspec.msgpack.decode(message)
-            assert kind == 1 and msgid not in self.answers, "a second answer"
-            self.answers[msgid] = (problem, result)
+            kind, message_id, fault, result = msgspec.msgpack.decode(message)
+            assert kind == 1 and message_id not in self.answers, "a second answer"
+            self.answers[message_id] = (fault, result)
 
-    async def closed(self, seconds: float = 5.0) -> bool:
-        """Whether the other side closes in time."""
+    async def wait_closed(self, timeout: float = 5.0) -> bool:
+        """Return True once the server has closed the connection; raise TimeoutError if it does not."""
         with contextlib.suppress(ConnectionError):
-            async with asyncio.timeout(seconds):
+            async with asyncio.timeout(timeout):
                 while await self.reader.read(65_536):
                     pass
         return True
@@ -208,78 +213,81 @@
         self.writer.close()
 
 
-class World:
-    """One node with its stand-ins."""
+class Harness:
+    """A server with its stand-in compute nodes, its stand-in control feed and its clients."""
 
-    def __init__(self, node: DispatcherServer, computes: list[Compute], feed: FeedServer) -> None:
-        self.node, self.computes, self.feed = node, computes, feed
+    def __init__(self, server: DispatcherServer, compute_nodes: list[ComputeNode], feed: FeedServer) -> None:
+        self.server, self.compute_nodes, self.feed = server, compute_nodes, feed
         self._clients: list[Client] = []
 
     async def client(self) -> Client:
-        client = Client(*await asyncio.open_connection("127.0.0.1", self.node.downstream.port))
+        client = Client(*await asyncio.open_connection("127.0.0.1", self.server.downstream.port))
         self._clients.append(client)
         return client
 
-    async def until(self, true: Callable[[], object], seconds: float = 8.0) -> None:
-        async with asyncio.timeout(seconds):
-            while not true():
+    async def wait_until(self, condition: Callable[[], object], timeout: float = 8.0) -> None:
+        async with asyncio.timeout(timeout):
+            while not condition():
                 await asyncio.sleep(0.005)
 
-    def tables(self) -> dict[str, int]:
-        """The size of every map that a request, a client or a node leaves something in."""
-        node, core = self.node, self.node.dispatcher
-        gateway = core.gateway
+    def table_sizes(self) -> dict[str, int]:
+        """Return the size of every table that holds entries of requests and attempts."""
+        server, dispatcher = self.server, self.server.dispatcher
+        gateway = dispatcher.gateway
         return {
-            "requests": len(node.executor._requests),
-            "core": len(core._requests),
-            "jobs": len(gateway.pending.requests),
-            "attempts": len(gateway.in_flight.attempts),
-            "held": len(gateway.pending.queued),
-            "ids": len(node.downstream.open_request_ids),
-            "open": sum(
-                len(link.attempts)
-                for links in node.upstream.pool.connections_by_engine.values()
-                for link in links
+            "executor_requests": len(server.executor._requests),
+            "dispatcher_requests": len(dispatcher._requests),
+            "pending_requests": len(gateway.pending.requests),
+            "in_flight_attempts": len(gateway.in_flight.attempts),
+            "queued_requests": len(gateway.pending.queued),
+            "open_request_ids": len(server.downstream.open_request_ids),
+            "connection_attempts": sum(
+                len(connection.attempts)
+                for connections in server.upstream.pool.connections_by_engine.values()
+                for connection in connections
             ),
         }
 
     def close(self) -> None:
         for client in self._clients:
             client.close()
-        self.node.close()
-        for compute in self.computes:
-            compute.close()
+        self.server.close()
+        for compute_node in self.compute_nodes:
+            compute_node.close()
         self.feed.close()
 
 
-def config_text(computes: list[Compute], feed_port: int, **changes: Any) -> dict[str, Any]:
-    members = [member(f"node-{n}", compute.port) for n, compute in enumerate(computes)]
-    told = {"revision": 1, "complete": True, "members": members}
+def dispatcher_config(compute_nodes: list[ComputeNode], feed_port: int, **changes: Any) -> dict[str, Any]:
+    """Return the content of a configuration file that lists these compute nodes as known."""
+    members = [member(f"node-{n}", compute_node.port) for n, compute_node in enumerate(compute_nodes)]
+    endpoint_list = {"revision": 1, "complete": True, "members": members}
     return {
         "name": "n0",
         "listen": "127.0.0.1:1",
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
         "feed": f"127.0.0.1:{feed_port}",
-        "known": {"n": 1, "events": [{"n": 1, "members": told}]},
+        "known": {"n": 1, "events": [{"n": 1, "members": endpoint_list}]},
         "settings": SETTINGS,
     } | changes
 
 
 @contextlib.asynccontextmanager
-async def world(*scripts: Script, **changes: Any) -> AsyncIterator[World]:
-    computes = [Compute(script) for script in scripts or (answer,)]
+async def running_harness(*scripts: Script, **config_changes: Any) -> AsyncIterator[Harness]:
+    """Run a server with one compute node per script, or with a single healthy one."""
+    compute_nodes = [ComputeNode(script) for script in scripts or (answer_fetches,)]
     feed = FeedServer()
     await feed.start()
-    for compute in computes:
-        await compute.start()
-    config = parse_config(json.dumps(config_text(computes, feed.port, **changes)).encode())
+    for compute_node in compute_nodes:
+        await compute_node.start()
+    config_file = json.dumps(dispatcher_config(compute_nodes, feed.port, **config_changes))
+    config = parse_config(config_file.encode())
     object.__setattr__(config, "listen", ("127.0.0.1", 0))
-    node = DispatcherServer(config)
-    node.start()
-    built = World(node, computes, feed)
+    server = DispatcherServer(config)
+    server.start()
+    harness = Harness(server, compute_nodes, feed)
     try:
-        yield built
+        yield harness
     finally:
-        built.close()
+        harness.close()
         await asyncio.sleep(0)
--- a/tests/test_platform_parts.py
+++ b/tests/test_platform_parts.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from platform_world import SETTINGS, config_text, member
+from platform_world import SETTINGS, dispatcher_config, member
 from test_benchlink import PARAMS
 
 from saffronlane import interface as api
@@ -106,7 +106,7 @@
 
 
 def raw(**changes: Any) -> bytes:
-    return json.dumps(config_text([], 9, **changes)).encode()
+    return json.dumps(dispatcher_config([], 9, **changes)).encode()
 
 
 def test_a_configuration_is_read() -> None:
