--- a/saffronlane/platform/config.py
+++ b/saffronlane/platform/config.py
@@ -91,7 +91,7 @@
         memory_mb: The memory that the process may use, in MB.
         cores: The number of cores that the process may use.
         peer_listen: The address that receives gossip; None if there is no gossip.
-        peers: The gossip addresses of all dispatchers, by position.
+        peers: The gossip addresses of all dispatchers, in the order of their gateway indexes.
         broadcast_address: The address that reaches all peers; None if each peer is sent its own message.
         last_sequence: The sequence number of the last known event.
         known_events: The endpoint lists known at startup, in order.
--- a/saffronlane/platform/connection_output.py
+++ b/saffronlane/platform/connection_output.py
@@ -45,7 +45,7 @@
         """Advance a graceful shutdown as far as pending work and output allow."""
 
     def schedule_flush(self) -> None:
-        """Flush once at the end of this event-loop iteration, so that its output is written together."""
+        """Flush once at the end of this event-loop iteration, to write all of its output together."""
         if self._is_flush_scheduled:
             return
         if not self.stream.writing():
@@ -80,7 +80,7 @@
         self.flush_and_settle()
 
     def update_stall(self) -> float:
-        """Record write progress; return the seconds for which none of the pending output was written."""
+        """Record write progress; return for how many seconds pending output has made no progress."""
         now = self.loop.time()
         if self._progress.has_progressed() or not self.has_pending_output:
             self._progress.record(now)
--- a/saffronlane/platform/descriptors.py
+++ b/saffronlane/platform/descriptors.py
@@ -13,9 +13,12 @@
 log = structlog.get_logger()
 ENGINE_DESCRIPTOR_RATIO = 0.25
 RESERVED_DESCRIPTORS = 16  # for discovery, gossip, and connections that close while others open
-DEFAULT_OPEN_DESCRIPTORS = 8  # standard streams and the event loop, if the system does not report the number
+DEFAULT_OPEN_DESCRIPTORS = 8  # the minimum that is assumed: the standard streams and the event loop
 LOG_INTERVAL = 5.0  # seconds between log events of exhaustion
-REMEDY = "Raise the descriptor limit, or find out which peers hold connections; service resumes by itself."
+REMEDY = (
+    "Raise the descriptor limit, or find out which clients or engines hold connections; service resumes by "
+    "itself."
+)
 _EXHAUSTION_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
@@ -58,7 +61,7 @@
         self._logged_at = -LOG_INTERVAL
 
     def report_if_exhausted(self, error: OSError, operation: str) -> bool:
-        """Return whether an error is due to a lack of descriptors, or of memory for one; log it if so."""
+        """Return whether an error means that no descriptor, or no memory for one, is left; log it if so."""
         if error.errno not in _EXHAUSTION_ERRORS:
             return False
         self.occurrence_count += 1
--- a/saffronlane/platform/errors.py
+++ b/saffronlane/platform/errors.py
@@ -32,5 +32,6 @@
     """A response violates the protocol."""
 
     remedy = (
-        "Check that compute node and the network path to it; requests are retried at other compute nodes."
+        "Check the compute node and the network path to it; requests are retried at other compute nodes "
+        "where that is safe."
     )
--- a/saffronlane/platform/lifecycle/connection.py
+++ b/saffronlane/platform/lifecycle/connection.py
@@ -1,8 +1,8 @@
 """The lifecycle of one connection, to a client or to a compute node.
 
 Both sides use the same state machine. It implements graceful shutdown, half-close and lingering close as
-usual for TCP servers. The driver owns the socket and reports events. On entering HALF_CLOSED it shuts down
-the write side; on entering CLOSED it closes the socket.
+usual for TCP servers. The driver, `ManagedConnection`, owns the socket and reports events. On entering
+HALF_CLOSED, it shuts down the write side; on entering CLOSED, it closes the socket.
 """
 
 from __future__ import annotations
@@ -107,7 +107,7 @@
             self.deadline = now + self._limits.stall_timeout
 
     def discard(self, byte_count: int, now: float) -> State:
-        """Count discarded input and return the resulting state, which is CLOSED once there was too much."""
+        """Count discarded input and return the resulting state; CLOSED if too much was discarded."""
         self._discarded_bytes += byte_count
         if self._discarded_bytes > self._limits.max_linger_bytes:
             return self.handle(Event.EXPIRED, now)
--- a/saffronlane/platform/lifecycle/process.py
+++ b/saffronlane/platform/lifecycle/process.py
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutstandingWork:
-    """What must still be completed before the process ends, as observed by the driver.
+    """The work that must be completed before the process ends, as observed by `GracefulShutdown`.
 
     Attributes:
         last_request_at: The time at which the last request arrived, in seconds.
--- a/saffronlane/platform/managed_connection.py
+++ b/saffronlane/platform/managed_connection.py
@@ -1,6 +1,7 @@
 """A connection that reads, writes and closes as its `ConnectionLifecycle` decides.
 
-Both sides derive their connections from it: `downstream` those of clients, `upstream` those to compute nodes.
+Both sides derive their connections from this class: `downstream` those from clients, `upstream` those to
+compute nodes.
 """
 
 from __future__ import annotations
@@ -106,11 +107,11 @@
             self.handle_event(Event.FLUSHED, "flushed")
 
     def call_after_pending_input(self, callback: Callable[[], None]) -> None:
-        """Call back once all input that has arrived by now was read, or was passed on to be read.
+        """Call back in the event-loop iteration in which the reader task resumes with all input so far.
 
         Without this wait, a connection could be closed although input had arrived before the decision and
-        only the event loop was late. The next iteration's `select` finds this input; in the iteration after
-        that, it has been passed on.
+        only the event loop was late. The next iteration's `select` finds this input, and the stream reads it.
+        The reader task resumes in the iteration after that; until then, `has_unprocessed_input` is true.
         """
         self.loop.call_soon(self.loop.call_soon, callback)
 
--- a/saffronlane/platform/reload.py
+++ b/saffronlane/platform/reload.py
@@ -33,7 +33,10 @@
 
 
 def reload_config(path: Path, current: DispatcherConfig) -> DispatcherConfig | None:
-    """Load the configuration again; log an error and return None if it is invalid or another dispatcher's."""
+    """Load the configuration again.
+
+    If it is invalid or belongs to another dispatcher, log an error and return None.
+    """
     try:
         loaded = load_config(path)
     except ConfigError as error:
--- a/saffronlane/platform/shutdown.py
+++ b/saffronlane/platform/shutdown.py
@@ -22,7 +22,7 @@
     Args:
         process: The state machine that decides the phases.
         dispatcher: The dispatcher, which counts pending requests.
-        executor: The executor, which receives the input that answers all pending requests.
+        executor: The executor, which is fed `FinishDrain` to answer all pending requests.
         downstream: The server of client connections, which is drained.
     """
 
@@ -70,8 +70,8 @@
         try:
             while self._process.phase is not Phase.ENDED:
                 await asyncio.sleep(CHECK_INTERVAL)
-                # After two more iterations of the event loop, all input that has arrived by now was read, or
-                # was passed on to be read.
+                # After two more iterations of the event loop, the reader tasks have received all input that
+                # has arrived by now, or are scheduled to resume with it.
                 await asyncio.sleep(0)
                 await asyncio.sleep(0)
                 self._advance()
@@ -97,7 +97,8 @@
         )
         is_drained = self._process.phase is Phase.DRAINING and not is_pending
         has_unread = is_drained and downstream.has_unread_input()
-        # The kernel has accepted the connections in the listen backlog, so their requests must be answered.
+        # While the listener is paused for lack of capacity, connections may wait in the listen backlog. The
+        # kernel has accepted them, so their requests must be answered.
         awaits_capacity = downstream.listener.is_paused and not self._process.is_expedited
         return OutstandingWork(
             downstream.last_request_at,
--- a/saffronlane/platform/stream.py
+++ b/saffronlane/platform/stream.py
@@ -62,7 +62,7 @@
                 self._read_buffer_size += len(data)
 
     def shutdown_write(self) -> None:
-        """Half-close the connection: the peer reads an end of stream, and data that it sent is not reset."""
+        """Half-close the connection: the peer reads an end of stream; unread data from it causes no reset."""
         if self.closed():  # the stream noticed the peer's close, and the reader task has not run since
             return
         with contextlib.suppress(OSError):  # the connection is broken, which the reader reports
--- a/saffronlane/platform/upstream/attempt.py
+++ b/saffronlane/platform/upstream/attempt.py
@@ -22,7 +22,7 @@
         connection: The connection that carries the attempt; None until one is selected.
         sent_at: The event loop's time, in seconds, at which the command was handed to the stream; 0 while
             it is queued.
-        end_offset: The number of bytes written to the connection up to the end of this attempt's command.
+        end_offset: The offset in the connection's output at which this attempt's command ends, in bytes.
         is_ended: Whether the outcome has been reported.
         deferral_count: How often sending was deferred until the client's input was processed.
         was_reassigned: Whether the attempt moved to a second connection because the first closed before
--- a/saffronlane/platform/upstream/client.py
+++ b/saffronlane/platform/upstream/client.py
@@ -29,6 +29,6 @@
 
 
 def response_sink(request: Request) -> ResponseSink:
-    """Return the sink of a request with its type, which the executor does not know."""
+    """Return the sink of a request, which the executor handles as an opaque object, with its actual type."""
     sink: ResponseSink = request.sink
     return sink
--- a/saffronlane/platform/upstream/command_sender.py
+++ b/saffronlane/platform/upstream/command_sender.py
@@ -85,8 +85,8 @@
     def _may_be_withdrawn(attempt: UpstreamAttempt) -> bool:
         if attempt.deferral_count >= MAX_DEFERRALS:
             return False
-        # A request with a queued attempt that counts as answered has lost its client. The dispatcher is
-        # stepped later in this iteration of the event loop and withdraws the attempt.
+        # If a request counts as answered while its attempt is queued, its client has disconnected. The
+        # dispatcher runs later in this iteration of the event loop and withdraws the attempt.
         return attempt.request.is_answered or response_sink(attempt.request).has_unprocessed_input
 
     def _requeue_deferred(self) -> None:
--- a/saffronlane/platform/upstream/connection.py
+++ b/saffronlane/platform/upstream/connection.py
@@ -74,7 +74,7 @@
 
     def has_capacity(self, request_id: bytes, max_streams: int) -> bool:
         """Return whether the connection can carry one more attempt, with this request id."""
-        # A broken stream is closed, and its write buffer dropped, before the reader task learns of it and
+        # A broken stream is closed, and its write buffer is dropped, before the reader task resumes and
         # updates the lifecycle.
         is_usable = self.lifecycle.accepts_work and not self.stream.closed()
         is_new_id = request_id not in self.attempts and request_id not in self._retired_ids
@@ -159,7 +159,7 @@
     def retire(self, attempt: UpstreamAttempt) -> None:
         """Accept no further attempt with the request id of this one.
 
-        A late response to this attempt could otherwise be taken for a response to the other.
+        A late response to this attempt could otherwise be taken for a response to the new attempt.
         """
         self._retired_ids.add(attempt.statement.request_id)
 
@@ -179,7 +179,7 @@
             self.settle()
 
     def on_closed(self, event: Event, reason: str) -> None:
-        """End each attempt and probe with the outcome that the bytes written so far prove."""
+        """End each attempt and probe; the bytes written so far show which attempts may have run."""
         if self.has_pending_work:
             engine = self.engine.decode("utf-8", "replace")
             log.info("upstream connection lost", engine=engine, attempts=len(self.attempts), reason=reason)
--- a/saffronlane/platform/upstream/paged_result.py
+++ b/saffronlane/platform/upstream/paged_result.py
@@ -76,7 +76,7 @@
             )
 
     def next_page_to_request(self) -> int | None:
-        """Return the number of the next page, counted as requested; None if none should be requested now."""
+        """Count the next page as requested and return its number; None if no page should be requested now."""
         outstanding = self.requested_page_count - len(self._pages)
         if self.requested_page_count >= self.page_count or outstanding >= MAX_OUTSTANDING_PAGES:
             return None
--- a/saffronlane/platform/upstream/pool.py
+++ b/saffronlane/platform/upstream/pool.py
@@ -15,8 +15,8 @@
 from .listener import ConnectionListener
 
 log = structlog.get_logger()
-IDLE_TIMEOUT_RATIO = 0.7  # of the time after which compute nodes close idle connections themselves
-MAX_LINGERING = 8  # closing connections that do not count: the descriptor reserve covers them
+IDLE_TIMEOUT_RATIO = 0.7  # relative to the time after which compute nodes close idle connections
+MAX_LINGERING = 8  # closing connections that are not counted, since the descriptor reserve covers them
 CHECK_INTERVAL = 0.25  # seconds
 DEFAULT_MAX_STREAMS = 32
 MAX_OPEN_TRIES = 2  # the second try follows the eviction of an idle connection
@@ -114,7 +114,8 @@
 
         There may be more compute nodes than connections. Without eviction, each compute node that was used
         once would keep a connection until the idle timeout, and none would be available for an attempt at
-        another compute node.
+        another compute node. Closing connections in excess of `MAX_LINGERING` are aborted, so that the
+        connection drained here is not counted either.
         """
         connections = self.connections()
         lingering = [connection for connection in connections if connection.lifecycle.is_closing]
--- a/saffronlane/platform/upstream/protocol.py
+++ b/saffronlane/platform/upstream/protocol.py
@@ -95,7 +95,7 @@
 
 
 def fetch_page_command(request_id: bytes, page_number: int) -> bytes:
-    """Encode the command that requests a page of a result other than the first, which has number 0."""
+    """Encode the command that requests a page of a result; the first page, number 0, needs no request."""
     return encode_command(FETCH_PAGE, request_id, b"%d" % page_number)
 
 
@@ -105,7 +105,7 @@
 
 
 def probe_command(tag: bytes, with_load_report: bool) -> bytes:
-    """Encode a load probe, whose response has a load report, or else a health check."""
+    """Encode a load probe, whose response contains a load report, or a health check without one."""
     return encode_command(LOAD_PROBE if with_load_report else HEALTH_CHECK, tag)
 
 
--- a/saffronlane/platform/upstream/response_reader.py
+++ b/saffronlane/platform/upstream/response_reader.py
@@ -13,7 +13,7 @@
 class ResponseReader:
     """Reads the responses of one connection.
 
-    One timeout runs since the last byte of a partial response, another since its first. With the former
+    One timeout runs from the last byte of a partial response, another from its first. With the former
     alone, a compute node that sends a response byte by byte could extend it again and again, while all other
     responses on the connection wait.
     """
--- a/saffronlane/platform/upstream/transport.py
+++ b/saffronlane/platform/upstream/transport.py
@@ -75,8 +75,8 @@
     def discard(self, attempt: Attempt) -> None:
         """Withdraw an attempt that must not be cancelled at its compute node, unless it was sent.
 
-        Without this, where the settings forbid cancelling, an attempt that waits for its connection would
-        still be sent after its client has disconnected.
+        Without this, an attempt that waits for its connection would still be sent after its client has
+        disconnected if the settings forbid cancelling.
         """
         self.withdraw(attempt)
 
--- a/saffronlane/resp/arrays.py
+++ b/saffronlane/resp/arrays.py
@@ -1,7 +1,7 @@
 """Arrays of bulk strings, the only form of RESP messages that compute nodes use.
 
 The parser is incremental: input may arrive in pieces of any size. A length above its limit is an error as
-soon as it is parsed, and no memory is allocated for a length that a peer has only declared.
+soon as it is parsed, and no memory is allocated for bytes that the sender has announced but not sent.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class _HeaderLine(NamedTuple):
-    """The number in a header line, and the offset of the byte after the line."""
+    """A parsed header line: the offset of the byte after the line, and the number in it."""
 
     end: int
     number: int
--- a/saffronlane/resp/errors.py
+++ b/saffronlane/resp/errors.py
@@ -6,8 +6,9 @@
 
 
 class RespError(SaffronlaneError):
-    """The input is not an array of bulk strings or exceeds a limit; what follows it cannot be parsed."""
+    """The input is not an array of bulk strings or exceeds a limit; later bytes cannot be parsed."""
 
     remedy = (
-        "Check the compute node that sent it; its connection was closed, and requests are retried elsewhere."
+        "Check the compute node that sent the data; the connection was closed, and requests are retried "
+        "elsewhere where that is safe."
     )
