--- a/tests/node/test_certainty.py
+++ b/tests/node/test_certainty.py
@@ -1,4 +1,4 @@
-"""An attempt's end says truly whether it may have run: `unsafe` work goes again only if it surely did not."""
+"""Outcomes show whether an attempt may have run; an unsafe request is retried only if it did not."""
 
 from __future__ import annotations
 
@@ -23,13 +23,16 @@
 )
 
 
-class RawNode:
-    """A compute node's socket, acted on in the middle of a turn of the loop."""
+class SyncComputeNode:
+    """A compute node whose sockets are used synchronously, in the middle of an event-loop iteration.
 
-    def __init__(self, receive: int = 0) -> None:
+    Tests use it to force a race with what the server does in the same iteration.
+    """
+
+    def __init__(self, receive_buffer_bytes: int = 0) -> None:
         self.listener = socket.socket()
-        if receive:
-            self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive)
+        if receive_buffer_bytes:
+            self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer_bytes)
         self.listener.bind(("127.0.0.1", 0))
         self.listener.listen(16)
         self.port = self.listener.getsockname()[1]
@@ -51,8 +54,8 @@
             self.connection.close()
 
 
-async def one_link(harness: Harness, node: RawNode) -> UpstreamConnection:
-    """Let the node's link come up at a raw node, and give it."""
+async def connect_to(harness: Harness, node: SyncComputeNode) -> UpstreamConnection:
+    """Make this compute node the only one in use, and return an established connection to it."""
     from platform_world import member
 
     await harness.wait_until(lambda: harness.feed.writers)
@@ -60,79 +63,84 @@
         2, [member("raw", node.port), member("node-0", harness.compute_nodes[0].port, "draining")]
     )
     await harness.wait_until(lambda: harness.server.discovery.last_sequence == 2)
-    link = harness.server.upstream.pool.select(b"raw", b"first")
-    assert link is not None
-    await harness.wait_until(lambda: link.is_established)
+    connection = harness.server.upstream.pool.select(b"raw", b"first")
+    assert connection is not None
+    await harness.wait_until(lambda: connection.is_established)
     node.accept()
-    return link
+    return connection
 
 
-def test_a_reset_in_the_instant_of_the_write_never_ran(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The system took no byte: so an unsafe request may go again. It counted as one that may have run."""
+def test_unsafe_request_is_retried_if_the_connection_is_reset_just_before_the_write(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The kernel accepted no byte, so the request did not run.
+
+    Guards against counting it as one that may have run.
+    """
 
     async def scenario(harness: Harness) -> None:
-        node = RawNode()
-        told = record_outcomes(harness)
-        await one_link(harness, node)
-        pour = UpstreamConnection.flush
+        node = SyncComputeNode()
+        outcomes = record_outcomes(harness)
+        await connect_to(harness, node)
+        flush = UpstreamConnection.flush
 
-        def crossed(link: UpstreamConnection) -> None:
-            if link.engine == b"raw" and link.has_queued_output:
+        def reset_before_flush(connection: UpstreamConnection) -> None:
+            if connection.engine == b"raw" and connection.has_queued_output:
                 node.reset()
                 node.listener.close()
                 from platform_world import member
 
                 harness.feed.send_event(3, [member("node-0", harness.compute_nodes[0].port)])
-            pour(link)
+            flush(connection)
 
-        monkeypatch.setattr(UpstreamConnection, "flush", crossed)
+        monkeypatch.setattr(UpstreamConnection, "flush", reset_before_flush)
         client = await harness.client()
-        answered = await client.read_answer(client.call("frail", request_id(1)))
-        assert set(told[:-1]) == {Outcome.CONNECT_FAILED} and answered == (None, [ROWS, {}])
+        answer = await client.read_answer(client.call("frail", request_id(1)))
+        assert set(outcomes[:-1]) == {Outcome.CONNECT_FAILED} and answer == (None, [ROWS, {}])
         node.close()
 
     run_with_harness(scenario)
 
 
-def test_what_the_node_cannot_have_whole_never_ran() -> None:
-    """Its last bytes are still ours when the connection is reset: half of a command runs nowhere."""
+def test_unsafe_request_is_retried_if_its_command_was_not_written_completely() -> None:
+    """The connection is reset before the last bytes are written, so the command cannot have run."""
 
     async def scenario(harness: Harness) -> None:
-        node = RawNode(receive=4096)
-        told = record_outcomes(harness)
-        link = await one_link(harness, node)
-        link.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8192)
+        node = SyncComputeNode(receive_buffer_bytes=4096)
+        outcomes = record_outcomes(harness)
+        connection = await connect_to(harness, node)
+        connection.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8192)
         client = await harness.client()
         body = b"SELECT 1 FROM s_3.t -- " + b"x" * 200_000
-        msgid = client.call("frail", request_id(1), body)
-        await harness.wait_until(lambda: link.stream.writing())
+        message_id = client.call("frail", request_id(1), body)
+        await harness.wait_until(lambda: connection.stream.writing())
         from platform_world import member
 
         harness.feed.send_event(3, [member("node-0", harness.compute_nodes[0].port)])
         await harness.wait_until(lambda: harness.server.discovery.last_sequence == 3)
         node.reset()
-        answered = await client.read_answer(msgid)
-        assert told == [Outcome.CONNECT_FAILED, Outcome.OK] and answered == (None, [ROWS, {}])
+        answer = await client.read_answer(message_id)
+        assert outcomes == [Outcome.CONNECT_FAILED, Outcome.OK] and answer == (None, [ROWS, {}])
         node.close()
 
     run_with_harness(scenario)
 
 
-def test_what_waits_behind_a_node_that_does_not_read_can_be_taken_back() -> None:
-    """Nothing more is handed to a stream that does not get rid of what it has: its client may leave."""
+def test_attempt_queued_for_a_compute_node_that_does_not_read_can_be_withdrawn() -> None:
+    """No command is handed to a stream with unwritten bytes, since the command's client may still disconnect."""
 
     async def scenario(harness: Harness) -> None:
-        node = RawNode(receive=4096)
-        link = await one_link(harness, node)
-        link.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8192)
+        node = SyncComputeNode(receive_buffer_bytes=4096)
+        connection = await connect_to(harness, node)
+        connection.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8192)
         first, second = await harness.client(), await harness.client()
         first.call("ask", request_id(1), b"SELECT 1 -- " + b"x" * 100_000)
-        await harness.wait_until(lambda: link.stream.writing())
+        await harness.wait_until(lambda: connection.stream.writing())
         second.call("ask", request_id(2))
-        await harness.wait_until(lambda: len(link.attempts) == 2)
+        await harness.wait_until(lambda: len(connection.attempts) == 2)
         second.close()
-        await harness.wait_until(lambda: len(link.attempts) == 1, 0.1)
-        # The node reads on: what it gets is the first alone.
+        await harness.wait_until(lambda: len(connection.attempts) == 1, 0.1)
+        # The compute node resumes reading and receives only the first command.
         assert node.connection is not None
         node.connection.setblocking(False)
         loop, data = asyncio.get_running_loop(), b""
@@ -148,136 +156,147 @@
     run_with_harness(scenario)
 
 
-def test_more_than_a_stream_may_hold_leaves_piece_by_piece(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Statements that waited for one connection were written in one piece, which was too much for it."""
+def test_queued_commands_that_exceed_the_write_buffer_are_sent_in_batches(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Guards against writing all commands that waited for a connection at once, which exceeds its buffer."""
 
     async def scenario(harness: Harness) -> None:
-        free = delay_connections(monkeypatch)
-        told = record_outcomes(harness)
+        may_connect = delay_connections(monkeypatch)
+        outcomes = record_outcomes(harness)
         clients = [await harness.client() for _ in range(2)]
         body = b"SELECT 1 FROM s_3.t -- " + b"x" * 200_000
-        asked = [
-            (one, one.call("frail", request_id(10 * n + m), body))
-            for n, one in enumerate(clients)
+        calls = [
+            (client, client.call("frail", request_id(10 * n + m), body))
+            for n, client in enumerate(clients)
             for m in range(6)
         ]
         await harness.wait_until(lambda: harness.table_sizes()["connection_attempts"] == 12)
-        free.set()
-        for one, msgid in asked:
-            assert await one.read_answer(msgid) == (None, [ROWS, {}])
-        assert told == [Outcome.OK] * 12
+        may_connect.set()
+        for client, message_id in calls:
+            assert await client.read_answer(message_id) == (None, [ROWS, {}])
+        assert outcomes == [Outcome.OK] * 12
 
     run_with_harness(scenario)
 
 
-def test_an_answer_before_a_reset_that_a_write_meets_is_taken(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a failed write that closes the stream over answers which are there."""
+def test_result_that_arrived_before_a_reset_is_used_if_a_write_detects_the_reset(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Guards against a failed write that closes the stream and loses responses that have arrived."""
 
     async def scenario(harness: Harness) -> None:
-        node = RawNode()
-        told = record_outcomes(harness)
-        link = await one_link(harness, node)
+        node = SyncComputeNode()
+        outcomes = record_outcomes(harness)
+        connection = await connect_to(harness, node)
         client = await harness.client()
         first = client.call("frail", request_id(1))
         await harness.wait_until(
-            lambda: request_id(1).encode() in link.attempts and link.attempts[request_id(1).encode()].sent_at
+            lambda: (
+                request_id(1).encode() in connection.attempts
+                and connection.attempts[request_id(1).encode()].sent_at
+            )
         )
         from platform_world import member
 
         from saffronlane.resp import encode_command
 
-        pour = UpstreamConnection.flush
+        flush = UpstreamConnection.flush
 
-        def crossed(one: UpstreamConnection) -> None:
-            if one is link and link.has_queued_output:
-                done = encode_command(request_id(1).encode(), b"DONE", b"sheets=1,toil=5,room=7", ROWS)
+        def reset_before_flush(flushed: UpstreamConnection) -> None:
+            if flushed is connection and connection.has_queued_output:
+                response = encode_command(request_id(1).encode(), b"DONE", b"sheets=1,toil=5,room=7", ROWS)
                 assert node.connection is not None
-                node.connection.sendall(done)
+                node.connection.sendall(response)
                 node.reset()
                 node.listener.close()
                 harness.feed.send_event(3, [member("node-0", harness.compute_nodes[0].port)])
-            pour(one)
+            flush(flushed)
 
-        monkeypatch.setattr(UpstreamConnection, "flush", crossed)
+        monkeypatch.setattr(UpstreamConnection, "flush", reset_before_flush)
         second = client.call("frail", request_id(2))
         assert await client.read_answer(first) == (None, [ROWS, {}])
         assert await client.read_answer(second) == (None, [ROWS, {}])
-        assert told.count(Outcome.OK) == 2 and set(told) == {Outcome.OK, Outcome.CONNECT_FAILED}
+        assert outcomes.count(Outcome.OK) == 2 and set(outcomes) == {Outcome.OK, Outcome.CONNECT_FAILED}
         node.close()
 
     run_with_harness(scenario)
 
 
-def test_a_connection_that_its_node_closes_at_rest_is_no_attempts_end(
+def test_attempt_moves_to_a_new_connection_if_the_compute_node_closed_the_idle_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The end is there when the fetch is to leave, and only the loop has not read it yet.
+    """The end of stream has arrived when the command is about to be sent, and the event loop has not read it.
 
-    It left, and counted as one that may have run: an unsafe request failed, and its node was blamed.
+    Guards against sending the command nevertheless: it counted as one that may have run, so an unsafe request
+    failed, and the failure was attributed to its compute node.
     """
 
     async def scenario(harness: Harness) -> None:
-        told, pour, crossed = record_outcomes(harness), UpstreamConnection.flush, []
+        outcomes, flush, closed_before_flush = record_outcomes(harness), UpstreamConnection.flush, []
         client = await harness.client()
         assert (await client.read_answer(client.call("ask", request_id(1))))[0] is None
-        (link,) = harness.server.upstream.pool.connections_by_engine[b"node-0"]
+        (connection,) = harness.server.upstream.pool.connections_by_engine[b"node-0"]
 
-        def cross(one: UpstreamConnection) -> None:
-            if one is link and one.has_queued_output and not crossed:
-                crossed.append(one)
-                peer = harness.compute_nodes[0].connections[0]
-                peer.writer.transport.get_extra_info("socket").shutdown(socket.SHUT_WR)
-            pour(one)
+        def close_before_flush(flushed: UpstreamConnection) -> None:
+            if flushed is connection and flushed.has_queued_output and not closed_before_flush:
+                closed_before_flush.append(flushed)
+                node_connection = harness.compute_nodes[0].connections[0]
+                node_connection.writer.transport.get_extra_info("socket").shutdown(socket.SHUT_WR)
+            flush(flushed)
 
-        monkeypatch.setattr(UpstreamConnection, "flush", cross)
+        monkeypatch.setattr(UpstreamConnection, "flush", close_before_flush)
         assert await client.read_answer(client.call("frail", request_id(2))) == (None, [ROWS, {}])
-        assert crossed and told == [Outcome.OK, Outcome.OK]
+        assert closed_before_flush and outcomes == [Outcome.OK, Outcome.OK]
         assert not harness.server.dispatcher.gateway.engine_registry.engines[b"node-0"].failure_ratio
 
     run_with_harness(scenario)
 
 
-def test_a_link_whose_end_its_reader_has_not_seen_is_left_like_any_other() -> None:
-    """Its node is removed, or the link is idle, in that instant: the half-close failed there."""
+def test_connection_drains_if_its_stream_closed_before_the_reader_noticed() -> None:
+    """The compute node is removed at that moment.
+
+    Guards against a failure of the half-close, which needs an open stream.
+    """
 
     async def scenario(harness: Harness) -> None:
         client = await harness.client()
         assert (await client.read_answer(client.call("ask", request_id(1))))[0] is None
         upstream = harness.server.upstream
-        (link,) = upstream.pool.connections_by_engine[b"node-0"]
-        link.stream.close()  # as where the system told of the node's end in this turn of the loop
+        (connection,) = upstream.pool.connections_by_engine[b"node-0"]
+        connection.stream.close()  # as if its end had been detected in this event-loop iteration
         upstream.remove_engine(b"node-0")
         assert await client.read_answer(client.call("ask", request_id(2))) == (None, [ROWS, {}])
         await harness.wait_until(
             lambda: (
-                link.lifecycle.is_closed
-                and link not in upstream.pool.connections_by_engine.get(b"node-0", ())
+                connection.lifecycle.is_closed
+                and connection not in upstream.pool.connections_by_engine.get(b"node-0", ())
             )
         )
 
     run_with_harness(scenario)
 
 
-def test_what_is_queued_when_we_close_never_leaves() -> None:
-    """It was flushed just before the close, and ended as one that may have run."""
+def test_command_queued_when_the_server_aborts_the_connection_is_not_sent() -> None:
+    """Guards against a flush just before the close, which made the attempt one that may have run."""
 
     async def scenario(harness: Harness) -> None:
-        told = record_outcomes(harness)
+        outcomes = record_outcomes(harness)
         client = await harness.client()
         assert (await client.read_answer(client.call("ask", request_id(1))))[0] is None
         upstream = harness.server.upstream
-        (link,) = next(iter(upstream.pool.connections_by_engine.values()))
+        (connection,) = next(iter(upstream.pool.connections_by_engine.values()))
         begin = upstream.begin
 
-        def crossed(attempt: Any) -> None:
+        def begin_then_abort(attempt: Any) -> None:
             begin(attempt)
-            if attempt.connection is link:
-                link.abort("spoilt answer")
+            if attempt.connection is connection:
+                connection.abort("invalid response")
 
-        upstream.begin = crossed  # type: ignore[method-assign]
+        upstream.begin = begin_then_abort  # type: ignore[method-assign]
         assert await client.read_answer(client.call("frail", request_id(2))) == (None, [ROWS, {}])
-        assert told == [Outcome.OK, Outcome.NOT_SENT, Outcome.OK]
-        assert [words[1] for words in harness.compute_nodes[0].commands(b"fetch")] == [
+        assert outcomes == [Outcome.OK, Outcome.NOT_SENT, Outcome.OK]
+        assert [command[1] for command in harness.compute_nodes[0].commands(b"fetch")] == [
             request_id(1).encode(),
             request_id(2).encode(),
         ]
@@ -285,78 +304,84 @@
     run_with_harness(scenario)
 
 
-def test_a_second_answer_does_not_pass_for_the_next_attempts() -> None:
-    """`WAIT`, and some time later rows under the same id: when they come, the request is out again there."""
-    fetched: list[ComputeNodeConnection] = []
+def test_second_response_to_an_attempt_is_not_used_for_the_next_attempt() -> None:
+    """A compute node rejects a request and sends rows with the same id later, when the retry is in flight."""
+    fetch_connections: list[ComputeNodeConnection] = []
 
-    async def script(peer: ComputeNodeConnection, words: list[bytes]) -> None:
-        if words[0] != b"fetch":
+    async def script(connection: ComputeNodeConnection, command: list[bytes]) -> None:
+        if command[0] != b"fetch":
             return
-        fetched.append(peer)
-        if len(fetched) == 1:
-            peer.send(words[1], b"WAIT", b"-", b"")
+        fetch_connections.append(connection)
+        if len(fetch_connections) == 1:
+            connection.send(command[1], b"WAIT", b"-", b"")
         else:
-            fetched[0].send_result(words[1], b"late\t\t\n")  # on the connection of the first
+            fetch_connections[0].send_result(
+                command[1], b"late\t\t\n"
+            )  # on the connection of the first attempt
             await asyncio.sleep(0)
-            peer.send_result(words[1])
+            connection.send_result(command[1])
 
     async def scenario(harness: Harness) -> None:
         client = await harness.client()
         assert await client.read_answer(client.call("ask", request_id(1))) == (None, [ROWS, {}])
-        assert len(fetched) == 2
+        assert len(fetch_connections) == 2
 
     run_with_harness(scenario, script)
 
 
-def test_an_unsafe_request_never_has_two_attempts_out() -> None:
-    """Its node says nothing for longer than the decisions' patience, and then answers."""
-    held: list[tuple[ComputeNodeConnection, bytes]] = []
+def test_unsafe_request_never_has_two_attempts_in_flight() -> None:
+    """The compute node answers only after the time at which a hedged request could be sent."""
+    held_fetches: list[tuple[ComputeNodeConnection, bytes]] = []
 
     async def scenario(harness: Harness) -> None:
         client = await harness.client()
-        msgid = client.call("frail", request_id(1))
-        await harness.wait_until(lambda: held)
+        message_id = client.call("frail", request_id(1))
+        await harness.wait_until(lambda: held_fetches)
         await asyncio.sleep(1.5)
-        assert len(held) == 1
-        held[0][0].send_result(held[0][1])
-        assert await client.read_answer(msgid) == (None, [ROWS, {}])
+        assert len(held_fetches) == 1
+        held_fetches[0][0].send_result(held_fetches[0][1])
+        assert await client.read_answer(message_id) == (None, [ROWS, {}])
 
-    run_with_harness(scenario, hold_fetches(held), hold_fetches(held))
+    run_with_harness(scenario, hold_fetches(held_fetches), hold_fetches(held_fetches))
 
 
-def test_no_repeat_reaches_a_node_after_its_keys_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its second connection takes as long to come up as the settings allow, and its key is short."""
-    services = [one | ({"keyTtl": 1.0} if one["name"] == "load" else {}) for one in SETTINGS["services"]]
+def test_no_retry_reaches_a_compute_node_after_the_idempotency_key_has_expired(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The key expires soon, and the connection for the retry takes almost the whole connect timeout."""
+    services = [
+        service | ({"keyTtl": 1.0} if service["name"] == "load" else {}) for service in SETTINGS["services"]
+    ]
     limits = SETTINGS["limits"] | {"connectTimeout": 0.4}
-    arrived: list[float] = []
+    fetch_times: list[float] = []
     connect = UpstreamConnection.connect
 
-    async def late(link: UpstreamConnection) -> None:
-        if arrived:
+    async def connect_slowly(connection: UpstreamConnection) -> None:
+        if fetch_times:
             await asyncio.sleep(0.38)
-        await connect(link)
+        await connect(connection)
 
-    async def script(peer: ComputeNodeConnection, words: list[bytes]) -> None:
-        if words[0] == b"fetch":
-            arrived.append(asyncio.get_running_loop().time())
-            if len(arrived) == 1:
-                asyncio.get_running_loop().call_later(0.7, peer.abort)
+    async def script(connection: ComputeNodeConnection, command: list[bytes]) -> None:
+        if command[0] == b"fetch":
+            fetch_times.append(asyncio.get_running_loop().time())
+            if len(fetch_times) == 1:
+                asyncio.get_running_loop().call_later(0.7, connection.abort)
             else:
-                peer.send_result(words[1])
+                connection.send_result(command[1])
 
     async def scenario(harness: Harness) -> None:
-        monkeypatch.setattr(UpstreamConnection, "connect", late)
+        monkeypatch.setattr(UpstreamConnection, "connect", connect_slowly)
         client = await harness.client()
         error, _ = await client.read_answer(client.call("load", request_id(1), token="t1", obj=request_id(1)))
-        assert arrived and arrived[-1] - arrived[0] <= 1.0 + 0.05
-        assert error == ["Fault", {}]  # it may have run, and nobody knows its key any more
+        assert fetch_times and fetch_times[-1] - fetch_times[0] <= 1.0 + 0.05
+        assert error == ["Fault", {}]  # it may have run, and its key has expired
 
     run_with_harness(scenario, script, script, settings=SETTINGS | {"services": services, "limits": limits})
 
 
-def test_a_retired_connection_still_brings_what_it_owes() -> None:
-    """Its node moves; the answer to what is out comes on the old connection."""
-    held: list[tuple[ComputeNodeConnection, bytes]] = []
+def test_draining_connection_delivers_the_responses_to_its_attempts() -> None:
+    """The compute node's address changes while an attempt is in flight on the old connection."""
+    held_fetches: list[tuple[ComputeNodeConnection, bytes]] = []
 
     async def scenario(harness: Harness) -> None:
         from platform_world import ComputeNode, member
@@ -364,32 +389,32 @@
         await harness.wait_until(lambda: harness.feed.writers)
         client = await harness.client()
         first = client.call("frail", request_id(1))
-        await harness.wait_until(lambda: held)
-        other = ComputeNode(answer_fetches)
-        await other.start()
-        harness.compute_nodes.append(other)
-        harness.feed.send_event(2, [member("node-0", other.port)])
+        await harness.wait_until(lambda: held_fetches)
+        moved_node = ComputeNode(answer_fetches)
+        await moved_node.start()
+        harness.compute_nodes.append(moved_node)
+        harness.feed.send_event(2, [member("node-0", moved_node.port)])
         await harness.wait_until(lambda: harness.server.discovery.last_sequence == 2)
         assert (await client.read_answer(client.call("ask", request_id(2))))[0] is None
-        held[0][0].send_result(held[0][1])
+        held_fetches[0][0].send_result(held_fetches[0][1])
         assert await client.read_answer(first) == (None, [ROWS, {}])
         await harness.wait_until(
             lambda: len(harness.server.upstream.pool.connections_by_engine[b"node-0"]) == 1
         )
 
-    run_with_harness(scenario, hold_fetches(held))
+    run_with_harness(scenario, hold_fetches(held_fetches))
 
 
-def test_a_probe_that_ends_last_closes_a_retired_connection() -> None:
-    """It stayed open until it had been idle for long: nobody looked when a probe ended."""
+def test_draining_connection_closes_when_its_last_probe_ends() -> None:
+    """Guards against a connection that stays open until the idle timeout after its last probe has ended."""
 
     async def scenario(harness: Harness) -> None:
         upstream = harness.server.upstream
         upstream.probe(b"node-0")
-        (link,) = upstream.pool.connections_by_engine[b"node-0"]
+        (connection,) = upstream.pool.connections_by_engine[b"node-0"]
         await harness.wait_until(lambda: harness.compute_nodes[0].commands(b"alive"))
-        link.drain("its node has gone")
-        assert not link.lifecycle.is_closing
+        connection.drain("engine removed")
+        assert not connection.lifecycle.is_closing
         await harness.wait_until(lambda: not upstream.pool.connections_by_engine, 1.5)
 
     run_with_harness(scenario, never_answer)
--- a/tests/node/test_command_sender.py
+++ b/tests/node/test_command_sender.py
@@ -1,4 +1,4 @@
-"""What ends at once when a connection breaks while its commands are sent."""
+"""Attempts that end immediately when their connection breaks while commands are sent."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class BrokenConnection:
-    """A connection whose stream has had some bytes before, and breaks at the next write."""
+    """A connection whose stream has accepted 100 bytes before and breaks at the next write."""
 
     def __init__(self) -> None:
         self.loop = SimpleNamespace(time=lambda: 7.0)
@@ -24,24 +24,24 @@
         return False
 
 
-class Listener:
+class RecordingListener:
     def __init__(self) -> None:
-        self.ended: list[tuple[Any, Outcome]] = []
+        self.ended_attempts: list[tuple[Any, Outcome]] = []
 
     def on_attempt_ended(self, attempt: Any, outcome: Outcome) -> None:
-        self.ended.append((attempt, outcome))
+        self.ended_attempts.append((attempt, outcome))
 
 
 @pytest.mark.parametrize("may_have_run", [False, True])
-def test_only_an_attempt_that_cannot_have_run_ends_at_the_break(may_have_run: bool) -> None:
+def test_attempt_ends_at_a_break_only_if_it_cannot_have_run(may_have_run: bool) -> None:
     client = SimpleNamespace(has_unprocessed_input=False)
     request = SimpleNamespace(is_answered=False, responder=client, sink=client)
     attempt = SimpleNamespace(
         may_have_run=may_have_run, sent_at=0.0, end_offset=0, deferral_count=3, request=request
     )
-    listener = Listener()
+    listener = RecordingListener()
     sender = CommandSender(BrokenConnection(), listener)  # type: ignore[arg-type]
     sender.enqueue(b"fetch", attempt)  # type: ignore[arg-type]
     sender.flush()
     assert (attempt.sent_at, attempt.end_offset) == (7.0, 105)
-    assert listener.ended == ([] if may_have_run else [(attempt, Outcome.CONNECT_FAILED)])
+    assert listener.ended_attempts == ([] if may_have_run else [(attempt, Outcome.CONNECT_FAILED)])
--- a/tests/node/test_lifecycle.py
+++ b/tests/node/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a connection and of the process: every state with every event, and any order of them."""
+"""The lifecycles of connections and of the process: all transitions, and sequences of random events."""
 
 from __future__ import annotations
 
@@ -24,8 +24,9 @@
     shutdown_grace_period,
 )
 
-BOUNDS = ConnectionLimits(connect_timeout=0.25, stall_timeout=5.0, linger_timeout=0.5, max_linger_bytes=1000)
-WAYS: dict[State, tuple[Event, ...]] = {
+LIMITS = ConnectionLimits(connect_timeout=0.25, stall_timeout=5.0, linger_timeout=0.5, max_linger_bytes=1000)
+# Events that lead from CONNECTING to a state.
+EVENTS_TO_STATE: dict[State, tuple[Event, ...]] = {
     State.CONNECTING: (),
     State.OPEN: (Event.CONNECTED,),
     State.DRAINING: (Event.CONNECTED, Event.DRAIN),
@@ -33,8 +34,8 @@
     State.HALF_CLOSED: (Event.CONNECTED, Event.DRAIN, Event.SETTLED, Event.FLUSHED),
     State.CLOSED: (Event.ABORT,),
 }
-# The table of docs/platform.md, "How connections end": what is not named here stays where it is.
-NEXT: dict[State, dict[Event, State]] = {
+# The table of docs/platform.md, "How connections end". Events that are not listed do not change the state.
+TRANSITIONS: dict[State, dict[Event, State]] = {
     State.CONNECTING: {Event.CONNECTED: State.OPEN, Event.DRAIN: State.CLOSED},
     State.OPEN: {Event.DRAIN: State.DRAINING},
     State.DRAINING: {Event.SETTLED: State.FLUSHING},
@@ -42,27 +43,27 @@
     State.HALF_CLOSED: {},
     State.CLOSED: {},
 }
-ENDS = (Event.EOF, Event.BROKEN, Event.EXPIRED, Event.ABORT)
+CLOSING_EVENTS = (Event.EOF, Event.BROKEN, Event.EXPIRED, Event.ABORT)
 
 
-def reached(state: State, now: float = 100.0) -> ConnectionLifecycle:
-    life = ConnectionLifecycle(BOUNDS, now, outgoing=True)
-    for event in WAYS[state]:
-        life.handle(event, now)
-    assert life.state is state
-    return life
+def connection_in(state: State, now: float = 100.0) -> ConnectionLifecycle:
+    lifecycle = ConnectionLifecycle(LIMITS, now, outgoing=True)
+    for event in EVENTS_TO_STATE[state]:
+        lifecycle.handle(event, now)
+    assert lifecycle.state is state
+    return lifecycle
 
 
 @pytest.mark.parametrize("event", Event)
 @pytest.mark.parametrize("state", State)
-def test_every_state_with_every_event(state: State, event: Event) -> None:
-    life = reached(state)
-    expected = State.CLOSED if event in ENDS else NEXT[state].get(event, state)
-    assert life.handle(event, 101.0) is expected
+def test_event_leads_to_documented_state(state: State, event: Event) -> None:
+    lifecycle = connection_in(state)
+    expected = State.CLOSED if event in CLOSING_EVENTS else TRANSITIONS[state].get(event, state)
+    assert lifecycle.handle(event, 101.0) is expected
 
 
 @pytest.mark.parametrize(
-    ("state", "takes", "acts", "writes", "closing"),
+    ("state", "accepts_work", "processes_input", "allows_writes", "is_closing"),
     [
         (State.CONNECTING, True, False, False, False),
         (State.OPEN, True, True, True, False),
@@ -72,18 +73,25 @@
         (State.CLOSED, False, False, False, False),
     ],
 )
-def test_what_each_state_allows(state: State, takes: bool, acts: bool, writes: bool, closing: bool) -> None:
-    life = reached(state)
-    assert (life.accepts_work, life.processes_input, life.allows_writes, life.is_closing) == (
-        takes,
-        acts,
-        writes,
-        closing,
+def test_state_has_documented_permissions(
+    state: State, accepts_work: bool, processes_input: bool, allows_writes: bool, is_closing: bool
+) -> None:
+    lifecycle = connection_in(state)
+    assert (
+        lifecycle.accepts_work,
+        lifecycle.processes_input,
+        lifecycle.allows_writes,
+        lifecycle.is_closing,
+    ) == (
+        accepts_work,
+        processes_input,
+        allows_writes,
+        is_closing,
     )
 
 
 @pytest.mark.parametrize(
-    ("state", "until"),
+    ("state", "deadline"),
     [
         (State.CONNECTING, 100.25),
         (State.OPEN, math.inf),
@@ -92,128 +100,142 @@
         (State.HALF_CLOSED, 100.5),
     ],
 )
-def test_what_waits_for_the_peer_has_a_bound(state: State, until: float) -> None:
-    assert reached(state).deadline == until
+def test_states_that_wait_for_the_peer_have_a_deadline(state: State, deadline: float) -> None:
+    assert connection_in(state).deadline == deadline
 
 
-def test_a_slow_peer_is_no_stalled_one() -> None:
-    life = reached(State.FLUSHING)
-    life.record_write_progress(104.0)
-    assert life.deadline == 109.0
+def test_write_progress_extends_the_stall_deadline() -> None:
+    lifecycle = connection_in(State.FLUSHING)
+    lifecycle.record_write_progress(104.0)
+    assert lifecycle.deadline == 109.0
 
 
-def test_a_flood_ends_the_lingering() -> None:
-    life = reached(State.HALF_CLOSED)
-    assert life.discard(1000, 100.1) is State.HALF_CLOSED
-    assert life.discard(1, 100.1) is State.CLOSED
+def test_too_much_discarded_input_closes_the_connection() -> None:
+    lifecycle = connection_in(State.HALF_CLOSED)
+    assert lifecycle.discard(1000, 100.1) is State.HALF_CLOSED
+    assert lifecycle.discard(1, 100.1) is State.CLOSED
 
 
 @settings(max_examples=300, stateful_step_count=30)
-class AnyOrder(RuleBasedStateMachine):
-    """Whatever comes in whatever order: the life only goes on, and nothing is acted on after its end."""
+class RandomEvents(RuleBasedStateMachine):
+    """Random sequences of events: states are only entered in order, and a closed connection does nothing."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
-        self.life = ConnectionLifecycle(BOUNDS, self.now, outgoing=True)
-        self.seen = [self.life.state]
+        self.lifecycle = ConnectionLifecycle(LIMITS, self.now, outgoing=True)
+        self.states = [self.lifecycle.state]
 
     @rule(event=st.sampled_from(Event), wait=st.floats(0.0, 1.0))
-    def happens(self, event: Event, wait: float) -> None:
+    def handle_event(self, event: Event, wait: float) -> None:
         self.now += wait
-        self.seen.append(self.life.handle(event, self.now))
+        self.states.append(self.lifecycle.handle(event, self.now))
 
     @rule(count=st.integers(0, 600))
-    def bytes_come(self, count: int) -> None:
-        if not self.life.processes_input and not self.life.is_closed:
-            self.seen.append(self.life.discard(count, self.now))
+    def discard_input(self, count: int) -> None:
+        if not self.lifecycle.processes_input and not self.lifecycle.is_closed:
+            self.states.append(self.lifecycle.discard(count, self.now))
 
     @invariant()
-    def goes_on(self) -> None:
+    def states_are_entered_in_order(self) -> None:
         order = list(State)
-        places = [order.index(state) for state in self.seen]
-        assert places == sorted(places)
+        positions = [order.index(state) for state in self.states]
+        assert positions == sorted(positions)
 
     @invariant()
-    def has_a_bound(self) -> None:
-        if self.life.is_closing or self.life.state is State.CONNECTING:
-            assert self.life.deadline < math.inf
+    def waiting_states_have_a_deadline(self) -> None:
+        if self.lifecycle.is_closing or self.lifecycle.state is State.CONNECTING:
+            assert self.lifecycle.deadline < math.inf
 
     @invariant()
-    def promises_hold(self) -> None:
-        life = self.life
-        assert not (life.accepts_work and life.is_closing)
-        assert not (life.is_closed and (life.accepts_work or life.processes_input or life.allows_writes))
+    def permissions_are_consistent(self) -> None:
+        lifecycle = self.lifecycle
+        assert not (lifecycle.accepts_work and lifecycle.is_closing)
+        assert not (
+            lifecycle.is_closed
+            and (lifecycle.accepts_work or lifecycle.processes_input or lifecycle.allows_writes)
+        )
 
 
-TestAnyOrder = AnyOrder.TestCase
+TestRandomEvents = RandomEvents.TestCase
 
 # --- the process ---
 
 
-def debts(
-    owed: bool = False, unread: bool = False, last: float = 0.0, connections: int = 1
+def outstanding_work(
+    has_unanswered: bool = False,
+    has_unread: bool = False,
+    last_request_at: float = 0.0,
+    connection_count: int = 1,
 ) -> OutstandingWork:
-    return OutstandingWork(last, owed, unread, connections)
+    return OutstandingWork(last_request_at, has_unanswered, has_unread, connection_count)
 
 
-def ending(now: float = 100.0) -> ProcessLifecycle:
+def draining_process(now: float = 100.0) -> ProcessLifecycle:
     process = ProcessLifecycle(linger_timeout=0.5, grace_period=60.0)
     process.terminate(now)
     return process
 
 
-def test_nothing_ends_a_process_that_was_not_told() -> None:
+def test_process_serves_until_it_is_terminated() -> None:
     process = ProcessLifecycle(linger_timeout=0.5, grace_period=60.0)
-    assert process.advance(1e6, debts(connections=0)) is Phase.SERVING
+    assert process.advance(1e6, outstanding_work(connection_count=0)) is Phase.SERVING
 
 
-def test_requests_may_come_for_a_while() -> None:
-    process = ending()
-    assert process.advance(100.0 + NEW_REQUEST_WINDOW - 0.01, debts()) is Phase.DRAINING
-    assert process.advance(100.0 + NEW_REQUEST_WINDOW, debts()) is Phase.CLOSING
+def test_process_drains_for_the_new_request_window() -> None:
+    process = draining_process()
+    assert process.advance(100.0 + NEW_REQUEST_WINDOW - 0.01, outstanding_work()) is Phase.DRAINING
+    assert process.advance(100.0 + NEW_REQUEST_WINDOW, outstanding_work()) is Phase.CLOSING
 
 
-def test_one_that_comes_late_puts_the_end_off() -> None:
-    process = ending()
-    last = 100.0 + NEW_REQUEST_WINDOW - 0.05
-    assert process.advance(last + QUIET_PERIOD - 0.01, debts(last=last)) is Phase.DRAINING
-    assert process.advance(last + QUIET_PERIOD, debts(last=last)) is Phase.CLOSING
+def test_late_request_extends_draining_by_the_quiet_period() -> None:
+    process = draining_process()
+    last_request_at = 100.0 + NEW_REQUEST_WINDOW - 0.05
+    assert (
+        process.advance(
+            last_request_at + QUIET_PERIOD - 0.01, outstanding_work(last_request_at=last_request_at)
+        )
+        is Phase.DRAINING
+    )
+    assert (
+        process.advance(last_request_at + QUIET_PERIOD, outstanding_work(last_request_at=last_request_at))
+        is Phase.CLOSING
+    )
 
 
-@pytest.mark.parametrize("what", [{"owed": True}, {"unread": True}])
-def test_nothing_closes_while_something_is_owed_or_unread(what: dict[str, bool]) -> None:
-    process = ending()
+@pytest.mark.parametrize("work", [{"has_unanswered": True}, {"has_unread": True}])
+def test_process_drains_while_answers_or_input_are_outstanding(work: dict[str, bool]) -> None:
+    process = draining_process()
     process.terminate(100.1)
-    assert process.advance(150.0, debts(**what)) is Phase.DRAINING
+    assert process.advance(150.0, outstanding_work(**work)) is Phase.DRAINING
 
 
-def test_asked_twice_it_waits_for_no_more_requests() -> None:
-    process = ending()
-    assert process.advance(100.1, debts()) is Phase.DRAINING
+def test_second_termination_ends_the_new_request_window() -> None:
+    process = draining_process()
+    assert process.advance(100.1, outstanding_work()) is Phase.DRAINING
     process.terminate(100.1)
-    assert process.advance(100.1, debts()) is Phase.CLOSING
+    assert process.advance(100.1, outstanding_work()) is Phase.CLOSING
 
 
 @pytest.mark.parametrize(
-    ("longest", "until"), [(0.2, 0.65), (2.0, 2.45), (3.0, 3.45), (16.0, 3.45), (30.0, 3.45)]
+    ("longest_deadline", "grace_period"), [(0.2, 0.65), (2.0, 2.45), (3.0, 3.45), (16.0, 3.45), (30.0, 3.45)]
 )
-def test_what_is_owed_is_answered_before_the_kill(longest: float, until: float) -> None:
-    """SIGKILL comes 0.7 s after the longest deadline, which counts as 3 s where it is longer."""
-    assert shutdown_grace_period(longest) == pytest.approx(until)
-    process = ProcessLifecycle(linger_timeout=0.5, grace_period=shutdown_grace_period(longest))
+def test_shutdown_is_expedited_before_sigkill(longest_deadline: float, grace_period: float) -> None:
+    """SIGKILL follows 0.7 s after the longest deadline; a deadline of more than 3 s counts as 3 s."""
+    assert shutdown_grace_period(longest_deadline) == pytest.approx(grace_period)
+    process = ProcessLifecycle(linger_timeout=0.5, grace_period=shutdown_grace_period(longest_deadline))
     process.terminate(100.0)
-    process.advance(100.0 + until - 0.01, debts(owed=True))
+    process.advance(100.0 + grace_period - 0.01, outstanding_work(has_unanswered=True))
     assert not process.is_expedited
-    process.advance(100.0 + until, debts(owed=True))
+    process.advance(100.0 + grace_period, outstanding_work(has_unanswered=True))
     assert process.is_expedited and process.phase is Phase.DRAINING
 
 
-def test_it_ends_with_the_last_connection_or_in_time() -> None:
-    process = ending()
-    assert process.advance(102.0, debts()) is Phase.CLOSING
-    assert process.advance(102.49, debts()) is Phase.CLOSING
-    assert process.advance(102.3, debts(connections=0)) is Phase.ENDED
-    process = ending()
-    process.advance(102.0, debts())
-    assert process.advance(102.5, debts()) is Phase.ENDED
+def test_process_ends_with_its_last_connection_or_at_the_linger_timeout() -> None:
+    process = draining_process()
+    assert process.advance(102.0, outstanding_work()) is Phase.CLOSING
+    assert process.advance(102.49, outstanding_work()) is Phase.CLOSING
+    assert process.advance(102.3, outstanding_work(connection_count=0)) is Phase.ENDED
+    process = draining_process()
+    process.advance(102.0, outstanding_work())
+    assert process.advance(102.5, outstanding_work()) is Phase.ENDED
--- a/tests/node/test_sigterm.py
+++ b/tests/node/test_sigterm.py
@@ -1,4 +1,4 @@
-"""The process ends: what comes in its last instants, and what it still owes."""
+"""Graceful shutdown: late requests, pending answers, and the end of the process before SIGKILL."""
 
 from __future__ import annotations
 
@@ -13,8 +13,7 @@
 import pytest
 from platform_world import ROWS, SETTINGS, ComputeNodeConnection, Harness
 
-from saffronlane.platform import managed_connection as endpoint
-from saffronlane.platform import shutdown, stream
+from saffronlane.platform import managed_connection, shutdown, stream
 from saffronlane.platform.lifecycle import Phase
 from saffronlane.platform.lifecycle.process import NEW_REQUEST_WINDOW, OutstandingWork
 
@@ -30,309 +29,334 @@
 )
 
 
-def answers(data: bytes) -> list[Any]:
-    unpacker = msgspec.msgpack.Decoder()
-    return [unpacker.decode(data)] if data else []
+def decode_answers(data: bytes) -> list[Any]:
+    decoder = msgspec.msgpack.Decoder()
+    return [decoder.decode(data)] if data else []
 
 
-async def ended(harness: Harness, seconds: float = 5.0) -> None:
-    async with asyncio.timeout(seconds):
+async def run_until_ended(harness: Harness, timeout: float = 5.0) -> None:
+    async with asyncio.timeout(timeout):
         await harness.server.run()
 
 
-def end_crossed_by(harness: Harness, monkeypatch: pytest.MonkeyPatch, cross: Callable[[], None]) -> None:
-    """Tell the process to end, with a crossing right before the look that decides it.
+def stop_with_race(harness: Harness, monkeypatch: pytest.MonkeyPatch, race: Callable[[], None]) -> None:
+    """Request the shutdown, and call `race` right before the check that ends the draining phase.
 
-    The process's clock is held before its end until then, and past it at that look. Guards against a look
-    between two readings of the clock, the process's and the test's, which ended it uncrossed.
+    Until then, the state machine is passed times before the end of the phase, and at that check a time after
+    it. Without this, a check between the server's and the test's reading of the clock could end the phase
+    before `race` is called.
     """
-    process, loop, crossed = harness.server.process, asyncio.get_running_loop(), []
-    sleep, look = asyncio.sleep, process.advance
+    process, loop, race_calls = harness.server.process, asyncio.get_running_loop(), []
+    real_sleep, real_advance = asyncio.sleep, process.advance
 
-    async def last(seconds: float) -> None:
-        await sleep(seconds)
-        if seconds == shutdown.CHECK_INTERVAL and not crossed:
-            crossed.append(True)
-            cross()
+    async def sleep_then_race(seconds: float) -> None:
+        await real_sleep(seconds)
+        if seconds == shutdown.CHECK_INTERVAL and not race_calls:
+            race_calls.append(True)
+            race()
 
-    def decide(now: float, debts: OutstandingWork) -> Phase:
-        return look(max(now, after + NEW_REQUEST_WINDOW) if crossed else min(now, before + 0.5), debts)
+    def advance(now: float, outstanding: OutstandingWork) -> Phase:
+        time = max(now, after + NEW_REQUEST_WINDOW) if race_calls else min(now, before + 0.5)
+        return real_advance(time, outstanding)
 
-    monkeypatch.setattr(shutdown.asyncio, "sleep", last)
-    monkeypatch.setattr(process, "advance", decide)
+    monkeypatch.setattr(shutdown.asyncio, "sleep", sleep_then_race)
+    monkeypatch.setattr(process, "advance", advance)
     before = loop.time()
     harness.server.stop()
     after = loop.time()
 
 
-@pytest.mark.parametrize("where", ["resting", "new", "both"])
-def test_what_comes_in_the_last_instant_is_answered(where: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """On a connection that rested, and on one that waits to be accepted, there when the end is decided.
+@pytest.mark.parametrize("sender", ["resting", "new", "both"])
+def test_request_that_arrives_just_before_the_end_of_draining_is_answered(
+    sender: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The request arrives on an idle connection, or on one that waits to be accepted.
 
-    Guards against what is read or accepted between the last look and the close.
+    Guards against input or connections that arrive between the last check and the close, and are lost.
     """
 
     async def scenario(harness: Harness) -> None:
-        port, late = harness.server.downstream.port, []
-        resting = SyncClient(port)
+        port, late_clients = harness.server.downstream.port, []
+        idle_client = SyncClient(port)
         await harness.wait_until(lambda: harness.server.downstream.clients)
 
-        def cross() -> None:
-            late.extend([resting] if where != "new" else [])
-            late.extend([SyncClient(port)] if where != "resting" else [])
-            for n, client in enumerate(late, 1):
+        def send_requests() -> None:
+            late_clients.extend([idle_client] if sender != "new" else [])
+            late_clients.extend([SyncClient(port)] if sender != "resting" else [])
+            for n, client in enumerate(late_clients, 1):
                 client.send(encode_call(1, rid=request_id(n)))
 
-        end_crossed_by(harness, monkeypatch, cross)
-        await ended(harness)
-        assert len(late) == (2 if where == "both" else 1)
-        for client in late:
+        stop_with_race(harness, monkeypatch, send_requests)
+        await run_until_ended(harness)
+        assert len(late_clients) == (2 if sender == "both" else 1)
+        for client in late_clients:
             data, reset = await client.read_to_end()
-            assert not reset and answers(data) == [[1, 1, None, [ROWS, {}]]]
+            assert not reset and decode_answers(data) == [[1, 1, None, [ROWS, {}]]]
 
     run_with_harness(scenario)
 
 
-def test_what_waits_outside_a_full_house_at_the_end_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Connections are full at the last look, and one waits in the system with its request: it was reset."""
+def test_request_in_the_listen_backlog_at_the_end_of_draining_is_answered(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """At the last check, the maximum number of clients is connected, and another client waits to be accepted.
+
+    Guards against a reset of the waiting connection.
+    """
 
     async def scenario(harness: Harness) -> None:
-        front, late = harness.server.downstream, []
-        front.max_clients = 2
-        resting = await harness.client()
-        assert (await resting.read_answer(resting.call("ask", request_id(1))))[
-            0
-        ] is None  # too lately to make way
-
-        def cross() -> None:
-            late.append(SyncClient(front.port))  # the last that there is room for, and too new
-            late.append(SyncClient(front.port))
-            late[1].send(encode_call(1, rid=request_id(2)))
-
-        end_crossed_by(harness, monkeypatch, cross)
-        await ended(harness)
-        data, reset = await late[1].read_to_end()
-        assert not reset and answers(data) == [[1, 1, None, [ROWS, {}]]]
-        late[0].close()
+        downstream, late_clients = harness.server.downstream, []
+        downstream.max_clients = 2
+        recent_client = await harness.client()
+        # The client has been active too recently to be evicted.
+        assert (await recent_client.read_answer(recent_client.call("ask", request_id(1))))[0] is None
+
+        def connect_clients() -> None:
+            # The first client reaches the maximum and is too new to be evicted.
+            late_clients.append(SyncClient(downstream.port))
+            late_clients.append(SyncClient(downstream.port))
+            late_clients[1].send(encode_call(1, rid=request_id(2)))
+
+        stop_with_race(harness, monkeypatch, connect_clients)
+        await run_until_ended(harness)
+        data, reset = await late_clients[1].read_to_end()
+        assert not reset and decode_answers(data) == [[1, 1, None, [ROWS, {}]]]
+        late_clients[0].close()
 
     run_with_harness(scenario)
 
 
-def test_what_is_read_but_not_acted_on_yet_is_not_at_rest() -> None:
-    """Between the socket's turn of the loop and the reader's the bytes are in neither."""
+def test_stream_has_undelivered_data_until_the_reader_task_resumes() -> None:
+    """Between the read from the socket and the reader task's next run, neither of them holds the bytes."""
 
     async def scenario() -> None:
-        ours, theirs = socket.socketpair()
-        one = stream.Stream(ours, 1_000_000, 1_000_000)
-        reading = one.read_bytes(100, partial=True)
-        assert not one.has_undelivered_data
-        theirs.send(b"x")
+        local_socket, remote_socket = socket.socketpair()
+        tested_stream = stream.Stream(local_socket, 1_000_000, 1_000_000)
+        read_future = tested_stream.read_bytes(100, partial=True)
+        assert not tested_stream.has_undelivered_data
+        remote_socket.send(b"x")
         await asyncio.sleep(0)
         await asyncio.sleep(0)
-        assert one.has_undelivered_data and await reading == b"x"
-        one.close()
-        theirs.close()
+        assert tested_stream.has_undelivered_data and await read_future == b"x"
+        tested_stream.close()
+        remote_socket.close()
 
     asyncio.run(scenario())
 
 
-def test_a_request_that_crosses_the_end_is_not_sent_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It comes after the last look and before the shutdown: its client sends it elsewhere, unharmed."""
+def test_request_that_arrives_after_the_end_of_draining_is_not_executed(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """It arrives between the last check and the half-close, so its client can safely send it elsewhere."""
 
     async def scenario(harness: Harness) -> None:
-        node = harness.server
-        client = SyncClient(node.downstream.port)
+        server = harness.server
+        client = SyncClient(server.downstream.port)
         client.send(encode_call(1, rid=request_id(1)))
         await harness.wait_until(
-            lambda: node.downstream.request_count == 1 and not node.downstream.has_unsent_replies
+            lambda: server.downstream.request_count == 1 and not server.downstream.has_unsent_replies
         )
-        drain = node.downstream.drain
+        drain = server.downstream.drain
 
-        def crossed() -> None:
+        def send_then_drain() -> None:
             client.send(encode_call(2, rid=request_id(2)))
             drain()
 
-        monkeypatch.setattr(node.downstream, "drain", crossed)
-        node.stop()
+        monkeypatch.setattr(server.downstream, "drain", send_then_drain)
+        server.stop()
         data, reset = await client.read_to_end()
-        await ended(harness)
-        assert not reset and answers(data) == [[1, 1, None, [ROWS, {}]]]
-        assert [words[1] for words in harness.compute_nodes[0].commands(b"fetch")] == [request_id(1).encode()]
+        await run_until_ended(harness)
+        assert not reset and decode_answers(data) == [[1, 1, None, [ROWS, {}]]]
+        assert [command[1] for command in harness.compute_nodes[0].commands(b"fetch")] == [
+            request_id(1).encode()
+        ]
 
     run_with_harness(scenario)
 
 
-def test_clients_that_rest_and_half_a_request_end_without_a_reset() -> None:
+def test_idle_clients_and_incomplete_requests_end_without_a_reset() -> None:
     async def scenario(harness: Harness) -> None:
-        node = harness.server
-        resting, half = SyncClient(node.downstream.port), SyncClient(node.downstream.port)
-        half.send(encode_call(1)[:30])
-        await harness.wait_until(lambda: len(node.downstream.clients) == 2)
-        node.stop()
+        server = harness.server
+        idle_client, partial_sender = SyncClient(server.downstream.port), SyncClient(server.downstream.port)
+        partial_sender.send(encode_call(1)[:30])
+        await harness.wait_until(lambda: len(server.downstream.clients) == 2)
+        server.stop()
         await asyncio.sleep(0.9)
-        half.send(encode_call(1)[30:40])  # it is still being written
-        for client in (resting, half):
+        partial_sender.send(encode_call(1)[30:40])  # the client is still sending the request
+        for client in (idle_client, partial_sender):
             assert await client.read_to_end() == (b"", False)
-        await ended(harness)
+        await run_until_ended(harness)
 
     run_with_harness(scenario)
 
 
-def test_every_node_hangs_and_each_request_has_its_answer_in_time() -> None:
-    """The process ends soon after the last debt, though its attempts never end."""
-    longer = [SETTINGS["services"][0] | {"deadline": 16.0}, *SETTINGS["services"][1:]]
+def test_requests_are_answered_by_their_deadlines_if_no_compute_node_responds() -> None:
+    """The process ends soon after the last answer, although the compute nodes never respond."""
+    services = [SETTINGS["services"][0] | {"deadline": 16.0}, *SETTINGS["services"][1:]]
 
     async def scenario(harness: Harness) -> None:
-        node, loop = harness.server, asyncio.get_running_loop()
+        server, loop = harness.server, asyncio.get_running_loop()
         client = await harness.client()
-        ids = {client.call("ask", request_id(n), budget=str(900 + 200 * n)): 0.9 + 0.2 * n for n in range(4)}
-        await harness.wait_until(lambda: node.downstream.request_count == 4)
-        began = loop.time()
-        node.stop()
-        for msgid, seconds in ids.items():
-            error, _ = await client.read_answer(msgid)
-            assert error[0] in ("Shed", "Fault") and loop.time() < began + seconds + 0.05
-        owed_until = loop.time()
+        budget_by_message_id = {
+            client.call("ask", request_id(n), budget=str(900 + 200 * n)): 0.9 + 0.2 * n for n in range(4)
+        }
+        await harness.wait_until(lambda: server.downstream.request_count == 4)
+        stopped_at = loop.time()
+        server.stop()
+        for message_id, budget_s in budget_by_message_id.items():
+            error, _ = await client.read_answer(message_id)
+            assert error[0] in ("Shed", "Fault") and loop.time() < stopped_at + budget_s + 0.05
+        last_answer_at = loop.time()
         client.close()
-        await ended(harness)
-        assert loop.time() < owed_until + 0.7
+        await run_until_ended(harness)
+        assert loop.time() < last_answer_at + 0.7
 
-    run_with_harness(scenario, never_answer, never_answer, settings=SETTINGS | {"services": longer})
+    run_with_harness(scenario, never_answer, never_answer, settings=SETTINGS | {"services": services})
 
 
-def test_deadlines_past_the_kill_are_answered_before_it() -> None:
-    """SIGKILL comes 3.7 s after SIGTERM at the earliest, however long the deadlines are.
+def test_requests_with_long_deadlines_are_answered_before_sigkill() -> None:
+    """SIGKILL may follow 3.7 s after SIGTERM, however long the deadlines are.
 
-    Guards against requests that nobody answers: every node hangs, and the deadline is 16 s.
+    Guards against unanswered requests: no compute node responds, and the deadline is 16 s.
     """
-    longer = [one | {"deadline": 16.0} for one in SETTINGS["services"]]
+    services = [service | {"deadline": 16.0} for service in SETTINGS["services"]]
 
     async def scenario(harness: Harness) -> None:
-        node, loop = harness.server, asyncio.get_running_loop()
+        server, loop = harness.server, asyncio.get_running_loop()
         client = await harness.client()
-        ids = [client.call(cls, request_id(n), budget="16000") for n, cls in enumerate(("ask", "frail"))]
-        await harness.wait_until(lambda: sum(len(c.commands(b"fetch")) for c in harness.compute_nodes) >= 2)
-        began = loop.time()
-        node.stop()
+        message_ids = [
+            client.call(cls, request_id(n), budget="16000") for n, cls in enumerate(("ask", "frail"))
+        ]
+        await harness.wait_until(
+            lambda: sum(len(compute_node.commands(b"fetch")) for compute_node in harness.compute_nodes) >= 2
+        )
+        stopped_at = loop.time()
+        server.stop()
         await asyncio.sleep(0.5)
-        ids.append(client.call("ask", request_id(9), budget="16000"))
-        words = [(await client.read_answer(msgid))[0][0] for msgid in ids]
-        assert words == ["Shed", "Fault", "Shed"] and 3.0 < loop.time() - began < 3.6
+        message_ids.append(client.call("ask", request_id(9), budget="16000"))
+        fault_names = [(await client.read_answer(message_id))[0][0] for message_id in message_ids]
+        assert fault_names == ["Shed", "Fault", "Shed"] and 3.0 < loop.time() - stopped_at < 3.6
         client.close()
-        await ended(harness)
-        assert loop.time() - began < 3.7
+        await run_until_ended(harness)
+        assert loop.time() - stopped_at < 3.7
 
-    run_with_harness(scenario, never_answer, never_answer, settings=SETTINGS | {"services": longer})
+    run_with_harness(scenario, never_answer, never_answer, settings=SETTINGS | {"services": services})
 
 
-def test_asked_twice_it_answers_all_at_once() -> None:
-    """A request that surely never ran, and one that may be repeated, is refused; one that may not fails."""
+def test_second_stop_answers_all_requests_immediately() -> None:
+    """A request that did not run or is safe to repeat is rejected; an unsafe one that may have run fails."""
 
     async def scenario(harness: Harness) -> None:
-        node, loop = harness.server, asyncio.get_running_loop()
+        server, loop = harness.server, asyncio.get_running_loop()
         client = await harness.client()
         safe, unsafe = client.call("ask", request_id(1)), client.call("frail", request_id(2))
         await harness.wait_until(lambda: len(harness.compute_nodes[0].commands(b"fetch")) == 2)
-        began = loop.time()
-        node.stop()
-        node.stop()
+        stopped_at = loop.time()
+        server.stop()
+        server.stop()
         assert (await client.read_answer(safe))[0][0] == "Shed"
         assert (await client.read_answer(unsafe))[0][0] == "Fault"
         client.close()
-        await ended(harness)
-        assert loop.time() < began + 1.0
+        await run_until_ended(harness)
+        assert loop.time() < stopped_at + 1.0
 
     run_with_harness(scenario, never_answer)
 
 
-def test_the_end_waits_for_what_a_slow_client_has_still_to_read(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_shutdown_waits_until_a_slow_client_has_read_its_answers(monkeypatch: pytest.MonkeyPatch) -> None:
     page = (b"x" * 2990 + b"\ty\tz\n") * 2
 
     async def scenario(harness: Harness) -> None:
-        node, loop = harness.server, asyncio.get_running_loop()
+        server, loop = harness.server, asyncio.get_running_loop()
         async with slow_client(harness, 10) as (client, _):
-            node.stop()
+            server.stop()
             await asyncio.sleep(1.5)
-            assert node.process.phase is Phase.DRAINING
-            total = 0
+            assert server.process.phase is Phase.DRAINING
+            byte_count = 0
             while data := await loop.sock_recv(client, 65_536):
-                total += len(data)
-            assert total > 10 * 7 * len(page)
-        await ended(harness)
+                byte_count += len(data)
+            assert byte_count > 10 * 7 * len(page)
+        await run_until_ended(harness)
 
     run_with_harness(scenario, paged_results(page, 7))
 
 
-@pytest.mark.parametrize("wait", [0.0, 0.3])
-def test_the_process_ends_by_itself_and_owes_nothing(wait: float, tmp_path: Path) -> None:
-    """SIGTERM while attempts run, more requests within the time in which they may come, exit 0."""
+@pytest.mark.parametrize("answer_delay", [0.0, 0.3])
+def test_process_answers_all_requests_and_exits_after_sigterm(answer_delay: float, tmp_path: Path) -> None:
+    """SIGTERM arrives while attempts are in flight; later requests are still accepted for some time."""
 
-    async def script(peer: ComputeNodeConnection, words: list[bytes]) -> None:
-        if words[0] == b"fetch":
-            asyncio.get_running_loop().call_later(wait, peer.send_result, words[1])
+    async def script(connection: ComputeNodeConnection, command: list[bytes]) -> None:
+        if command[0] == b"fetch":
+            asyncio.get_running_loop().call_later(answer_delay, connection.send_result, command[1])
 
     async def scenario() -> None:
         async with server_process(tmp_path, script) as running, asyncio.timeout(20.0):
             process, client = running.process, await running.client()
-            ids = [client.call("ask", request_id(n)) for n in range(5)]
-            await client.read_answer(ids[0]) if not wait else None
+            message_ids = [client.call("ask", request_id(n)) for n in range(5)]
+            await client.read_answer(message_ids[0]) if not answer_delay else None
             process.send_signal(signal.SIGTERM)
             await running.wait_for_log(b"shutdown requested")
-            ids += [client.call("ask", request_id(n)) for n in range(5, 10)]
-            new = await running.client()
-            asked = new.call("ask", request_id(10))
-            for msgid in ids:
-                assert (await client.read_answer(msgid))[0] is None
-            assert (await new.read_answer(asked))[0] is None
+            message_ids += [client.call("ask", request_id(n)) for n in range(5, 10)]
+            new_client = await running.client()
+            last_message_id = new_client.call("ask", request_id(10))
+            for message_id in message_ids:
+                assert (await client.read_answer(message_id))[0] is None
+            assert (await new_client.read_answer(last_message_id))[0] is None
             assert await client.reader.read() == b""
             client.close()
-            new.close()
+            new_client.close()
             assert await process.wait() == 0
 
     asyncio.run(scenario())
 
 
-def test_a_process_whose_nodes_all_hang_answers_before_it_is_killed_and_ends(tmp_path: Path) -> None:
-    """Deadlines of 16 s, SIGKILL 3.7 s after SIGTERM at the earliest: the whole process, with its signals."""
-    longer = [one | {"deadline": 16.0} for one in SETTINGS["services"]]
+def test_process_without_responding_compute_nodes_answers_and_exits_before_sigkill(tmp_path: Path) -> None:
+    """Deadlines are 16 s, and SIGKILL may follow 3.7 s after SIGTERM. The signals reach a real process."""
+    services = [service | {"deadline": 16.0} for service in SETTINGS["services"]]
 
     async def scenario() -> None:
-        changes = {"settings": SETTINGS | {"services": longer}}
+        config_changes = {"settings": SETTINGS | {"services": services}}
         async with (
-            server_process(tmp_path, never_answer, never_answer, **changes) as running,
+            server_process(tmp_path, never_answer, never_answer, **config_changes) as running,
             asyncio.timeout(20.0),
         ):
             loop, client = asyncio.get_running_loop(), await running.client()
-            resting = await running.client()  # it rests until the process ends it
-            ids = [client.call(cls, request_id(n), budget="16000") for n, cls in enumerate(("ask", "frail"))]
-            while sum(len(compute.commands(b"fetch")) for compute in running.compute_nodes) < 2:
+            idle_client = await running.client()  # stays idle until the process closes it
+            message_ids = [
+                client.call(cls, request_id(n), budget="16000") for n, cls in enumerate(("ask", "frail"))
+            ]
+            while sum(len(compute_node.commands(b"fetch")) for compute_node in running.compute_nodes) < 2:
                 await asyncio.sleep(0.01)
-            began = loop.time()
+            stopped_at = loop.time()
             running.process.send_signal(signal.SIGTERM)
             await running.wait_for_log(b"shutdown requested")
-            ids.append(client.call("ask", request_id(9), budget="16000"))
-            assert [(await client.read_answer(msgid))[0][0] for msgid in ids] == ["Shed", "Fault", "Shed"]
-            assert loop.time() - began < 3.7
-            assert await resting.reader.read() == b"" and await client.reader.read() == b""
+            message_ids.append(client.call("ask", request_id(9), budget="16000"))
+            assert [(await client.read_answer(message_id))[0][0] for message_id in message_ids] == [
+                "Shed",
+                "Fault",
+                "Shed",
+            ]
+            assert loop.time() - stopped_at < 3.7
+            assert await idle_client.reader.read() == b"" and await client.reader.read() == b""
             client.close()
-            resting.close()
+            idle_client.close()
             assert await running.process.wait() == 0
 
     asyncio.run(scenario())
 
 
-def test_every_endpoint_ends_closed_with_nothing_open() -> None:
-    """Whatever its last state was, nothing of a connection stays once the node has been closed."""
+def test_closing_the_server_closes_every_connection_and_ends_its_work() -> None:
+    """The connections are in different states when the server is closed."""
 
     async def scenario(harness: Harness) -> None:
-        made: list[endpoint.ManagedConnection] = []
-        start = endpoint.ManagedConnection.start
+        started: list[managed_connection.ManagedConnection] = []
+        real_start = managed_connection.ManagedConnection.start
 
-        def kept(one: endpoint.ManagedConnection) -> None:
-            made.append(one)
-            start(one)
+        def record_and_start(connection: managed_connection.ManagedConnection) -> None:
+            started.append(connection)
+            real_start(connection)
 
-        endpoint.ManagedConnection.start = kept  # type: ignore[method-assign]
+        managed_connection.ManagedConnection.start = record_and_start  # type: ignore[method-assign]
         try:
             clients = [await harness.client() for _ in range(6)]
             for n, client in enumerate(clients):
@@ -341,7 +365,9 @@
             await harness.wait_until(lambda: harness.table_sizes()["connection_attempts"])
             harness.server.close()
         finally:
-            endpoint.ManagedConnection.start = start  # type: ignore[method-assign]
-        assert made and all(one.lifecycle.is_closed and not one.has_pending_work for one in made)
+            managed_connection.ManagedConnection.start = real_start  # type: ignore[method-assign]
+        assert started and all(
+            connection.lifecycle.is_closed and not connection.has_pending_work for connection in started
+        )
 
     run_with_harness(scenario, never_answer)
