--- a/tests/node/test_attempt_ends.py
+++ b/tests/node/test_attempt_ends.py
@@ -1,4 +1,4 @@
-"""The outcomes of attempts at compute_node nodes, and how the connections to them end."""
+"""The outcomes of attempts at compute nodes, and how the connections to them end."""
 
 from __future__ import annotations
 
@@ -142,7 +142,7 @@
 
 
 async def _send_unsafe_request(harness: Harness, timeout: float = 5.0) -> tuple[list[Outcome], Any]:
-    """Return the outcomes of its attempts and its answer."""
+    """Send a request of an unsafe class; return the outcomes of its attempts, and its answer."""
     outcomes = record_outcomes(harness)
     client = await harness.client()
     return outcomes, await client.read_answer(client.call("frail", REQUEST_ID), timeout)
@@ -166,7 +166,7 @@
     run_with_harness(scenario, abort_connection)
 
 
-def test_unanswered_attempt_ends_at_its_timeout_and_its_connection_is_replaced() -> None:
+def test_unanswered_attempt_ends_at_its_timeout_and_its_connection_closes() -> None:
     async def scenario(harness: Harness) -> None:
         outcomes = record_outcomes(harness)
         client = await harness.client()
@@ -258,7 +258,7 @@
 
 
 def test_attempt_that_waits_for_its_connection_is_withdrawn_if_the_compute_node_drains() -> None:
-    """The control feed lists the compute_node node as draining while the attempt waits for its connection."""
+    """The control feed lists the compute node as draining while the attempt waits for its connection."""
 
     async def scenario(harness: Harness) -> None:
         outcomes = record_outcomes(harness)
@@ -309,7 +309,7 @@
 
 @pytest.mark.parametrize("is_listening", [True, False])
 def test_attempt_moves_to_a_new_connection_if_the_first_closes_before_sending(is_listening: bool) -> None:
-    """The attempt succeeds if the compute_node node accepts the new connection.
+    """The attempt succeeds if the compute node accepts the new connection.
 
     Otherwise, the refused connection proves that the request did not run.
     """
--- a/tests/node/test_certainty.py
+++ b/tests/node/test_certainty.py
@@ -127,7 +127,7 @@
 
 
 def test_attempt_queued_for_a_compute_node_that_does_not_read_can_be_withdrawn() -> None:
-    """No command is handed to a stream with unwritten bytes, since the command's client may still disconnect."""
+    """A stream with unwritten bytes is handed no command, since the command's client may still disconnect."""
 
     async def scenario(harness: Harness) -> None:
         node = SyncComputeNode(receive_buffer_bytes=4096)
