--- a/saffronlane/http2/connection.py
+++ b/saffronlane/http2/connection.py
@@ -1,13 +1,13 @@
-"""One HTTP/2 connection without I/O (RFC 9113), server or client.
+"""The protocol state of one HTTP/2 connection (RFC 9113), server or client, without I/O.
 
 `receive` takes bytes from the transport and returns events that describe what the peer sent. `output` returns
 bytes for the transport to write. Queued data becomes DATA frames only when `output` is called. Data that a
-slow peer does not read therefore stays in the send queue of its stream, where the sender sees it
-(`queued_bytes`) and stops. Receive windows are replenished by `acknowledge_data` only, so a reader that stops
-reading also stops its peer.
+slow peer does not read therefore stays in the send queue of its stream. The sender checks the size of that
+queue (`queued_bytes`) and pauses while it is too large. Only `acknowledge_data` replenishes the receive
+windows for received data, so a peer has to stop sending once the local reader stops reading.
 
-The present time is always an argument. A peer that violates the protocol or floods the connection with frames
-loses its own connection only.
+Methods that depend on the time take it as the argument `now`. A protocol violation or a flood of frames ends
+only the stream or the connection on which it occurs.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLimits:
-    """The limits that a connection imposes on its peer.
+    """The limits and timeouts that a connection applies to its peer and to its own send queues.
 
     Attributes:
         max_frame_size: The largest accepted frame payload in bytes (SETTINGS_MAX_FRAME_SIZE).
@@ -65,7 +65,7 @@
             cost work but carry no payload, such as PING, SETTINGS, PRIORITY and empty DATA frames
             (CVE-2019-9512, CVE-2019-9515, CVE-2019-9518).
         overhead_frame_rate: The overhead frames per second that are accepted in the long run.
-        max_queued_reply_bytes: The largest number of bytes of unsent replies to PING and SETTINGS.
+        max_queued_reply_bytes: The largest total size of the unsent replies to PING and SETTINGS, in bytes.
         handshake_timeout: The seconds within which the peer must send its first SETTINGS.
         keepalive_after: The seconds without received bytes after which a keep-alive PING is sent.
         keepalive_timeout: The seconds after that PING within which the peer must send anything.
@@ -97,14 +97,15 @@
         receive_window: The bytes of DATA that the peer may send.
         is_local_open: Whether we have not sent END_STREAM.
         is_remote_open: Whether the peer has not sent END_STREAM.
-        has_received_headers: Whether the peer has sent a complete header block.
+        has_received_headers: Whether the peer has sent its request headers or its final response headers.
         are_headers_written: Whether `output` has returned the HEADERS frame of this stream.
-        queue: The data to send.
-        queued_bytes: The total size of `queue`.
+        queue: The chunks of data to send.
+        queued_bytes: The total size of the chunks in `queue`.
         ends_after_queue: Whether END_STREAM follows the queued data.
         trailers: The trailers that follow the queued data.
         is_scheduled: Whether the stream is in `_ready_streams` of its connection.
-        pending_credit: The acknowledged bytes that have not been returned by a WINDOW_UPDATE yet.
+        pending_credit: The bytes of processed data and of padding for which no WINDOW_UPDATE has been sent
+            yet.
         is_low_water_reported: Whether the stream has been reported as writable since its queue last
             exceeded the low-water mark.
     """
@@ -140,7 +141,7 @@
         is_draining: Whether `drain` has sent GOAWAY.
         is_peer_draining: Whether the peer has sent GOAWAY.
         peer_max_streams: The largest number of concurrent streams that the peer accepts. A client assumes
-            100 until the SETTINGS of the peer arrive.
+            100 until the SETTINGS of the peer arrive. Always 0 on a server, which opens no streams.
         streams: The open streams by identifier.
         writable_streams: The streams whose send queue has fallen to the low-water mark. The transport
             clears the list.
@@ -159,7 +160,8 @@
         # Decoded headers by encoded block, valid until the dynamic table changes.
         self._decoded_blocks: dict[bytes, Headers] = {}
         self.writable_streams: list[int] = []
-        # Encoded frames in sending order. They are sent before any DATA.
+        # Encoded frames in sending order, which are sent before any DATA. HEADERS come with their stream, all
+        # other frames with None.
         self._queued_frames: list[tuple[bytes, _Stream | None]] = []
         self._queued_reply_bytes = 0  # the size of the replies among `_queued_frames`
         # Streams that have DATA to send and a positive send window, in round-robin order.
@@ -179,7 +181,7 @@
         self._reset_bucket, self._overhead_frame_bucket = TokenBucket(), TokenBucket()
         self._created_at = self._last_received_at = now
         self._keepalive_sent_at: float | None = None
-        self._goaway_last_stream_id: int | None = None
+        self._goaway_last_stream_id: int | None = None  # in the GOAWAY that `drain` sent
         self._now = now
         self._events: list[Event] = []
         self._handlers: dict[int, Callable[[Frame], None]] = {
@@ -285,7 +287,8 @@
         data = frames.strip_padding(frame)
         if not data and not end_stream:
             self._count_overhead_frame("empty DATA frames")
-        # The peer sent this frame before it received our reset, or it has violated the protocol.
+        # A missing stream is closed, and the peer may have sent this frame before it received our reset. On a
+        # stream that still exists, the peer has already sent END_STREAM.
         if stream is None or not stream.is_remote_open:
             self._return_connection_credit(size)
             if stream is not None:
@@ -323,9 +326,17 @@
         self._on_header_fragment(*self._partial_block, frame.flags)
 
     def _on_header_fragment(self, stream_id: int, end_stream: bool, block: bytearray, flags: int) -> None:
+        """Process the header block if its last fragment has arrived.
+
+        Args:
+            stream_id: The stream.
+            end_stream: Whether the HEADERS frame had the flag END_STREAM.
+            block: All fragments of the header block that have arrived so far.
+            flags: The flags of the frame that contained the last fragment.
+        """
         # The encoded block has the same limit as the decoded list, so that an endless block (CVE-2024-27316)
-        # is rejected before it is decoded. The connection is closed with it, since the compression state is
-        # lost.
+        # is rejected before it is decoded. The whole connection is closed, because the HPACK dynamic table is
+        # out of step with the peer after a block that was not decoded.
         if len(block) > self.limits.max_header_list_size:
             text = f"header block of stream {stream_id} exceeds {self.limits.max_header_list_size} bytes"
             raise ProtocolError(text, ErrorCode.ENHANCE_YOUR_CALM)
@@ -346,9 +357,9 @@
         if cached is not None:
             return cached
         table = self._header_decoder.header_table
-        entries, size = table.dynamic_entries, table.maxsize
+        entries, max_table_size = table.dynamic_entries, table.maxsize
         # The first entry itself is kept, not its `id`, which could be reused after the entry is evicted.
-        count, first = len(entries), entries[0] if entries else None
+        entry_count, first_entry = len(entries), entries[0] if entries else None
         try:
             headers = tuple((bytes(n), bytes(v)) for n, v in self._header_decoder.decode(block, raw=True))
         except hpack.OversizedHeaderListError:
@@ -358,7 +369,9 @@
             text = f"header block cannot be decoded: {error}"
             raise ProtocolError(text, ErrorCode.COMPRESSION_ERROR) from None
         is_table_unchanged = (
-            len(entries) == count and (not count or entries[0] is first) and table.maxsize == size
+            len(entries) == entry_count
+            and (not entry_count or entries[0] is first_entry)
+            and table.maxsize == max_table_size
         )
         if not is_table_unchanged:  # an entry was added at the front or evicted, or the table was resized
             self._decoded_blocks.clear()
@@ -371,7 +384,7 @@
         if stream is None:
             if self.is_client or not stream_id % 2:
                 if stream_id % 2 and stream_id < self._next_stream_id:
-                    return  # the stream has been closed by this side
+                    return  # this side opened the stream, and it is closed by now
                 raise ProtocolError(f"HEADERS on stream {stream_id}, which this side has not opened")
             if stream_id <= self._last_peer_stream_id:
                 self._count_overhead_frame("HEADERS on closed streams")
@@ -382,11 +395,11 @@
         if not stream.is_remote_open:
             raise StreamError(stream_id, "HEADERS after END_STREAM", ErrorCode.STREAM_CLOSED)
         is_first_block, stream.has_received_headers = not stream.has_received_headers, True
-        fault = check_headers(headers, is_trailers=not is_first_block, is_request=not self.is_client)
+        error_text = check_headers(headers, is_trailers=not is_first_block, is_request=not self.is_client)
         if not is_first_block and not end_stream:
-            fault = "trailers without END_STREAM"
-        if fault:
-            raise StreamError(stream_id, fault)
+            error_text = "trailers without END_STREAM"
+        if error_text:
+            raise StreamError(stream_id, error_text)
         if (
             self.is_client
             and is_first_block
@@ -470,7 +483,7 @@
             raise ProtocolError(f"ENABLE_PUSH of {value} is neither 0 nor 1")
 
     def _on_push_promise(self, frame: Frame) -> None:
-        raise ProtocolError("PUSH_PROMISE, although server push is disabled")
+        raise ProtocolError("received PUSH_PROMISE, but server push is disabled")
 
     def _on_ping(self, frame: Frame) -> None:
         if frame.stream_id or len(frame.payload) != 8:
@@ -499,7 +512,7 @@
         stream_id = frame.stream_id
         if not stream_id:
             if not amount:
-                raise ProtocolError("WINDOW_UPDATE of 0")
+                raise ProtocolError("WINDOW_UPDATE for the connection has an increment of 0")
             self._send_window += amount
             if self._send_window > frames.MAX_WINDOW:
                 raise ProtocolError(
@@ -512,20 +525,22 @@
         if stream is None:
             return
         if not amount:
-            raise StreamError(stream_id, "WINDOW_UPDATE of 0")
+            raise StreamError(stream_id, f"WINDOW_UPDATE for stream {stream_id} has an increment of 0")
         stream.send_window += amount
         if stream.send_window > frames.MAX_WINDOW:
             raise StreamError(
-                stream_id, f"flow-control window exceeds {frames.MAX_WINDOW}", ErrorCode.FLOW_CONTROL_ERROR
+                stream_id,
+                f"flow-control window of stream {stream_id} exceeds {frames.MAX_WINDOW}",
+                ErrorCode.FLOW_CONTROL_ERROR,
             )
         self._schedule(stream)
 
     def _require_opened(self, stream_id: int, frame_name: str) -> None:
         """Raise a connection error if a stream was never opened (section 5.1)."""
-        has_local_parity = stream_id % 2 == (1 if self.is_client else 0)
+        is_locally_initiated = stream_id % 2 == (1 if self.is_client else 0)
         is_opened = (
             stream_id < self._next_stream_id
-            if has_local_parity and self.is_client
+            if is_locally_initiated and self.is_client
             else stream_id <= self._last_peer_stream_id
         )
         if not stream_id or not is_opened:
@@ -566,7 +581,7 @@
         """Send response headers, or trailers after the queued data.
 
         Args:
-            stream_id: The stream. If it is closed locally, nothing is sent.
+            stream_id: The stream. If this side has already ended it, nothing is sent.
             headers: The headers or trailers.
             end_stream: Whether the headers end the stream, as trailers do.
         """
@@ -588,7 +603,7 @@
         """Queue a part of the body. `queued_bytes` returns the size of the queue.
 
         Args:
-            stream_id: The stream. If it is closed locally, the data is dropped.
+            stream_id: The stream. If this side has already ended it, the data is dropped.
             data: The bytes to append to the queue.
             end_stream: Whether this is the end of the stream.
         """
@@ -608,7 +623,10 @@
         return stream.queued_bytes if stream is not None else 0
 
     def are_headers_sent(self, stream_id: int) -> bool:
-        """Return whether the HEADERS of a stream have been passed to the transport."""
+        """Return whether the HEADERS of a stream have been passed to the transport.
+
+        The result is also true if the stream is closed.
+        """
         stream = self.streams.get(stream_id)
         return stream is None or stream.are_headers_written
 
@@ -643,7 +661,11 @@
         self._queued_frames.append((data, stream))
 
     def _enqueue_reply(self, data: bytes) -> None:
-        """Queue a reply. The size of unread replies is limited (CVE-2019-9512, CVE-2019-9515)."""
+        """Queue a reply to the peer.
+
+        The total size of the unsent replies is limited, because a peer that does not read could make them
+        accumulate without bound (CVE-2019-9512, CVE-2019-9515).
+        """
         self._queued_reply_bytes += len(data)
         if self._queued_reply_bytes > self.limits.max_queued_reply_bytes:
             raise ProtocolError(
@@ -743,11 +765,12 @@
     def output(self, max_bytes: int = 65_536) -> bytes:
         """Remove and return the next bytes to write.
 
-        All queued frames come first, then DATA frames of the ready streams in round-robin order.
+        All queued HEADERS and control frames come first, then DATA frames of the ready streams in round-robin
+        order.
 
         Args:
-            max_bytes: No further DATA frame is started once this size has been reached. The queued frames do
-                not count.
+            max_bytes: No further DATA frame is started once the DATA frames have reached this size. HEADERS
+                and control frames do not count.
         """
         chunks: list[bytes] = []
         for data, stream in self._queued_frames:
@@ -775,6 +798,7 @@
         return b"".join(chunks)
 
     def _unschedule(self, stream: _Stream) -> None:
+        """Remove a stream from the head of the round-robin schedule."""
         stream.is_scheduled = False
         self._ready_streams.popleft()
 
@@ -816,7 +840,8 @@
 @lru_cache(512)
 def _encode_field_prefix(name: bytes) -> bytes:
     """Encode the name of a never-indexed literal field, without its value (RFC 7541 section 6.2.3)."""
-    # No entry of the static table has the value "x". Its length and the value itself are cut off.
+    # No entry of the static table has the placeholder value "x", so the field is encoded as a literal. The
+    # last two bytes, which are the length of the value and the value, are cut off.
     return bytes(_STATELESS_ENCODER.encode([hpack.NeverIndexedHeaderTuple(name, b"x")], huffman=False))[:-2]
 
 
@@ -841,7 +866,9 @@
 
 
 def check_headers(headers: Headers, is_trailers: bool, is_request: bool) -> str:
-    """Return what is wrong with a header list, or an empty string (RFC 9113 sections 8.2 and 8.3).
+    """Describe the first error in a header list, or return an empty string if the list is valid.
+
+    See RFC 9113 sections 8.2 and 8.3.
 
     Args:
         headers: The decoded header list.
--- a/saffronlane/http2/errors.py
+++ b/saffronlane/http2/errors.py
@@ -27,7 +27,7 @@
 
 
 class ProtocolError(SaffronlaneError):
-    """A connection error: the connection is closed with GOAWAY, which names the reason.
+    """A connection error. The connection is closed with a GOAWAY frame that contains the reason.
 
     Attributes:
         code: The error code of GOAWAY.
@@ -41,14 +41,14 @@
 
 
 class StreamError(SaffronlaneError):
-    """A stream error: the stream is reset, and the connection stays open.
+    """A stream error. The stream is reset, and the connection stays open.
 
     Attributes:
-        stream_id: The stream.
+        stream_id: The identifier of the stream.
         code: The error code of RST_STREAM.
     """
 
-    remedy = "Correct the one call of the client; its other calls on the connection are not affected."
+    remedy = "Correct the failed call of the client; its other calls on the connection are not affected."
 
     def __init__(self, stream_id: int, text: str, code: ErrorCode = ErrorCode.PROTOCOL_ERROR) -> None:
         super().__init__(text)
--- a/saffronlane/http2/events.py
+++ b/saffronlane/http2/events.py
@@ -1,4 +1,4 @@
-"""Events that `Connection.receive` returns."""
+"""Events that the methods of `Connection` return."""
 
 from __future__ import annotations
 
@@ -16,8 +16,7 @@
         stream_id: The stream.
         headers: The decoded header list.
         end_stream: Whether the peer has half-closed the stream, which is always true for trailers.
-        is_first_block: Whether this is the first header block of the stream, which means that it holds no
-            trailers.
+        is_first_block: Whether the headers are those of a request or a final response. False for trailers.
     """
 
     stream_id: int
@@ -33,8 +32,7 @@
     Attributes:
         stream_id: The stream.
         data: The bytes without padding.
-        credit: The number of bytes to return to the peer's flow-control windows by
-            `Connection.acknowledge_data`.
+        credit: The number of bytes to pass to `Connection.acknowledge_data` once the data is processed.
         end_stream: Whether the peer has half-closed the stream.
     """
 
@@ -87,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionClosed:
-    """The connection is closed; no further event follows.
+    """The connection is closed, and no further event follows.
 
     Attributes:
         code: The error code; NO_ERROR if the transport was lost or the peer did not respond.
--- a/saffronlane/http2/frames.py
+++ b/saffronlane/http2/frames.py
@@ -120,7 +120,7 @@
 
 
 def window_update(stream_id: int, increment: int) -> bytes:
-    """Encode a WINDOW_UPDATE frame; stream 0 is the window of the connection."""
+    """Encode a WINDOW_UPDATE frame. Stream 0 stands for the window of the connection."""
     return frame(FrameType.WINDOW_UPDATE, 0, stream_id, _UINT32.pack(increment))
 
 
@@ -208,10 +208,12 @@
 
 
 def strip_padding(received_frame: Frame) -> bytes:
-    """Return the payload of a DATA or HEADERS frame without padding and priority (sections 6.1 and 6.2).
+    """Return the payload of a DATA or HEADERS frame without padding and priority fields.
+
+    See sections 6.1 and 6.2.
 
     Raises:
-        ProtocolError: The padding or the priority is invalid.
+        ProtocolError: The padding or the priority fields are invalid.
     """
     payload = received_frame.payload
     if received_frame.flags & PADDED:
--- a/saffronlane/http2/transport.py
+++ b/saffronlane/http2/transport.py
@@ -1,4 +1,4 @@
-"""Runs a Connection on a Tornado IOStream, with the event loop and its clock."""
+"""Runs a Connection on a Tornado IOStream, with timers and the clock of the event loop."""
 
 from __future__ import annotations
 
@@ -12,9 +12,7 @@
 from .events import Event
 
 CHUNK_SIZE = 65_536
-WRITE_HIGH_WATER = (
-    262_144  # bytes in the IOStream's write buffer above which no further frames are write_future
-)
+WRITE_HIGH_WATER = 262_144  # bytes in the write buffer of the IOStream above which writing is paused
 CHECK_INTERVAL = 1.0  # seconds
 
 
@@ -24,8 +22,8 @@
     Args:
         stream: The connected stream.
         is_client: Whether this side is the client.
-        on_events: Called with the events of each received chunk, of a failed timeout check, or of the loss of
-            the connection.
+        on_events: Called with the events that result from a received chunk, from an expired timeout, or from
+            the loss of the connection.
         on_writable: Called with the identifier of a stream whose send queue has fallen to the low-water mark.
         limits: The limits that are imposed on the peer.
 
@@ -83,7 +81,7 @@
             write_future.add_done_callback(_consume_write_error)
             if self._stream._write_buffer and len(self._stream._write_buffer) > WRITE_HIGH_WATER:
                 self._is_write_blocked = True
-                write_future.add_done_callback(self._unblock)
+                write_future.add_done_callback(self._on_write_done)
                 break
         if self.http.writable_streams:
             writable_streams, self.http.writable_streams = self.http.writable_streams, []
@@ -92,7 +90,7 @@
         if self.http.closed and not self._is_write_blocked:
             self._loop.call_soon(self._stream.close)
 
-    def _unblock(self, _: object) -> None:
+    def _on_write_done(self, _: object) -> None:
         self._is_write_blocked = False
         self.flush()
 
@@ -120,7 +118,7 @@
 
     def _on_close(self) -> None:
         self._check_timer.cancel()
-        if self.http.closed:
+        if self.http.closed:  # the final GOAWAY may still be unsent
             self.flush()
             self._loop.call_later(CHECK_INTERVAL, self._stream.close)
         events = self.http.connection_lost("the connection was lost")
--- a/saffronlane/rpc/__init__.py
+++ b/saffronlane/rpc/__init__.py
@@ -1,4 +1,4 @@
-"""gRPC over HTTP/2: framing, metadata, deadlines, status; a server and a client on Tornado's loop."""
+"""gRPC over HTTP/2: framing, metadata, deadlines, status, a server and a client on the Tornado event loop."""
 
 from .client import Channel, ClientCall
 from .errors import RpcError
--- a/saffronlane/rpc/call.py
+++ b/saffronlane/rpc/call.py
@@ -9,7 +9,7 @@
 from ..http2.transport import Transport
 from . import framing
 
-MAX_UNREAD_BYTES = 262_144  # size of the unread messages above which no flow-control credit is returned
+MAX_UNREAD_BYTES = 262_144  # total size of unread messages above which no flow-control credit is returned
 
 
 class ReceiveQueue:
@@ -123,8 +123,8 @@
     async def wait_writable(self) -> None:
         """Wait until the send queue is at or below the low-water mark.
 
-        The queue of a closed stream is empty, so that its writer is not blocked and notices the end of the
-        stream.
+        The send queue of a closed stream counts as empty, so a writer is not blocked forever when its stream
+        is closed.
         """
         while not self.can_write:
             self._waiter = asyncio.get_running_loop().create_future()
--- a/saffronlane/rpc/client.py
+++ b/saffronlane/rpc/client.py
@@ -1,4 +1,4 @@
-"""The client side of gRPC: one connection, its calls, and what is known about the end of each call."""
+"""The client side of gRPC: one connection, its calls, and how each call ended."""
 
 from __future__ import annotations
 
@@ -77,14 +77,15 @@
         self._transport.flush()
 
     def half_close(self) -> None:
-        """Declare that no further message will be sent."""
+        """Half-close the call: no further message will be sent."""
         self._transport.http.send_data(self.stream_id, b"", end_stream=True)
         self._transport.flush()
 
     def cancel(self) -> bool:
         """Cancel the call, and return whether the peer may have received it.
 
-        If the result is false, the call certainly was not executed.
+        If the result is false, the call certainly was not executed. A call that has already ended is not
+        changed, and the result is true.
         """
         if self.ending is not None:
             return True
@@ -211,7 +212,8 @@
             timeout: The seconds until the deadline of the call. None for no deadline.
 
         Raises:
-            RpcError: The call ended with a status other than OK, or was lost (UNAVAILABLE).
+            RpcError: The call could not be started or its connection was lost (UNAVAILABLE), it ended with a
+                status other than OK, or its response has no message (INTERNAL).
         """
         call = self.start(path, metadata, timeout)
         call.write_now(request, end=True)
@@ -322,7 +324,7 @@
 
     def _end(self, call: ClientCall, status: Status, ending: Ending) -> None:
         self.calls.pop(call.stream_id, None)
-        if self._transport is not None:  # closes the stream unless both sides have ended it
+        if self._transport is not None:  # resets the stream unless both sides have ended it
             self._transport.http.reset(call.stream_id, ErrorCode.CANCEL)
             self._transport.flush()
         if ending is Ending.STATUS and status.ok and call.receive_queue.message_reader.buffered_bytes:
--- a/saffronlane/rpc/errors.py
+++ b/saffronlane/rpc/errors.py
@@ -1,4 +1,4 @@
-"""The error that ends a gRPC call."""
+"""The exception for a gRPC call that fails."""
 
 from __future__ import annotations
 
--- a/saffronlane/rpc/framing.py
+++ b/saffronlane/rpc/framing.py
@@ -1,4 +1,7 @@
-"""Parsing and encoding of length-prefixed messages, plain or gzip ("Length-Prefixed-Message" of gRPC)."""
+"""Parsing and encoding of gRPC messages with their length prefix, uncompressed or compressed with gzip.
+
+The gRPC specification defines the format as "Length-Prefixed-Message".
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 from .status import Code, rpc_error
 
 MESSAGE_PREFIX = struct.Struct(">BL")
-DEFAULT_MAX_MESSAGE_BYTES = 64 * 1024 * 1024  # a batch of Arrow data commonly has a few MB
+DEFAULT_MAX_MESSAGE_BYTES = 64 * 1024 * 1024  # an Arrow record batch commonly has a few MB
 
 
 class MessageReader:
@@ -66,6 +69,7 @@
         return messages
 
     def _needed_bytes(self) -> int:
+        """Return the size of the first buffered message, including its prefix."""
         if len(self._parts[0]) < MESSAGE_PREFIX.size:
             self._parts = [b"".join(self._parts)]
         flag, length = MESSAGE_PREFIX.unpack_from(self._parts[0])
@@ -76,18 +80,18 @@
         if flag > 1:
             raise rpc_error(Code.INTERNAL, f"message has an invalid compression flag {flag}")
         if flag and not self.is_gzip:
-            raise rpc_error(Code.INTERNAL, "compressed message without header grpc-encoding: gzip")
+            raise rpc_error(Code.INTERNAL, "message is compressed, but header grpc-encoding is not gzip")
         if length > self.max_message_bytes:
             raise rpc_error(
-                Code.RESOURCE_EXHAUSTED, f"message of {length} bytes, more than {self.max_message_bytes}"
+                Code.RESOURCE_EXHAUSTED, f"message has {length} bytes, more than {self.max_message_bytes}"
             )
 
     def _inflate(self, body: bytes) -> bytes:
         decompressor = zlib.decompressobj(wbits=31)
         try:
             data = decompressor.decompress(body, self.max_message_bytes + 1)
-        except zlib.error as fault:
-            raise rpc_error(Code.INTERNAL, f"message cannot be decompressed: {fault}") from None
+        except zlib.error as error:
+            raise rpc_error(Code.INTERNAL, f"message cannot be decompressed: {error}") from None
         if len(data) > self.max_message_bytes:  # a small message may decompress to more than memory holds
             raise rpc_error(
                 Code.RESOURCE_EXHAUSTED, f"message decompresses to more than {self.max_message_bytes} bytes"
--- a/saffronlane/rpc/metadata.py
+++ b/saffronlane/rpc/metadata.py
@@ -1,4 +1,7 @@
-"""Metadata, timeouts and status in headers ("Requests" and "Responses" of gRPC over HTTP/2)."""
+"""Parsing and encoding of the metadata, the timeout and the status of a call in HTTP/2 headers.
+
+The sections "Requests" and "Responses" of the specification "gRPC over HTTP/2" define the headers.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 TIMEOUT_UNITS = {"H": 3600.0, "M": 60.0, "S": 1.0, "m": 1e-3, "u": 1e-6, "n": 1e-9}
 MAX_TIMEOUT_DIGITS = 8
-# Clients reject trailers of 8 KB, and then see no status.
+# Clients reject trailers of 8 KB, and such a call ends without its status.
 MAX_STATUS_MESSAGE_BYTES, MAX_STATUS_DETAILS_BYTES = 1024, 4096
 RESERVED_NAMES = frozenset(("te", "content-type", "user-agent", "grpc-encoding", "grpc-accept-encoding"))
 _NAME_PATTERN = re.compile(r"[0-9a-z_.\-]+\Z")
@@ -105,10 +108,10 @@
     """Parse the value of the header `grpc-timeout`.
 
     Args:
-        text: The value, or an empty string without the header.
+        text: The value, or an empty string if the header is missing.
 
     Returns:
-        The timeout in seconds, or None without the header.
+        The timeout in seconds, or None if the header is missing.
 
     Raises:
         ValueError: The value is malformed.
@@ -129,7 +132,11 @@
 
 
 def format_timeout(seconds: float) -> bytes:
-    """Format a value of the header `grpc-timeout` in the finest unit that has enough digits."""
+    """Format a value of the header `grpc-timeout`.
+
+    The unit is the finest of microseconds, milliseconds and seconds in which the value has at most
+    `MAX_TIMEOUT_DIGITS` digits. A value outside the range of the header is limited to it.
+    """
     micros = max(1, int(seconds * 1e6))
     if micros < 10**MAX_TIMEOUT_DIGITS:
         return b"%du" % micros
@@ -142,7 +149,7 @@
 
 
 def status_headers(status: Status) -> list[Header]:
-    """Encode a status as trailers. A long message is cut; details that are too large are left out."""
+    """Encode a status as trailers. A long message is cut, and details that are too large are left out."""
     headers: list[Header] = [(b"grpc-status", b"%d" % status.code)]
     if status.message:
         message = status.message.encode("utf-8", "replace")[:MAX_STATUS_MESSAGE_BYTES]
@@ -165,7 +172,7 @@
 
 
 def status_from_http(code: str) -> Status:
-    """Return the gRPC status for an HTTP status without a gRPC status, as gRPC maps it."""
+    """Return the status that gRPC defines for a response with an HTTP status but no gRPC status."""
     codes = {"400": Code.INTERNAL, "401": Code.UNAUTHENTICATED, "403": Code.PERMISSION_DENIED}
     codes |= {"404": Code.UNIMPLEMENTED, "429": Code.UNAVAILABLE, "502": Code.UNAVAILABLE}
     codes |= {"503": Code.UNAVAILABLE, "504": Code.UNAVAILABLE}
--- a/saffronlane/rpc/server.py
+++ b/saffronlane/rpc/server.py
@@ -87,7 +87,7 @@
         return await self.receive_queue.get()
 
     async def read_single(self, method: str) -> bytes:
-        """Return the one message of a unary request. A client that does not send it is not waited for.
+        """Wait at most `REQUEST_MESSAGE_TIMEOUT` seconds for the message of a unary request, and return it.
 
         Args:
             method: The name of the method, for error messages.
@@ -110,7 +110,7 @@
         return message
 
     def write_now(self, message: bytes) -> None:
-        """Queue a message without waiting. The caller checks `write_throttle` itself."""
+        """Queue a message without waiting. The caller is expected to check `write_throttle` first."""
         if self.is_done:
             return
         self._send_response_headers()
@@ -144,12 +144,12 @@
             return
         self.is_done = True
         final_headers = status_headers(status) + to_headers(self.trailers)
-        if not self._are_headers_sent:  # "Trailers-Only"
+        if not self._are_headers_sent:  # a "Trailers-Only" response has a single header block
             self._are_headers_sent = True
             final_headers = RESPONSE_HEADERS + to_headers(self.headers) + final_headers
         http = self._transport.http
         http.send_headers(self._stream_id, final_headers, end_stream=True)
-        if not self.receive_queue.is_ended:  # the remaining request is not needed
+        if not self.receive_queue.is_ended:  # the rest of the request is not needed
             self.receive_queue.discard()
             # A server may reset the rest of the request after a complete response (RFC 9113 section 8.1).
             # The reset is delayed because most clients half-close their side at the same moment.
@@ -184,12 +184,19 @@
         self._cancel_timer()
 
     def _cancel_timer(self) -> None:
-        """Cancel the deadline timer, unless unread parts of the response are still queued."""
+        """Cancel the deadline timer, unless parts of the response are still queued.
+
+        `expire` drops these parts if the client does not read them before the deadline.
+        """
         if self.timer is not None and not self._transport.http.queued_bytes(self._stream_id):
             self.timer.cancel()
 
     def expire(self) -> None:
-        """End the call at its deadline. What the client has not read by then is dropped."""
+        """End the call at its deadline.
+
+        An open call ends with DEADLINE_EXCEEDED. If the call has already ended, its stream is reset, which
+        drops the parts of the response that are still queued.
+        """
         if self.is_done:
             self._transport.http.reset(self._stream_id, ErrorCode.CANCEL)
             self._transport.flush()
--- a/saffronlane/rpc/status.py
+++ b/saffronlane/rpc/status.py
@@ -52,7 +52,7 @@
     Attributes:
         code: The status code.
         message: The status message.
-        details: The status details, a serialized `google.rpc.Status`. Empty without details.
+        details: The status details as a serialized `google.rpc.Status`. Empty if there are none.
     """
 
     code: Code
@@ -65,7 +65,7 @@
         return self.code is Code.OK
 
     def retry_after(self) -> float | None:
-        """Return the retry delay of the RetryInfo in seconds, or None without RetryInfo."""
+        """Return the retry delay of the RetryInfo in seconds, or None if there is no RetryInfo."""
         for detail in self._details():
             info = error_details_pb2.RetryInfo()
             if detail.Is(info.DESCRIPTOR) and detail.Unpack(info):
@@ -73,14 +73,14 @@
         return None
 
     def reason(self) -> str:
-        """Return the reason of the ErrorInfo, or an empty string without ErrorInfo."""
+        """Return the reason of the ErrorInfo, or an empty string if there is no ErrorInfo."""
         for detail in self._details():
             info = error_details_pb2.ErrorInfo()
             if detail.Is(info.DESCRIPTOR) and detail.Unpack(info):
                 return str(info.reason)
         return ""
 
-    def _details(self) -> list:  # type: ignore[type-arg]  # of google.protobuf.any_pb2.Any
+    def _details(self) -> list:  # type: ignore[type-arg]  # elements are google.protobuf.any_pb2.Any
         try:
             return list(status_pb2.Status.FromString(self.details).details) if self.details else []
         except DecodeError:
@@ -105,7 +105,7 @@
 def detailed_status(
     code: Code, message: str, reason: str, retry_after: float | None, metadata: dict[str, str] | None = None
 ) -> Status:
-    """Create a status with ErrorInfo and RetryInfo.
+    """Create a status whose details may hold an ErrorInfo and a RetryInfo.
 
     Args:
         code: The status code.
--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -49,13 +49,13 @@
     events: list[Event] = []
     peer_events: list[h2.events.Event] = []
     while True:
-        out, back = connection.output(), peer.data_to_send()
-        if not out and not back:
+        output, peer_output = connection.output(), peer.data_to_send()
+        if not output and not peer_output:
             return events, peer_events
-        if out:
-            peer_events += peer.receive_data(out)
-        if back:
-            events += connection.receive(back, 0.0)
+        if output:
+            peer_events += peer.receive_data(output)
+        if peer_output:
+            events += connection.receive(peer_output, 0.0)
 
 
 def server_after_handshake(limits: ConnectionLimits | None = None) -> Connection:
@@ -92,8 +92,8 @@
     connection.send_data(1, b"answer")
     connection.send_headers(1, [(b"grpc-status", b"0")], end_stream=True)
     _, peer_events = exchange(connection, peer)
-    kinds = [type(e) for e in peer_events if not isinstance(e, h2.events.SettingsAcknowledged)]
-    assert kinds == [
+    event_types = [type(e) for e in peer_events if not isinstance(e, h2.events.SettingsAcknowledged)]
+    assert event_types == [
         h2.events.ResponseReceived,
         h2.events.DataReceived,
         h2.events.TrailersReceived,
@@ -105,12 +105,12 @@
 def test_client_exchanges_header_blocks_longer_than_one_frame_with_h2_server() -> None:
     connection, peer = Connection(is_client=True), h2_server()
     exchange(connection, peer)
-    long = (b"x-long", b"v" * 30_000)  # longer than one frame, so both sides send CONTINUATION
-    stream_id = connection.open_stream([*REQUEST, long], end_stream=True)
+    long_header = (b"x-long", b"v" * 30_000)  # longer than one frame, so both sides send CONTINUATION
+    stream_id = connection.open_stream([*REQUEST, long_header], end_stream=True)
     _, peer_events = exchange(connection, peer)
     request = next(e for e in peer_events if isinstance(e, h2.events.RequestReceived))
-    assert dict(request.headers)[b"x-long"] == long[1]
-    peer.send_headers(stream_id, [*RESPONSE, long])
+    assert dict(request.headers)[b"x-long"] == long_header[1]
+    peer.send_headers(stream_id, [*RESPONSE, long_header])
     peer.send_headers(stream_id, [(b"grpc-status", b"0")], end_stream=True)
     events, _ = exchange(connection, peer)
     assert [(type(e), e.end_stream) for e in events if isinstance(e, HeadersReceived)] == [
@@ -148,7 +148,7 @@
     connection.send_headers(1, RESPONSE)
     connection.send_data(1, b"x" * 200_000)
     exchange(connection, peer)
-    assert connection.queued_bytes(1) == 200_000 - 65_535  # the window of h2
+    assert connection.queued_bytes(1) == 200_000 - 65_535  # the initial window of the h2 client
     peer.acknowledge_received_data(65_535, 1)
     exchange(connection, peer)
     assert connection.queued_bytes(1) == 200_000 - 2 * 65_535
@@ -239,6 +239,7 @@
     server.send_data(1, b"x" * 70_000)
     server.output(10**6)
     assert server.queued_bytes(1) == 70_000 - 65_535
+    # Setting 4 is INITIAL_WINDOW_SIZE.
     server.receive(frames.settings({4: 65_535 + 2_000}) + frames.window_update(0, 10_000), 0.0)
     server.output()
     assert server.queued_bytes(1) == 70_000 - 67_535
@@ -339,14 +340,14 @@
 def test_flood_of_overhead_frames_closes_the_connection(frame: bytes) -> None:
     server = server_after_handshake()
     server.receive(headers_frame(), 0.0)
-    code, size = None, 0
+    code, max_output_bytes = None, 0
     for _ in range(300):
         code = close_code(server.receive(frame * 10, 0.0))
-        size = max(size, len(server.output()))
+        max_output_bytes = max(max_output_bytes, len(server.output()))
         if code is not None:
             break
     assert code == ErrorCode.ENHANCE_YOUR_CALM
-    assert size < 70_000
+    assert max_output_bytes < 70_000
 
 
 def test_unread_replies_are_bounded() -> None:
@@ -381,21 +382,32 @@
 @pytest.mark.parametrize(
     ("data", "code"),
     [
+        # DATA on an idle stream.
         (frames.frame(FrameType.DATA, 0, 7, b"x"), ErrorCode.PROTOCOL_ERROR),
+        # A request on a stream with an even identifier (flag 4 is END_HEADERS).
         (frames.frame(FrameType.HEADERS, 4, 2, encode_block(*REQUEST)), ErrorCode.PROTOCOL_ERROR),
+        # A header block that is not valid HPACK.
         (frames.frame(FrameType.HEADERS, 4, 1, b"\xff\xff\xff\xff"), ErrorCode.COMPRESSION_ERROR),
+        # RST_STREAM on an idle stream, then with a short payload.
         (frames.frame(FrameType.RST_STREAM, 0, 9, b"\0\0\0\0"), ErrorCode.PROTOCOL_ERROR),
         (frames.frame(FrameType.RST_STREAM, 0, 9, b"\0"), ErrorCode.FRAME_SIZE_ERROR),
+        # SETTINGS with a short payload, then INITIAL_WINDOW_SIZE (4) and MAX_FRAME_SIZE (5) out of range.
         (frames.frame(FrameType.SETTINGS, 0, 0, b"\0"), ErrorCode.FRAME_SIZE_ERROR),
         (frames.settings({4: 2**31}), ErrorCode.FLOW_CONTROL_ERROR),
         (frames.settings({5: 1}), ErrorCode.PROTOCOL_ERROR),
+        # An increment of 0, then one that makes the window exceed its maximum.
         (frames.window_update(0, 0), ErrorCode.PROTOCOL_ERROR),
         (frames.window_update(0, 2**31 - 1), ErrorCode.FLOW_CONTROL_ERROR),
+        # PUSH_PROMISE from a client.
         (frames.frame(FrameType.PUSH_PROMISE, 4, 1, b"\0\0\0\2"), ErrorCode.PROTOCOL_ERROR),
+        # PING with a short payload.
         (frames.frame(FrameType.PING, 0, 0, b"short"), ErrorCode.FRAME_SIZE_ERROR),
+        # CONTINUATION without HEADERS, then another frame inside a header block.
         (frames.frame(FrameType.CONTINUATION, 4, 1, b""), ErrorCode.PROTOCOL_ERROR),
         (frames.frame(FrameType.HEADERS, 0, 1, b"") + frames.ping(b"\0" * 8), ErrorCode.PROTOCOL_ERROR),
+        # GOAWAY with a short payload.
         (frames.frame(FrameType.GOAWAY, 0, 0, b"\0"), ErrorCode.FRAME_SIZE_ERROR),
+        # Stream 1 depends on itself (flags PADDED, PRIORITY and END_HEADERS).
         (frames.frame(FrameType.HEADERS, 0x2C, 1, b"\0\0\0\0\1\0"), ErrorCode.PROTOCOL_ERROR),
     ],
 )
@@ -410,14 +422,14 @@
 @pytest.mark.parametrize(
     "headers",
     [
-        [(b":method", b"POST"), (b":scheme", b"http")],
+        [(b":method", b"POST"), (b":scheme", b"http")],  # no :path
         [*REQUEST, (b"Upper", b"x")],
         [*REQUEST, (b"connection", b"close")],
         [*REQUEST, (b"te", b"gzip")],
-        [*REQUEST, (b":path", b"/b")],
-        [(b"x", b"y"), *REQUEST],
+        [*REQUEST, (b":path", b"/b")],  # repeated pseudo-header
+        [(b"x", b"y"), *REQUEST],  # pseudo-headers after a regular header
         [*REQUEST, (b"x", b"a\r\nb")],
-        [*REQUEST, (b":status", b"200")],
+        [*REQUEST, (b":status", b"200")],  # pseudo-header of a response
     ],
 )
 def test_malformed_request_resets_only_its_stream(headers: list[tuple[bytes, bytes]]) -> None:
@@ -467,13 +479,13 @@
 def test_chunk_boundaries_do_not_change_the_events(chunk_sizes: list[int]) -> None:
     data = client_bytes()
     whole = Connection(is_client=False)
-    expected, out = whole.receive(data, 0.0), whole.output(10**6)
+    expected_events, expected_output = whole.receive(data, 0.0), whole.output(10**6)
     chunked, events, offset = Connection(is_client=False), [], 0
     for size in [*chunk_sizes, len(data)]:
         events += chunked.receive(data[offset : offset + size], 0.0)
         offset += size
-    assert events == expected
-    assert chunked.output(10**6) == out
+    assert events == expected_events
+    assert chunked.output(10**6) == expected_output
 
 
 @given(st.binary(max_size=400), st.integers(0, 300))
@@ -543,13 +555,13 @@
 
 @given(HEADER_LISTS, st.booleans())
 def test_cached_header_blocks_follow_changes_of_the_dynamic_table(
-    blocks: list[list[tuple[bytes, bytes]]], small: bool
+    blocks: list[list[tuple[bytes, bytes]]], is_table_small: bool
 ) -> None:
     """The same bytes decode to other headers once an entry of the dynamic table was moved or evicted."""
     import hpack
 
     encoder, connection = hpack.Encoder(), server_after_handshake()
-    if small:
+    if is_table_small:
         encoder.header_table_size = 70
     for headers in [*blocks, *blocks]:
         data = encoder.encode([*REQUEST, *headers])
--- a/tests/test_rpc.py
+++ b/tests/test_rpc.py
@@ -262,7 +262,7 @@
         for _ in range(50):
             await channel.ping(2.0)
         written_before_reading = written
-        assert written_before_reading < 30  # 3 MB of 100
+        assert written_before_reading < 30  # 3 MB of the 100 MB
         for _ in range(50):
             assert await call.read() is not None
         for _ in range(20):
@@ -399,7 +399,7 @@
         with running_server() as (_, port):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
-            assert b"preface" in await reader.read()  # GOAWAY contains the reason
+            assert b"preface" in await reader.read()  # the GOAWAY frame contains the reason
             channel = Channel("127.0.0.1", port)
             await channel.connect(2.0)
             assert await channel.unary("/t/echo", b"x") == b"x"
