--- a/saffronlane/config/check.py
+++ b/saffronlane/config/check.py
@@ -1,4 +1,4 @@
-"""Parses JSON and validates it against a schema. Each error has a JSON pointer (RFC 6901)."""
+"""Parses JSON and validates it against a schema. Each error has the JSON pointer (RFC 6901) of its place."""
 
 from __future__ import annotations
 
@@ -59,9 +59,9 @@
     text = error.message
     if len(text) > 200:
         text = text[:200] + "..."
-    expected = error.schema.get("description") if isinstance(error.schema, dict) else None
-    if expected and error.validator not in ("additionalProperties", "required"):
-        text += f" ({expected.rstrip('.')})"
+    description = error.schema.get("description") if isinstance(error.schema, dict) else None
+    if description and error.validator not in ("additionalProperties", "required"):
+        text += f" ({description.rstrip('.')})"
     return Problem(pointer(list(error.absolute_path)), text)
 
 
@@ -86,6 +86,7 @@
 
 
 def _reject_constant(name: str) -> float:
+    """Reject NaN and Infinity, which Python's parser accepts beyond the JSON standard."""
     raise ValueError(f"{name} is not a JSON number")
 
 
--- a/saffronlane/config/engines.py
+++ b/saffronlane/config/engines.py
@@ -43,11 +43,11 @@
 
     Args:
         value: The parsed JSON document.
-        config: The configuration of the gateway, which has the names of machine types and zones.
+        config: The configuration of the gateway, which defines the names of machine types and zones.
         source: The name of the list in error messages.
 
     Raises:
-        ConfigError: The list is invalid. It contains all errors, and no part of the list is used.
+        ConfigError: The list is invalid. The exception contains all errors, and no part of the list is used.
     """
     problems = problems_of(value, "engines")
     if problems:
@@ -65,7 +65,7 @@
             problems.append(
                 Problem(
                     f"{pointer}/id",
-                    f"duplicate of the id {entry['id']!r} of engine {index_by_id[entry['id']]}",
+                    f"duplicate id {entry['id']!r}, also used by /engines/{index_by_id[entry['id']]}",
                 )
             )
         index_by_id.setdefault(entry["id"], index)
--- a/saffronlane/config/settings.py
+++ b/saffronlane/config/settings.py
@@ -20,8 +20,9 @@
     Attributes:
         user: The user whose queries match. None matches every user.
         statement_kind: The kind of statement that matches: "read" or "write". None matches both.
-        tables: Tables of which a matching statement names at least one. Empty matches every statement.
-        pattern: An expression that is found in the text of matching statements. None matches every statement.
+        tables: A statement matches if it names at least one of these tables. Empty matches every statement.
+        pattern: A statement matches if this regular expression is found in its text. None matches every
+            statement.
         class_index: The index of the assigned query class, or None to assign none.
         tenant_index: The index of the assigned tenant, or None to assign none.
     """
@@ -39,9 +40,9 @@
     """All settings of one gateway process. Times are in seconds, sizes are in bytes.
 
     Attributes:
-        settings: The settings of the policy.
+        settings: The settings of the dispatcher.
         host: The address on which clients are accepted.
-        port: The port on which clients are accepted. 0 for any free port.
+        port: The port on which clients are accepted. 0 selects any free port.
         engine_file: The path of the engine list.
         engine_list_poll_interval: The interval between checks of the engine list for changes.
         seed: The seed of random decisions, or None for a random seed.
@@ -63,10 +64,11 @@
         connect_timeout: The timeout of a connection attempt to an engine.
         connections_per_engine: The maximum number of connections to one engine.
         cancel_ack_timeout: The time to wait for an engine to acknowledge a cancel.
-        max_buffered_bytes: The size up to which a result is buffered before its attempt must be committed.
-        peer_listen: Host and port on which messages of peers are received. None without peers.
-        peer_addresses: Host and port of all gateways by position.
-        recording_path: The file to which the inputs and effects of the dispatcher are recorded, or None.
+        max_buffered_bytes: The size up to which a result is buffered. A larger result is streamed once its
+            request is committed to the attempt. Also the limit of the buffer of each polled query.
+        peer_listen: Host and port on which messages of peers are received. None disables gossip.
+        peer_addresses: Host and port of each gateway, in the order of their positions.
+        recording_path: The file that records the dispatcher's inputs and effects, or None for no recording.
         state_directory_path: The directory of the learned state. None if it is not persisted.
         max_state_bytes: The maximum disk space of the state directory.
         raw: The settings as parsed JSON.
@@ -114,7 +116,7 @@
     """Load a settings file. Relative paths in it are resolved against its directory.
 
     Raises:
-        ConfigError: The file cannot be read or is invalid. It contains all errors.
+        ConfigError: The file cannot be read or is invalid. The exception contains all errors that were found.
     """
     return parse_config(load_json(path), str(path), path.parent)
 
@@ -186,7 +188,7 @@
 
 
 class _ReferenceChecker:
-    """Checks what the schema cannot: references to names, and values that depend on each other.
+    """Checks the rules that the schema cannot express: references to names, and dependent values.
 
     Args:
         value: A settings document that conforms to the schema.
@@ -221,9 +223,7 @@
             self.check_known(matcher.get("class"), classes, pointer + "/class")
             self.check_known(matcher.get("tenant"), tenants, pointer + "/tenant")
             if "class" not in matcher and "tenant" not in matcher:
-                self.problems.append(
-                    Problem(pointer, "a matcher needs `class` or `tenant`; it assigns neither")
-                )
+                self.problems.append(Problem(pointer, "a matcher must assign `class` or `tenant`"))
         slow_start = value.get("rules", {}).get("cold", {})
         if slow_start.get("fall_multiple") and not (
             slow_start.get("fall_window_s") and slow_start.get("warm_after_s")
@@ -273,7 +273,7 @@
         return names
 
     def check_known(self, name: str | None, names: list[str], pointer: str) -> None:
-        """Check that a name is one of the names in the document. None needs no check."""
+        """Check that a name is defined in the document. None, an omitted name, is accepted."""
         if name is not None and name not in names:
             expected = ", ".join(names) or "(none are set)"
             self.problems.append(Problem(pointer, f"unknown name {name!r}; expected one of: {expected}"))
--- a/saffronlane/daemon.py
+++ b/saffronlane/daemon.py
@@ -22,7 +22,7 @@
 from .http2 import ConnectionLimits
 from .http2.transport import local_sockets
 from .interface import PeerMessage
-from .members import FileSource, View
+from .members import EngineListView, FileSource
 from .rpc import Server
 from .state_directory import StateDirectory
 
@@ -31,7 +31,7 @@
 
 
 class Daemon:
-    """One gateway process. After `start`, `run` returns when `stop` has completed.
+    """One gateway process. `stop` begins to drain it, and `run` returns when it has stopped.
 
     Args:
         config: The configuration of the gateway.
@@ -39,14 +39,14 @@
 
     Attributes:
         state_directory: The directory of the learned state, or None if it is not persisted.
-        view: The newest engine list.
-        dispatcher: The dispatcher.
-        gossip: Sends and receives the messages of peers. None without peers.
-        transport: The connections to engines.
-        executor: The executor, which feeds the dispatcher.
+        engine_list_view: The newest engine list.
+        dispatcher: The dispatcher, which makes the scheduling decisions.
+        gossip: Exchanges messages with peers. None if the settings name no peers.
+        transport: Runs attempts on the connections to engines.
+        executor: Feeds events to the dispatcher and carries out its effects.
         flight_service: The handlers of client calls.
         server: The gRPC server for clients.
-        engine_list_source: The file with the engine list.
+        engine_list_source: Reads the engine list from its file.
         stopped: Set when the gateway has stopped.
         port: The port on which clients are accepted, after `start`.
     """
@@ -69,7 +69,7 @@
             recording = RecordingWriter(
                 self._recording_file, config.settings, seed, config.max_pending_requests, restored_state
             )
-        self.view = View(self._loop.time, time.time)
+        self.engine_list_view = EngineListView(self._loop.time, time.time)
         self.dispatcher = dispatch.Dispatcher(
             config.settings,
             seed,
@@ -93,7 +93,7 @@
                 self._on_peer_message,
             )
         self.transport = FlightTransport(
-            transport_limits, self.view.address, str(config.settings.gateway_index)
+            transport_limits, self.engine_list_view.address, str(config.settings.gateway_index)
         )
         self.executor = Executor(
             self.dispatcher,
@@ -113,10 +113,10 @@
         self.port = 0
 
     def _on_engine_list(self, version: int, records: tuple[EngineRecord, ...]) -> None:
-        previous_engines = self.view.snapshot
-        self.executor.feed(self.view.replace(version, records))
+        previous_engines = self.engine_list_view.snapshot
+        self.executor.feed(self.engine_list_view.replace(version, records))
         for engine in previous_engines:
-            if engine not in self.view.snapshot:
+            if engine not in self.engine_list_view.snapshot:
                 self.transport.remove_engine(engine)
         states = [record.state.name.lower() for record in records]
         log.info("engine list updated", version=version, engines=len(records), ready=states.count("ready"))
@@ -128,7 +128,7 @@
         """Start to accept clients.
 
         Args:
-            sockets: Listening sockets to use in place of those of the configured address.
+            sockets: Sockets on which to listen in place of new ones at the configured address.
 
         Raises:
             OSError: The address is not available.
@@ -168,9 +168,9 @@
             self._close()
 
     async def _drain(self) -> None:
-        """Reject new requests, wait for the pending ones, and stop.
+        """Reject new requests, wait for the pending ones, and close the gateway.
 
-        Requests that are pending after the grace period are answered with an error.
+        Requests that are still pending after the grace period are answered with an error.
         """
         self.executor.feed(dispatch.BeginDrain(self.config.drain_grace_period))
         with contextlib.suppress(TimeoutError):
--- a/saffronlane/engines/flight.py
+++ b/saffronlane/engines/flight.py
@@ -22,7 +22,7 @@
 from ..http2 import ConnectionLimits
 from ..proto import flight_pb2 as flight
 from ..proto import flight_sql_pb2 as sql
-from ..proto.commands import SERVICE, descriptor, packed
+from ..proto.commands import SERVICE, descriptor, pack_any
 from ..rpc import Channel, ClientCall, Code, Ending, RpcError, Status
 from ..rpc.status import detailed_status
 from . import orca
@@ -420,7 +420,7 @@
             The engine's handle of the prepared statement, or the verdict that ends the attempt if a call
             failed.
         """
-        request = packed(sql.ActionCreatePreparedStatementRequest(query=statement.query))
+        request = pack_any(sql.ActionCreatePreparedStatementRequest(query=statement.query))
         action = flight.Action(type="CreatePreparedStatement", body=request.SerializeToString())
         answer = await self._call_unary(attempt, "DoAction", action)
         if isinstance(answer, Verdict):
--- a/saffronlane/flight/arrow.py
+++ b/saffronlane/flight/arrow.py
@@ -53,7 +53,7 @@
     ]
     # SqlInfo of FlightSql.proto: 0 name, 1 version, 2 Arrow version, 3 read-only, 4 SQL, 5 Substrait,
     # 8 transactions, 9 cancel, 100 statement timeout, 101 transaction timeout.
-    info_by_code: dict[int, tuple[int, object]] = {  # union member and value
+    info_by_code: dict[int, tuple[int, object]] = {  # index in `union_members` and value
         0: (0, "saffronlane"),
         1: (0, __version__),
         2: (0, pa.__version__),
--- a/saffronlane/flight/handles.py
+++ b/saffronlane/flight/handles.py
@@ -23,7 +23,7 @@
     """A statement with its bound parameters.
 
     Attributes:
-        version: The version of the encoding.
+        version: The version of the encoding, which is `VERSION` in new handles.
         query: The SQL text of the statement.
         nonce: Random bytes that distinguish handles of the same statement.
         batches: The bound parameters as serialized FlightData messages.
@@ -50,7 +50,7 @@
 
 
 def pack(handle: Handle) -> bytes:
-    """Encode a handle, with a digest in front of it."""
+    """Encode a handle, preceded by a digest of its encoding."""
     body = msgspec.msgpack.encode(handle)
     return _digest(body) + body
 
@@ -63,7 +63,7 @@
         source: The name of the request's field that contains the bytes, for error messages.
 
     Raises:
-        RpcError: NOT_FOUND if no gateway of this version has encoded the bytes.
+        RpcError: NOT_FOUND if the digest does not match, or if the format or its version is unknown.
     """
     digest, body = data[:DIGEST_BYTES], data[DIGEST_BYTES:]
     if digest != _digest(body):
--- a/saffronlane/flight/identity.py
+++ b/saffronlane/flight/identity.py
@@ -1,10 +1,10 @@
 """Determines the query class, tenant, keys and estimates of a request.
 
-A call header takes precedence over a session option. Without either, query class and tenant are taken from
-the matchers of the settings.
+A call header takes precedence over a session option. Without either, query class and tenant are assigned by
+the matchers of the settings. If no matcher assigns them, the first class and the first tenant are used.
 
 A request may have two keys. The option `key` is the idempotency key, by which engines discard repeats of the
-request. The option `order` is the ordering key: requests of an ordered class with the same ordering key run
+request. The option `order` is the ordering key. Requests of an ordered class with the same ordering key run
 one after another.
 """
 
@@ -65,7 +65,7 @@
         """Check the value of a session option.
 
         Returns:
-            Why the value is invalid. Empty if it is valid.
+            The reason why the value is invalid, or an empty string if it is valid.
 
         Raises:
             KeyError: There is no option of this name.
@@ -126,10 +126,10 @@
             text = f"class {class_settings.name} is keyed: header {HEADER_PREFIX}key or option key is missing"
             raise rpc_error(Code.INVALID_ARGUMENT, text, "KEY_NEEDED")
         if statement.is_write and class_settings.idempotency is Idempotency.SAFE:
-            # Queries of a safe class may be executed more than once, which would apply the write twice.
+            # Queries of a safe class may be executed more than once, which could apply the write twice.
             text = (
-                f"the statement writes, and class {class_settings.name} may repeat it: "
-                "use a keyed or unsafe class"
+                f"the statement writes, but class {class_settings.name} is safe, "
+                "so the gateway may repeat it: use a keyed or unsafe class"
             )
             raise rpc_error(Code.FAILED_PRECONDITION, text, "WRITE_IN_SAFE_CLASS")
         return Identity(
@@ -148,7 +148,7 @@
 
 
 def _parse_number(text: str) -> float | None:
-    """Return a finite number of at least 0, or None if the text is none."""
+    """Return the number in a text, or None if the text is not a finite number of at least 0."""
     try:
         value = float(text)
     except ValueError:
--- a/saffronlane/flight/service.py
+++ b/saffronlane/flight/service.py
@@ -18,7 +18,7 @@
 from ..engines.flight import FlightStatement, FlightTransport
 from ..proto import flight_pb2 as flight
 from ..proto import flight_sql_pb2 as sql
-from ..proto.commands import SERVICE, packed
+from ..proto.commands import SERVICE, pack_any
 from ..rpc import Code, Handler, RpcError, ServerCall, Status
 from ..rpc.status import rpc_error
 from . import handles
@@ -56,9 +56,9 @@
     """A query that was started by PollFlightInfo.
 
     Attributes:
-        request_number: The number of its request.
-        handle: The handle of its statement.
-        sink: The sink that buffers its result.
+        request_number: The number of the request that runs the query.
+        handle: The handle of the statement.
+        sink: The sink that buffers the result.
         last_polled_at: The time of the last poll.
     """
 
@@ -78,7 +78,7 @@
 
     Attributes:
         sessions: The open sessions.
-        handlers: The handlers of an `rpc.Server` by gRPC method.
+        handlers: The call handlers for an `rpc.Server`, by the full path of the gRPC method.
     """
 
     def __init__(self, config: Config, executor: Executor, transport: FlightTransport) -> None:
@@ -88,7 +88,7 @@
         self._identity_resolver = IdentityResolver(config)
         self._parser = StatementParser(config.dialect, config.strict_sql, config.max_cached_statements)
         self._running_requests: dict[bytes, set[int]] = {}  # request numbers by the nonce of their ticket
-        self._polled_queries: OrderedDict[bytes, _PolledQuery] = OrderedDict()  # by nonce, last polled last
+        self._polled_queries: OrderedDict[bytes, _PolledQuery] = OrderedDict()  # by nonce, oldest poll first
         self._expiry_timer = self._loop.call_later(config.polled_result_ttl / 4.0, self._on_expiry_timer)
         method_names = (
             "Handshake",
@@ -178,6 +178,7 @@
             raise rpc_error(Code.INVALID_ARGUMENT, str(error), "SQL") from None
 
     def _identify(self, call: ServerCall, text: str) -> tuple[Statement, Identity, Session | None]:
+        """Parse a statement, and return it with its identity and the session of the call."""
         statement = self._parse_statement(text)
         session, user = self._session_and_user(call)
         return statement, self._identity_resolver.identify(statement, session, call.metadata, user), session
@@ -203,7 +204,7 @@
         )
 
     async def get_flight_info(self, call: ServerCall) -> None:
-        """Return a ticket for a statement. The statement is submitted when the client calls DoGet with it."""
+        """Return a ticket for a statement. The statement runs when the client calls DoGet with the ticket."""
         descriptor = _parse(
             flight.FlightDescriptor, await call.read_single("GetFlightInfo"), "FlightDescriptor"
         )
@@ -213,10 +214,13 @@
             return
         handle = self._make_handle(command, "GetFlightInfo")
         self._identify(call, handle.query)  # an invalid statement is rejected now, not at DoGet
-        await call.write(_flight_info(descriptor, _packed_ticket(handle)).SerializeToString())
+        await call.write(_flight_info(descriptor, _encode_ticket(handle)).SerializeToString())
 
     async def do_get(self, call: ServerCall) -> None:
-        """Run the statement of a ticket, or fetch the result of a polled query, and send the result."""
+        """Send the result of a ticket.
+
+        The result of a polled query is sent from its buffer. For any other ticket, the statement is run now.
+        """
         ticket = _parse(flight.Ticket, await call.read_single("DoGet"), "Ticket")
         command = _parse_any(ticket.ticket, "Ticket.ticket")
         name = _command_name(command)
@@ -266,6 +270,7 @@
         """Submit a request and return its number."""
         statement, identity = identified_statement
         timeout = identity.timeout
+        # A polled query continues after the call that has started it, so the call's deadline does not apply.
         if call.deadline is not None and isinstance(sink, CallSink):
             timeout = min(timeout, call.deadline - self._loop.time())
         is_update = isinstance(sink, CallSink) and call.path.endswith("DoPut")
@@ -298,7 +303,7 @@
         identity: Identity,
         session: Session | None,
     ) -> None:
-        """Submit a request whose answer is written to the call, and wait until it has ended."""
+        """Submit a request whose answer is written to the call, and wait for the end of the answer."""
         sink = CallSink(call)
         number = self._submit(call, handle, (statement, identity), sink)
         call.on_abandoned = lambda: self._executor.disconnect_client(number)
@@ -320,7 +325,7 @@
     # --- polling ---
 
     async def poll_flight_info(self, call: ServerCall) -> None:
-        """Start a query at the first poll. Later polls report its progress until a result can be fetched."""
+        """Start a query at the first poll. Each poll reports its progress until DoGet can fetch a result."""
         descriptor = _parse(
             flight.FlightDescriptor, await call.read_single("PollFlightInfo"), "FlightDescriptor"
         )
@@ -360,17 +365,17 @@
         if status is not None and not status.ok:
             self._polled_queries.pop(handle.nonce, None)
             raise RpcError(status)
-        info = _flight_info(descriptor, _packed_ticket(handle))
+        info = _flight_info(descriptor, _encode_ticket(handle))
         answer = flight.PollInfo(info=info, progress=polled_query.sink.progress)
         if not polled_query.sink.ready.is_set():
             next_descriptor = flight.FlightDescriptor(
-                type=flight.FlightDescriptor.CMD, cmd=_packed_ticket(handle)
+                type=flight.FlightDescriptor.CMD, cmd=_encode_ticket(handle)
             )
             answer.flight_descriptor.CopyFrom(next_descriptor)
         await call.write(answer.SerializeToString())
 
     def _remove_polled_query(self, nonce: bytes) -> None:
-        """Discard the result of a polled query, and abandon its request if that has not ended."""
+        """Discard the result of a polled query, and abandon its request if the request has not ended."""
         polled_query = self._polled_queries.pop(nonce, None)
         if polled_query is not None:
             polled_query.sink.discard()
@@ -388,10 +393,10 @@
         self._expiry_timer.cancel()
 
     def _remove_expired_polled_queries(self) -> None:
-        """Discard the results that no client has polled or started to fetch for `polled_result_ttl`."""
-        expired_since = self._loop.time() - self._config.polled_result_ttl
+        """Discard results whose last poll is older than `polled_result_ttl`, unless a DoGet fetches them."""
+        expiry_cutoff = self._loop.time() - self._config.polled_result_ttl
         for nonce, polled_query in list(self._polled_queries.items()):
-            if polled_query.last_polled_at > expired_since:
+            if polled_query.last_polled_at > expiry_cutoff:
                 break
             if not polled_query.sink.is_claimed:
                 self._remove_polled_query(nonce)
@@ -430,10 +435,12 @@
         await self._run(call, handle, statement, identity, session)
 
     async def _read_batches(self, call: ServerCall, first_message: flight.FlightData) -> tuple[bytes, ...]:
-        """Return the FlightData messages of a DoPut, the first one without its descriptor.
+        """Return the serialized FlightData messages of a DoPut.
+
+        The descriptor of the first message is removed. The first message is omitted if it has no data header.
 
         Raises:
-            RpcError: RESOURCE_EXHAUSTED if they exceed `MAX_PUT_BYTES`.
+            RpcError: RESOURCE_EXHAUSTED if the messages exceed `MAX_PUT_BYTES`.
         """
         batches: list[bytes] = []
         if first_message.data_header:
@@ -473,7 +480,7 @@
         self._parse_statement(request.query)
         handle = handles.pack(handles.make(request.query))
         result = sql.ActionCreatePreparedStatementResult(prepared_statement_handle=handle)
-        return packed(result).SerializeToString()
+        return pack_any(result).SerializeToString()
 
     async def _close_prepared(self, call: ServerCall, body: bytes) -> bytes | None:
         request = _unpack(sql.ActionClosePreparedStatementRequest, body, "ClosePreparedStatement")
@@ -503,7 +510,7 @@
 
 
 def _forwarded_headers(call: ServerCall) -> tuple[tuple[str, str | bytes], ...]:
-    """Return the headers of a client that are forwarded to engines: trace context and x-* headers."""
+    """Return the client's headers that are forwarded to engines: the trace context and x-* headers."""
     selected = [
         (name, value) for name, value in call.metadata.items if name in TRACE_HEADERS or name.startswith("x-")
     ]
@@ -525,7 +532,11 @@
 
 
 def _unpack(message_type: type[MessageT], data: bytes, source: str) -> MessageT:
-    """Decode a message that is wrapped in an Any of its type."""
+    """Decode a message that is wrapped in an Any.
+
+    Raises:
+        RpcError: INVALID_ARGUMENT if the Any holds another type or cannot be decoded.
+    """
     command = _parse_any(data, source)
     if _command_name(command) != message_type.DESCRIPTOR.name:
         raise rpc_error(
@@ -544,8 +555,8 @@
     return command.type_url.removeprefix(prefix) if command.type_url.startswith(prefix) else ""
 
 
-def _packed_ticket(handle: handles.Handle) -> bytes:
-    return packed(sql.TicketStatementQuery(statement_handle=handles.pack(handle))).SerializeToString()
+def _encode_ticket(handle: handles.Handle) -> bytes:
+    return pack_any(sql.TicketStatementQuery(statement_handle=handles.pack(handle))).SerializeToString()
 
 
 def _flight_info(descriptor: flight.FlightDescriptor, ticket: bytes) -> flight.FlightInfo:
--- a/saffronlane/flight/sessions.py
+++ b/saffronlane/flight/sessions.py
@@ -25,7 +25,7 @@
         id: The secret id, which the client sends as cookie or bearer token.
         user: The name of the user, or empty if the client has not logged in.
         options: The session options by name.
-        last_used_at: The time of the last call.
+        last_used_at: The time of the last call, by the clock of `Sessions`.
     """
 
     id: str
@@ -74,8 +74,8 @@
         """Return the session that a call names by cookie or bearer token, or None if it names none.
 
         Raises:
-            RpcError: UNAUTHENTICATED if the session has ended. The call must not run without the options that
-                the client has set in the session.
+            RpcError: UNAUTHENTICATED if no open session has this id. The call is rejected because it must
+                not run without the options that the client has set in the session.
         """
         token = _session_token(metadata)
         if not token:
@@ -91,14 +91,14 @@
         return session
 
     def close(self, session: Session) -> None:
-        """End a session. Has no effect if it has ended."""
+        """End a session. Has no effect if the session has already ended."""
         self._sessions.pop(session.id, None)
 
     def _close_idle(self) -> None:
-        idle_since = self._clock() - self._idle_timeout
+        idle_cutoff = self._clock() - self._idle_timeout
         while self._sessions:
             oldest = next(iter(self._sessions.values()))
-            if oldest.last_used_at > idle_since:
+            if oldest.last_used_at > idle_cutoff:
                 break
             del self._sessions[oldest.id]
 
--- a/saffronlane/flight/sinks.py
+++ b/saffronlane/flight/sinks.py
@@ -1,6 +1,6 @@
 """Sinks for the answers of requests.
 
-One sink writes to the call of the client, the other buffers the result for a client that polls.
+`CallSink` writes to the call of the client. `PolledResultSink` buffers the result for a client that polls.
 """
 
 from __future__ import annotations
@@ -72,7 +72,7 @@
         self.is_claimed = False
 
     async def write(self, message: bytes) -> None:
-        """Buffer a part of the result. Waits while the buffer is full."""
+        """Buffer a part of the result. Waits while the part does not fit into the buffer."""
         while self._buffered_bytes and self._buffered_bytes + len(message) > self._max_buffered_bytes:
             self._has_space.clear()
             await self._has_space.wait()
--- a/saffronlane/flight/sql.py
+++ b/saffronlane/flight/sql.py
@@ -61,7 +61,7 @@
 
     Args:
         dialect: The sqlglot name of the SQL dialect. Empty for sqlglot's default dialect.
-        strict: Whether to reject statements that cannot be parsed.
+        strict: Whether to reject statements that cannot be parsed. If not, they are treated as writes.
         max_cached: The maximum number of cached statements.
     """
 
@@ -124,7 +124,7 @@
     def _unparsed(text: str) -> Statement:
         """Return a statement that was not parsed.
 
-        It is treated as a write, which is the safe assumption, and it has a table group of its own.
+        It is treated as a write, because it may be one. Its table group is derived from its text.
         """
         return Statement(text, True, frozenset(), table_group(frozenset((text,))))
 
--- a/saffronlane/lab/engine.py
+++ b/saffronlane/lab/engine.py
@@ -24,7 +24,7 @@
 from ..http2.transport import local_sockets
 from ..proto import flight_pb2 as flight
 from ..proto import flight_sql_pb2 as sql
-from ..proto.commands import SERVICE, packed
+from ..proto.commands import SERVICE, pack_any
 from ..proto.orca_pb2 import OrcaLoadReport
 from ..rpc import Code, RpcError, Server, ServerCall, Status
 from ..rpc.status import detailed_status
@@ -216,7 +216,7 @@
             ).prepared_statement_handle.decode()
         else:
             raise RpcError(Status(Code.UNIMPLEMENTED, f"{command.type_url} is not served"))
-        statement = packed(sql.TicketStatementQuery(statement_handle=text.encode()))
+        statement = pack_any(sql.TicketStatementQuery(statement_handle=text.encode()))
         ticket = flight.Ticket(ticket=statement.SerializeToString())
         info = flight.FlightInfo(
             flight_descriptor=descriptor,
@@ -266,7 +266,7 @@
         body = AnyMessage.FromString(action.body)
         request = sql.ActionCreatePreparedStatementRequest.FromString(body.value)
         result = sql.ActionCreatePreparedStatementResult(prepared_statement_handle=request.query.encode())
-        packed_result = packed(result)
+        packed_result = pack_any(result)
         await call.write(flight.Result(body=packed_result.SerializeToString()).SerializeToString())
 
     async def _list_actions(self, call: ServerCall) -> None:
--- a/saffronlane/logging_setup.py
+++ b/saffronlane/logging_setup.py
@@ -1,4 +1,4 @@
-"""Structured logging to standard error: JSON lines, or a readable format if it is a terminal."""
+"""Structured logging to standard error: JSON lines, or a human-readable format on a terminal."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     """Configure logging. Called once at the start of a process.
 
     Args:
-        level: The lowest level that is logged.
+        level: The name of the lowest level that is logged.
     """
     is_terminal = sys.stderr.isatty()
     renderer: structlog.types.Processor = (
--- a/saffronlane/members/__init__.py
+++ b/saffronlane/members/__init__.py
@@ -1,6 +1,6 @@
-"""The current engine list, and its source. A file is the only source so far."""
+"""The current engine list, and the file from which it is read."""
 
 from .file import FileSource
-from .view import View
+from .view import EngineListView
 
-__all__ = ["FileSource", "View"]
+__all__ = ["EngineListView", "FileSource"]
--- a/saffronlane/members/file.py
+++ b/saffronlane/members/file.py
@@ -20,7 +20,7 @@
 
 
 class FileSource:
-    """Reads the engine list again when modification time, size or inode of its file change.
+    """Reads the engine list again when the modification time, size or inode of its file changes.
 
     Args:
         config: The configuration of the gateway, which has the path of the file.
@@ -50,10 +50,11 @@
             self._log_problem(f"{path}: cannot be read: {error.strerror}", error)
             return False
         except ConfigError as error:
-            # The file is invalid or partly written. It is read again next time.
+            # The file is invalid or partly written. It is read again at the next check.
             self._log_problem(str(error), error)
             return False
-        # If the file changed while it was read, the list is used but the file is read again next time.
+        # If the file changed while it was read, the list is used, and the file is read again at the
+        # next check.
         if stamp_after_read == stamp:
             self._stamp = stamp
         self._last_problem = ""
--- a/saffronlane/members/view.py
+++ b/saffronlane/members/view.py
@@ -13,7 +13,7 @@
 Snapshot: TypeAlias = "HashTrieMap[bytes, EngineRecord]"
 
 
-class View:
+class EngineListView:
     """Holds the newest engine list, and converts each list to an update for the dispatcher.
 
     A list gives the start of an engine in wall-clock time, and an update gives it in monotonic time. Each
@@ -21,18 +21,18 @@
     a restart of every engine.
 
     Args:
-        monotonic: A function that returns the monotonic time.
-        wall: A function that returns the wall-clock time in seconds since 1970.
+        monotonic_clock: A function that returns the monotonic time in seconds.
+        wall_clock: A function that returns the wall-clock time in seconds since 1970.
 
     Attributes:
         snapshot: The engines of the newest list by id.
         version: The version of the newest list.
     """
 
-    def __init__(self, monotonic: Callable[[], float], wall: Callable[[], float]) -> None:
+    def __init__(self, monotonic_clock: Callable[[], float], wall_clock: Callable[[], float]) -> None:
         self.snapshot: Snapshot = HashTrieMap()
         self.version = 0
-        self._monotonic, self._wall = monotonic, wall
+        self._monotonic_clock, self._wall_clock = monotonic_clock, wall_clock
         self._start_times: dict[bytes, tuple[float, float]] = {}  # listed and monotonic start time by engine
 
     def replace(self, version: int, records: tuple[EngineRecord, ...]) -> EndpointListUpdate:
@@ -55,9 +55,9 @@
         listed_start, started_at = self._start_times.get(engine, (0.0, 0.0))
         if record.started != listed_start:
             listed_start = record.started
-            # A start time in the future is treated as now.
-            age = max(0.0, self._wall() - listed_start) if listed_start else 0.0
-            started_at = max(1e-6, self._monotonic() - age) if listed_start else 0.0
+            # A start time in the future is treated as now. The result is above 0, because 0 means unknown.
+            age = max(0.0, self._wall_clock() - listed_start) if listed_start else 0.0
+            started_at = max(1e-6, self._monotonic_clock() - age) if listed_start else 0.0
             self._start_times[engine] = (listed_start, started_at)
         return EngineEntry(
             engine, record.state, started_at, record.zone, record.kind, record.cell, record.weight
--- a/saffronlane/proto/commands.py
+++ b/saffronlane/proto/commands.py
@@ -10,7 +10,7 @@
 SERVICE = "/arrow.flight.protocol.FlightService/"
 
 
-def packed(message: Message) -> AnyMessage:
+def pack_any(message: Message) -> AnyMessage:
     """Return a message wrapped in an Any, as Flight SQL encodes commands."""
     wrapper = AnyMessage()
     wrapper.Pack(message)
@@ -19,4 +19,6 @@
 
 def descriptor(command: Message) -> flight.FlightDescriptor:
     """Return the descriptor of a command."""
-    return flight.FlightDescriptor(type=flight.FlightDescriptor.CMD, cmd=packed(command).SerializeToString())
+    return flight.FlightDescriptor(
+        type=flight.FlightDescriptor.CMD, cmd=pack_any(command).SerializeToString()
+    )
--- a/saffronlane/supervisor.py
+++ b/saffronlane/supervisor.py
@@ -59,7 +59,7 @@
         self.port = config.port
 
     async def run(self) -> None:
-        """Run the workers until a stop, and return when all of them have ended.
+        """Run the workers until `stop` is called, and return when all of them have exited.
 
         Raises:
             OSError: The port is not available.
@@ -78,7 +78,7 @@
             self._port_reservation.close()
 
     def stop(self) -> None:
-        """Forward the stop to the workers. The first call drains them, the second one stops them at once."""
+        """Send SIGTERM to the workers. The first call drains them, the second one stops them at once."""
         self._stopping.set()
         for process in self._processes.values():
             if process.returncode is None:
--- a/tests/gateways.py
+++ b/tests/gateways.py
@@ -25,7 +25,7 @@
     Args:
         directory: The directory of the engine list and of relative paths in the settings.
         engines: The number of engines.
-        changes: Settings that replace those of the default settings.
+        changes: Top-level settings that replace those of `DEFAULT_SETTINGS`.
         note_period: The interval between progress reports of the engines in seconds, or 0 for none.
     """
 
@@ -77,7 +77,12 @@
         return asyncio.run_coroutine_threadsafe(coroutine, self.loop).result(timeout)
 
     def events_of_kind(self, kind: str) -> list[dict[str, Any]]:
-        """Return the recorded events of the engines of one kind."""
+        """Return the events of one kind that the engines have recorded.
+
+        The engines record "sent" when a query arrives, "ran" when it starts to run, "stopped" when it is
+        cancelled while it runs, "lost" when a fault withholds its answer, and "answered" when its result has
+        been sent.
+        """
         return [event for event in self.events if event["kind"] == kind]
 
     def wait_until(self, condition: Callable[[], bool], timeout: float = 10.0) -> None:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -14,7 +14,7 @@
 from saffronlane.cli import main
 from saffronlane.config import Config, ConfigError, load_config, parse_config, parse_engines
 from saffronlane.config.check import read_json, schema
-from saffronlane.members import FileSource, View
+from saffronlane.members import EngineListView, FileSource
 
 COMPLETE_SETTINGS: dict[str, Any] = {
     "listen": {"host": "127.0.0.1", "port": 0},
@@ -268,7 +268,7 @@
 
 def test_start_time_is_converted_once_so_that_a_clock_step_is_no_restart() -> None:
     clock, wall = [1000.0], [50_000.0]
-    view = View(lambda: clock[0], lambda: wall[0])
+    view = EngineListView(lambda: clock[0], lambda: wall[0])
     _, records = parse_engines(
         with_value_at(ENGINE_LIST, "/engines/0/started", 49_990.0), parse_complete_settings(), "here"
     )
@@ -287,7 +287,7 @@
 
 
 def test_replaced_list_does_not_change_an_earlier_snapshot() -> None:
-    view = View(lambda: 0.0, lambda: 0.0)
+    view = EngineListView(lambda: 0.0, lambda: 0.0)
     version, records = parse_engines(ENGINE_LIST, parse_complete_settings(), "here")
     view.replace(version, records)
     snapshot = view.snapshot
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -27,7 +27,7 @@
 
 
 class GatewayProcess:
-    """A gateway started by `saffronlane serve`. Waits until it listens."""
+    """A gateway started by `saffronlane serve`. The constructor returns when the gateway listens."""
 
     def __init__(self, config: Path) -> None:
         self.child = subprocess.Popen(
@@ -49,7 +49,7 @@
 
 
 def write_config_with_engines(directory: Path, harness: GatewayHarness, **changes: Any) -> Path:
-    """Write settings and engine list of another gateway for the engines of a harness."""
+    """Write settings and engine list of a gateway that uses the engines of a harness."""
     entries = [{"id": name, "address": engine.address} for name, engine in harness.engines.items()]
     write_list(directory / "engines.json", entries, 1)
     return write_config(directory, **changes)
@@ -164,12 +164,12 @@
 
         harness.engine_states["e2"] = "draining"
         harness.call_in_loop(harness.publish_list)
-        harness.wait_until(lambda: harness.daemon.view.version == harness.list_version)
+        harness.wait_until(lambda: harness.daemon.engine_list_view.version == harness.list_version)
         run_queries(20)
         assert {event["engine"] for event in harness.events_of_kind("sent")} == {"e0", "e1"}
         harness.engine_states.update(e0="draining", e2="ready")
         harness.call_in_loop(harness.publish_list)
-        harness.wait_until(lambda: harness.daemon.view.version == harness.list_version)
+        harness.wait_until(lambda: harness.daemon.engine_list_view.version == harness.list_version)
         event_count = len(harness.events)
         run_queries(20)
         assert {event["engine"] for event in harness.events[event_count:] if event["kind"] == "sent"} in (
@@ -178,12 +178,13 @@
         )
         del harness.engine_states["e1"]
         harness.call_in_loop(harness.publish_list)
-        harness.wait_until(lambda: harness.daemon.view.version == harness.list_version)
+        harness.wait_until(lambda: harness.daemon.engine_list_view.version == harness.list_version)
         event_count = len(harness.events)
         run_queries(5)
         assert {event["engine"] for event in harness.events[event_count:] if event["kind"] == "sent"} == {
             "e2"
         }
+        # An invalid list is ignored, and the last valid list remains in use.
         (tmp_path / "engines.json").write_text("")
         run_queries(5)
 
@@ -214,7 +215,8 @@
     result = CliRunner().invoke(main, ["replay", str(tmp_path / "core.record")])
     assert result.exit_code == 0 and "all the same" in result.output
     data = bytearray((tmp_path / "core.record").read_bytes())
-    offset = data.rindex(b"engine=b'")  # in a recorded effect
+    # The changed engine id in a recorded effect must be reported as a difference.
+    offset = data.rindex(b"engine=b'")
     data[offset + len(b"engine=b'")] ^= 1
     (tmp_path / "core.record").write_bytes(data)
     result = CliRunner().invoke(main, ["replay", str(tmp_path / "core.record")])
@@ -272,11 +274,14 @@
         text=True,
     )
     assert child.stdout is not None
-    started = json.loads(child.stdout.readline())
-    assert re.fullmatch(r"grpc://127\.0\.0\.1:\d+", started["flight_sql"])
-    assert len(started["engines"]) == 2 and started["pid"]["gateway-0"] != started["pid"]["lab"] == child.pid
+    startup_report = json.loads(child.stdout.readline())
+    assert re.fullmatch(r"grpc://127\.0\.0\.1:\d+", startup_report["flight_sql"])
+    assert (
+        len(startup_report["engines"]) == 2
+        and startup_report["pid"]["gateway-0"] != startup_report["pid"]["lab"] == child.pid
+    )
     client = GrpcClient.__new__(GrpcClient)
-    client.channel = grpc.insecure_channel(started["flight_sql"].removeprefix("grpc://"))
+    client.channel = grpc.insecure_channel(startup_report["flight_sql"].removeprefix("grpc://"))
     assert len(client.call_stream("DoGet", client.get_ticket("SELECT 1"))) == 2
     child.send_signal(signal.SIGINT)
     assert child.wait(20.0) == 0
@@ -292,10 +297,13 @@
         text=True,
     )
     assert child.stdout is not None
-    started = json.loads(child.stdout.readline())
+    startup_report = json.loads(child.stdout.readline())
     client = GrpcClient.__new__(GrpcClient)
-    client.channel = grpc.insecure_channel(started["address"])
-    assert started["id"] == "solo" and len(client.call_stream("DoGet", client.get_ticket("SELECT 1"))) == 2
+    client.channel = grpc.insecure_channel(startup_report["address"])
+    assert (
+        startup_report["id"] == "solo"
+        and len(client.call_stream("DoGet", client.get_ticket("SELECT 1"))) == 2
+    )
     child.send_signal(signal.SIGTERM)
     assert child.wait(10.0) == 0
     path.write_text('{"colour": 1}')
@@ -376,12 +384,12 @@
 
     async def scenario() -> None:
         received: list[bytes] = []
-        after_one_turn: list[int] = []
+        counts_after_one_turn: list[int] = []
         loop = asyncio.get_running_loop()
 
         def on_message(sender: int, data: bytes) -> None:
             if not received:
-                loop.call_soon(lambda: after_one_turn.append(len(received)))
+                loop.call_soon(lambda: counts_after_one_turn.append(len(received)))
             received.append(data)
 
         with (
@@ -399,11 +407,11 @@
             for number in range(100):
                 sender_socket.sendto(b"%d" % number, listen)
             await _wait_until(lambda: len(received) == 100)
-            assert after_one_turn == [100]
+            assert counts_after_one_turn == [100]
             sender_socket.sendto(b"more", listen)  # later datagrams are received too
             await _wait_until(lambda: len(received) == 101)
             transport.close()
-            transport.close()
+            transport.close()  # a second close has no effect
 
     asyncio.run(asyncio.wait_for(scenario(), 10.0))
 
@@ -445,8 +453,8 @@
 def test_gossip_is_received_after_descriptor_exhaustion_and_after_a_failed_message(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a start that fails without a free descriptor, and against a message handler whose
-    exception stops the receiving of later messages.
+    """Guards against two faults: a gateway that cannot start while no file descriptor is free, and a message
+    handler whose exception stops the reception of later messages.
     """
     import errno
     import socket
--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -1,4 +1,8 @@
-"""The gateway with Flight SQL clients: the ADBC driver, pyarrow.flight, and grpcio for all other messages."""
+"""The gateway with Flight SQL clients: the ADBC driver, pyarrow.flight, and grpcio for other messages.
+
+A comment such as `/* lab work=0.8 rows=4 */` in a query sets its work in seconds and the number of rows that
+the stand-in engine returns.
+"""
 
 from __future__ import annotations
 
@@ -45,14 +49,14 @@
         )
 
 
-def packed(message: Message) -> bytes:
+def encode_any(message: Message) -> bytes:
     wrapper = AnyMessage()
     wrapper.Pack(message)
     return wrapper.SerializeToString()
 
 
 def descriptor(message: Message) -> flight.FlightDescriptor:
-    return flight.FlightDescriptor(type=flight.FlightDescriptor.CMD, cmd=packed(message))
+    return flight.FlightDescriptor(type=flight.FlightDescriptor.CMD, cmd=encode_any(message))
 
 
 class GrpcClient:
@@ -130,7 +134,9 @@
 
 def test_pyarrow_reads_a_stream_of_batches(shared_harness: GatewayHarness) -> None:
     with paf.FlightClient(shared_harness.url) as client:
-        command = packed(sql.CommandStatementQuery(query="SELECT * FROM t /* lab rows=1000 batches=50 */"))
+        command = encode_any(
+            sql.CommandStatementQuery(query="SELECT * FROM t /* lab rows=1000 batches=50 */")
+        )
         info = client.get_flight_info(paf.FlightDescriptor.for_command(command))
         table = client.do_get(info.endpoints[0].ticket).read_all()
         assert table.num_rows == 50_000
@@ -334,7 +340,7 @@
     handle = bytearray(handles.pack(handles.make("SELECT 1")))
     handle[-1] ^= 1
     client.call_stream(
-        "DoGet", flight.Ticket(ticket=packed(sql.TicketStatementQuery(statement_handle=bytes(handle))))
+        "DoGet", flight.Ticket(ticket=encode_any(sql.TicketStatementQuery(statement_handle=bytes(handle))))
     )
 
 
@@ -474,7 +480,8 @@
         busy_engine = harness.events_of_kind("ran")[0]["engine"]
         harness.call_in_loop(harness.engines[busy_engine].crash)
         assert_fails(grpc.StatusCode.UNAVAILABLE, "", lambda: list(call))
-        assert len(harness.events_of_kind("ran")) == 1  # a part of the result has reached the client
+        # The request is not retried, because a part of the result has reached the client.
+        assert len(harness.events_of_kind("ran")) == 1
         harness.wait_until(lambda: harness.daemon.dispatcher.in_flight_count == 0)
 
 
@@ -546,7 +553,7 @@
         harness.wait_until(lambda: bool(harness.events_of_kind("ran")))
         del harness.engine_states["e0"]
         harness.call_in_loop(harness.publish_list)
-        harness.wait_until(lambda: not list(harness.daemon.view.snapshot))
+        harness.wait_until(lambda: not list(harness.daemon.engine_list_view.snapshot))
         assert len(list(call)) == 2
         harness.wait_until(lambda: not harness.daemon.transport._pools)
 
