--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -1,7 +1,7 @@
 """The gateway with Flight SQL clients: the ADBC driver, pyarrow.flight, and grpcio for other messages.
 
-A comment such as `/* lab work=0.8 rows=4 */` in a query sets its work in seconds and the number of rows that
-the stand-in engine returns.
+A comment such as `/* lab work=0.8 rows=4 */` in a query sets its work in seconds and the number of rows in
+each batch that the stand-in engine returns.
 """
 
 from __future__ import annotations
