--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -13,7 +13,7 @@
 import argparse
 from concurrent.futures import ProcessPoolExecutor
 
-from saffronlane.lab.fleet.cold import ColdDay, ColdSum, play
+from saffronlane.lab.fleet.cold import ColdNodeLoad, ColdNodeScenario, simulate
 
 
 def summarize(name: str, ratios: list[float]) -> str:
@@ -36,25 +36,26 @@
     parser.add_argument("--failing", type=float, default=1.0)
     parser.add_argument("--processes", type=int, default=None)
     options = parser.parse_args()
-    days = [
-        ColdDay(
+    scenarios = [
+        ColdNodeScenario(
             options.dispatchers,
             options.nodes,
             options.cold,
             n,
-            restarted=options.restarted,
-            failing=options.failing,
+            restarted_share=options.restarted,
+            failure_factor=options.failing,
         )
         for n in range(options.seeds)
     ]
     with ProcessPoolExecutor(options.processes) as pool:
-        results: list[ColdSum] = list(pool.map(play, days))
+        results: list[ColdNodeLoad] = list(pool.map(simulate, scenarios))
     print(
         f"{options.dispatchers} dispatchers, {options.nodes} nodes, {options.cold} cold,"
         f" {options.seeds} seeds;"
-        f" {summarize('calls', [s.calls for s in results])}; {summarize('work', [s.work for s in results])};"
-        f" a cold node received {sum(s.sent for s in results) / len(results):.0f} calls,"
-        f" {sum(s.done for s in results) / len(results):.1f} core seconds of work"
+        f" {summarize('calls', [result.call_ratio for result in results])};"
+        f" {summarize('work', [result.work_ratio for result in results])};"
+        f" a cold node received {sum(result.calls_per_node for result in results) / len(results):.0f} calls,"
+        f" {sum(result.work_per_node for result in results) / len(results):.1f} core seconds of work"
     )
 
 
--- a/benchmarks/even.py
+++ b/benchmarks/even.py
@@ -22,16 +22,22 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
 from saffronlane.lab.fleet.measures import Measures
-from saffronlane.lab.fleet.policies import Chooser, HashOrder, RandomChoice, TrueStateLate, TwoByOwnNews
+from saffronlane.lab.fleet.policies import (
+    DelayedTrueState,
+    LocalTwoChoices,
+    PlacementPolicy,
+    RandomChoice,
+    RendezvousHash,
+)
 from saffronlane.lab.fleet.schedule import Fault, Schedule
-from saffronlane.lab.fleet.shape import HEAVY_SORTS, FleetShape
+from saffronlane.lab.fleet.shape import HEAVY_QUERY_CLASSES, FleetShape
 from saffronlane.lab.fleet.virtual import VirtualFleet
 
-POLICIES: dict[str, Callable[[int], Chooser | None]] = {
+POLICIES: dict[str, Callable[[int], PlacementPolicy | None]] = {
     "dispatchers": lambda seed: None,
-    "true state, late": TrueStateLate,
-    "two choices": TwoByOwnNews,
-    "hash order": HashOrder,
+    "true state, late": DelayedTrueState,
+    "two choices": LocalTwoChoices,
+    "hash order": RendezvousHash,
     "random": RandomChoice,
 }
 REPORTED_MEASURES = (
@@ -81,12 +87,18 @@
             results: list[Measures] = []
             for seed in range(1, options.seeds + 1):
                 shape = FleetShape(
-                    count, options.nodes, 8.0, options.load, 3 * options.nodes, seed, sorts=HEAVY_SORTS
+                    count,
+                    options.nodes,
+                    8.0,
+                    options.load,
+                    3 * options.nodes,
+                    seed,
+                    query_classes=HEAVY_QUERY_CLASSES,
                 )
                 results.append(
                     VirtualFleet(
                         shape, Schedule(seed, options.seconds, schedule_faults), make_policy(seed)
-                    ).play()
+                    ).run()
                 )
             measures = [msgspec.to_builtins(result) for result in results]
             intervals = {
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -18,8 +18,8 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from saffronlane.lab.fleet.play import play
-from saffronlane.lab.fleet.schedule import Schedule, draw, shrink
+from saffronlane.lab.fleet.play import run_fleet
+from saffronlane.lab.fleet.schedule import Schedule, draw_schedule, shrink
 from saffronlane.lab.fleet.shape import FleetShape
 
 
@@ -40,22 +40,24 @@
     options = parser.parse_args()
     shape = FleetShape(options.dispatchers, options.nodes, options.cores, options.load, seed=options.seed)
     if options.schedule is not None:
-        schedule = Schedule.read(options.schedule.read_bytes())
+        schedule = Schedule.from_json(options.schedule.read_bytes())
     else:
-        schedule = draw(options.seed, options.seconds, options.dispatchers, options.nodes, options.faults)
-    result = asyncio.run(play(shape, schedule))
+        schedule = draw_schedule(
+            options.seed, options.seconds, options.dispatchers, options.nodes, options.faults
+        )
+    result = asyncio.run(run_fleet(shape, schedule))
     figures = {
         "dispatchers": options.dispatchers,
         "nodes": options.nodes,
         "seed": options.seed,
-        "machine_was_the_limit": result.machine_was_the_limit,
-        "late_s": round(result.late, 3),
+        "machine_was_the_limit": result.was_machine_overloaded,
+        "late_s": round(result.max_lag, 3),
         "machine_share": round(result.machine_share, 3),
         "findings": [
             f"rule {finding.rule} at {finding.at:.2f} s: {finding.text}" for finding in result.findings[:20]
         ],
         "faults": [
-            f"{fault.kind} at {fault.at} s for {fault.length} s: {len(fault.who)}"
+            f"{fault.kind} at {fault.at} s for {fault.duration} s: {len(fault.targets)}"
             for fault in schedule.faults
         ],
         **msgspec.to_builtins(result.measures),
@@ -68,9 +70,9 @@
     if result.findings and options.shrink:
 
         async def fails(candidate: Schedule) -> bool:
-            return bool((await play(shape, candidate)).findings)
+            return bool((await run_fleet(shape, candidate)).findings)
 
-        print(asyncio.run(shrink(schedule, fails)).json().decode())
+        print(asyncio.run(shrink(schedule, fails)).to_json().decode())
     return 1 if result.findings else 0
 
 
--- a/saffronlane/lab/fleet/__init__.py
+++ b/saffronlane/lab/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet of processes of the real program on one machine, and faults between them; see `docs/fleet.md`."""
+"""Runs a fleet of real gateway processes on one machine and injects faults; see `docs/fleet.md`."""
--- a/saffronlane/lab/fleet/addresses.py
+++ b/saffronlane/lab/fleet/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses of its own for each party of a fleet, in 127.0.0.0/8."""
+"""Assigns each process and stand-in of a fleet its own loopback address in 127.0.0.0/8."""
 
 from __future__ import annotations
 
@@ -9,40 +9,50 @@
 from ...errors import SaffronlaneError
 
 Address = tuple[str, int]
-PORT, GUARD = 4100, 4099
-DISPATCHERS, PEERS, RELAYS, NODES, FEED = 0, 32, 64, 96, 128  # third numbers of addresses, from
-A_NUMBER = 250  # parties to a third number
+PORT, GUARD_PORT = 4100, 4099
+# The first value of the third octet of the addresses of each group.
+DISPATCHER_SUBNET, PEER_SUBNET, RELAY_SUBNET, NODE_SUBNET, FEED_SUBNET = 0, 32, 64, 96, 128
+SUBNET_SIZE = 250  # addresses that share one third octet
 
 
 class NoAddresses(SaffronlaneError):
-    """Every network that was tried is in use by another fleet."""
+    """No 127.N.0.0/16 network is free: other fleets use all that were tried."""
 
     remedy = "End other fleets on this machine, or wait until they have ended."
 
 
-class Net:
-    """One network 127.N.0.0/16, held by a socket for as long as the fleet lives."""
+class LoopbackNetwork:
+    """A 127.N.0.0/16 network, reserved by a bound socket until `close`.
+
+    Raises:
+        NoAddresses: If each of 100 randomly chosen networks is in use.
+    """
 
     def __init__(self) -> None:
-        draws = Random(os.urandom(8))
+        random = Random(os.urandom(8))
         for _ in range(100):
-            self._guard = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            self.number = draws.randrange(20, 250)
+            self._guard_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+            self.network_number = random.randrange(20, 250)
             try:
-                self._guard.bind((f"127.{self.number}.0.1", GUARD))
+                self._guard_socket.bind((f"127.{self.network_number}.0.1", GUARD_PORT))
             except OSError:
-                self._guard.close()
+                self._guard_socket.close()
                 continue
             return
-        raise NoAddresses("no network of 127.0.0.0/8 is free")
+        raise NoAddresses("no free 127.N.0.0/16 network found in 100 attempts")
 
-    def address(self, kind: int, number: int, port: int = PORT) -> Address:
-        """Of the party with that number among those of its kind."""
-        return f"127.{self.number}.{kind + number // A_NUMBER}.{2 + number % A_NUMBER}", port
+    def address(self, subnet: int, number: int, port: int = PORT) -> Address:
+        """Returns the address of the process or stand-in with this number in the subnet."""
+        return (
+            f"127.{self.network_number}.{subnet + number // SUBNET_SIZE}.{2 + number % SUBNET_SIZE}",
+            port,
+        )
 
     def close(self) -> None:
-        self._guard.close()
+        """Releases the network."""
+        self._guard_socket.close()
 
 
-def text(address: Address) -> str:
+def format_address(address: Address) -> str:
+    """Formats an address as `host:port`."""
     return f"{address[0]}:{address[1]}"
--- a/saffronlane/lab/fleet/audit.py
+++ b/saffronlane/lab/fleet/audit.py
@@ -1,7 +1,8 @@
-"""The seven rules over the sum of all dispatchers, from traffic seen outside them, and what else is promised.
+"""Audits a fleet by the traffic seen outside the dispatchers.
 
-Nothing is sent on for a client that has left, a cold node's calls stay within their budget over the whole
-fleet, and restarted processes are soon ready.
+The audit applies the seven rules of `lab.audit` to the traffic of all dispatchers together. It also checks
+that no attempt starts for a client that has cancelled its request, that the calls to a cold node stay within
+the budget over the whole fleet, and that restarted processes become ready in time.
 """
 
 from __future__ import annotations
@@ -14,35 +15,46 @@
 from ...simulator import settings as params
 from ..audit import Audit
 from .record import Record
-from .shape import COLD_SHARE, COLD_TIME, FALL_MULTIPLE, FALL_WINDOW, FleetShape, settings
-
-KILL_SLACK = 0.1  # seconds between a process' end and what its client sees of it
-LEFT_SLACK, LEFT_MOST = (
-    0.1,
-    2,
-)  # seconds after a client has left; attempts later than that which chance explains
-READY_WITHIN, LATE_ONE_IN = 10.0, 10  # seconds; of so many restarted processes one may take longer
+from .shape import (
+    INITIAL_CAPACITY_RATIO,
+    OVERLOAD_FACTOR,
+    OVERLOAD_WINDOW_S,
+    SLOW_START_S,
+    FleetShape,
+    dispatcher_settings,
+)
+
+KILL_SLACK_S = 0.1  # from the end of a process until its clients notice it
+# Attempts that start later than the slack after their client cancelled, and how many of them are tolerated:
+# a few can occur by chance.
+CLIENT_LEFT_SLACK_S, MAX_LATE_SENDS = 0.1, 2
+# One in so many restarted processes may exceed the limit.
+READY_LIMIT_S, RESTARTS_PER_LATE_START = 10.0, 10
 
 
 class Finding(NamedTuple):
-    """A broken rule (1 to 7), or 0: a process that ended though nobody asked, or was not ready in time."""
+    """A violation of a rule (1 to 7). Rule 0 means an unexpected process exit or a late start."""
 
     rule: int
     at: float
     text: str
 
 
-def audit(record: Record, shape: FleetShape, ended: list[str]) -> list[Finding]:
-    """All findings in the order of their time."""
-    given = params.read_settings(params.Params.from_object(settings(shape, 0)))
-    findings = [Finding(0, 0.0, text) for text in ended]
+def audit(record: Record, shape: FleetShape, unexpected_exits: list[str]) -> list[Finding]:
+    """Returns all findings, ordered by time."""
+    gateway_settings = params.read_settings(params.Params.from_object(dispatcher_settings(shape, 0)))
+    findings = [Finding(0, 0.0, text) for text in unexpected_exits]
     left = {event["query"] for event in record.events if event["kind"] == "left"}
-    waiting = [
-        event for event in record.events if event.get("query") not in left
-    ]  # the others are owed nothing
-    findings += [Finding(*_plain(breach)) for breach in Audit(waiting, given).run().breaches]
+    # A client that has cancelled its request no longer expects an answer.
+    awaited_events = [event for event in record.events if event.get("query") not in left]
+    findings += [
+        Finding(*_finding_fields(breach)) for breach in Audit(awaited_events, gateway_settings).run().breaches
+    ]
     findings += (
-        _lost(waiting) + _left(record.events) + _cold_sum(record.events, shape) + _ready(record.events)
+        _unanswered_queries(awaited_events)
+        + _sends_after_client_left(record.events)
+        + _cold_node_overloads(record.events, shape)
+        + _late_starts(record.events)
     )
     findings += [
         Finding(4, event["at"], f"node {event['engine']} was pushed over while cold")
@@ -52,87 +64,106 @@
     return sorted(findings, key=lambda finding: finding.at)
 
 
-def _left(events: list[dict[str, Any]]) -> list[Finding]:
-    """Attempts that begin for clients that have left. From the third on they are no chance."""
+def _sends_after_client_left(events: list[dict[str, Any]]) -> list[Finding]:
+    """Reports attempts that start after their client has cancelled, except for the first `MAX_LATE_SENDS`."""
     left = {event["query"]: event["at"] for event in events if event["kind"] == "left"}
     late = [
         Finding(
             1, event["at"], f"query {event['query']} was sent {event['at'] - left[event['query']]:.3f} s late"
         )
         for event in events
-        if event["kind"] == "sent" and event["at"] > left.get(event["query"], math.inf) + LEFT_SLACK
+        if event["kind"] == "sent" and event["at"] > left.get(event["query"], math.inf) + CLIENT_LEFT_SLACK_S
     ]
-    return late[LEFT_MOST:]
+    return late[MAX_LATE_SENDS:]
+
 
+def _cold_node_overloads(events: list[dict[str, Any]], shape: FleetShape) -> list[Finding]:
+    """Checks rule 4, the load limit of a cold node, by the number of calls.
 
-def _cold_sum(events: list[dict[str, Any]], shape: FleetShape) -> list[Finding]:
-    """Rule 4 by the number of calls: past N only 2 root N + 2 in a window are put down to chance."""
-    sends: dict[tuple[str, int], list[float]] = defaultdict(list)
+    If the budget allows N calls in a window, up to N + 2 sqrt(N) + 2 calls are attributed to chance.
+    """
+    send_times: dict[tuple[str, int], list[float]] = defaultdict(list)
     for event in events:
         if event["kind"] == "sent":
-            sends[event["engine"], event["incarnation"]].append(event["at"])
+            send_times[event["engine"], event["incarnation"]].append(event["at"])
     findings = []
     for event in events:
         if event["kind"] != "cold":
             continue
-        since, name = event["at"], (event["engine"], event["incarnation"])
-        times = [at for at in sends[name] if at < since + COLD_TIME]
+        since, node_key = event["at"], (event["engine"], event["incarnation"])
+        times = [at for at in send_times[node_key] if at < since + SLOW_START_S]
         for first, at in enumerate(times):
-            warm = COLD_SHARE + (1.0 - COLD_SHARE) * min(1.0, (at + FALL_WINDOW - since) / COLD_TIME)
-            calls = FALL_MULTIPLE * shape.cores * warm * FALL_WINDOW / shape.mean_work
-            got = bisect_left(times, at + FALL_WINDOW) - first
-            if got > calls + 2.0 * math.sqrt(calls) + 2.0:
-                findings.append(Finding(4, at, f"node {name[0]} got {got} calls while cold, for {calls:.0f}"))
+            capacity_ratio = INITIAL_CAPACITY_RATIO + (1.0 - INITIAL_CAPACITY_RATIO) * min(
+                1.0, (at + OVERLOAD_WINDOW_S - since) / SLOW_START_S
+            )
+            expected_calls = (
+                OVERLOAD_FACTOR * shape.cores * capacity_ratio * OVERLOAD_WINDOW_S / shape.mean_work
+            )
+            call_count = bisect_left(times, at + OVERLOAD_WINDOW_S) - first
+            if call_count > expected_calls + 2.0 * math.sqrt(expected_calls) + 2.0:
+                findings.append(
+                    Finding(
+                        4,
+                        at,
+                        f"node {node_key[0]} got {call_count} calls while cold, for {expected_calls:.0f}",
+                    )
+                )
                 break
     return findings
 
 
-def _ready(events: list[dict[str, Any]]) -> list[Finding]:
-    """Nine in ten of the processes that were restarted are ready in time."""
-    started: dict[str, float] = {}
-    spans: list[float] = []
+def _late_starts(events: list[dict[str, Any]]) -> list[Finding]:
+    """Checks that at least nine of ten restarted processes become ready in time."""
+    start_times: dict[str, float] = {}
+    start_durations: list[float] = []
     for event in events:
         if event["kind"] == "started":
-            started[event["gateway"]] = event["at"]
-        elif event["kind"] == "ready" and event["gateway"] in started:
-            spans.append(event["at"] - started.pop(event["gateway"]))
-    late = sum(span > READY_WITHIN for span in spans) + len(started)
-    if LATE_ONE_IN * late <= len(spans) + len(started):
+            start_times[event["gateway"]] = event["at"]
+        elif event["kind"] == "ready" and event["gateway"] in start_times:
+            start_durations.append(event["at"] - start_times.pop(event["gateway"]))
+    late = sum(duration > READY_LIMIT_S for duration in start_durations) + len(start_times)
+    if RESTARTS_PER_LATE_START * late <= len(start_durations) + len(start_times):
         return []
     return [
-        Finding(0, max(started.values(), default=0.0), f"{late} restarted processes were not ready in time")
+        Finding(
+            0, max(start_times.values(), default=0.0), f"{late} restarted processes were not ready in time"
+        )
     ]
 
 
-def _plain(breach: Any) -> tuple[int, float, str]:
+def _finding_fields(breach: Any) -> tuple[int, float, str]:
     return breach.rule, breach.at, breach.text
 
 
-def _lost(events: list[dict[str, Any]]) -> list[Finding]:
-    """Rule 1 where dispatchers are killed: only what a killed process held may go unanswered."""
-    killed: dict[str, list[float]] = defaultdict(list)
+def _unanswered_queries(events: list[dict[str, Any]]) -> list[Finding]:
+    """Checks rule 1, one final answer for each query, for fleets in which dispatchers are killed.
+
+    Only queries that a killed process had in flight may stay unanswered.
+    """
+    kill_times: dict[str, list[float]] = defaultdict(list)
 
-    def killed_between(event: dict[str, Any], since: float, until: float) -> bool:
-        return any(since - KILL_SLACK <= at <= until + KILL_SLACK for at in killed[event["gateway"]])
+    def was_killed_between(event: dict[str, Any], since: float, until: float) -> bool:
+        return any(since - KILL_SLACK_S <= at <= until + KILL_SLACK_S for at in kill_times[event["gateway"]])
 
-    asked: dict[str, dict[str, Any]] = {}
-    answered: dict[str, str] = {}
+    requests: dict[str, dict[str, Any]] = {}
+    answer_kinds: dict[str, str] = {}
     findings = []
     for event in events:
         kind = event["kind"]
         if kind == "killed":
-            killed[event["gateway"]].append(event["at"])
+            kill_times[event["gateway"]].append(event["at"])
         elif kind == "asked":
-            asked[event["query"]] = event
+            requests[event["query"]] = event
         elif kind == "answer":
-            answered[event["query"]] = kind
+            answer_kinds[event["query"]] = kind
         elif kind == "unreachable":
-            answered[event["query"]] = kind
-            if not killed_between(event, asked[event["query"]]["at"], event["at"]):
+            answer_kinds[event["query"]] = kind
+            if not was_killed_between(event, requests[event["query"]]["at"], event["at"]):
                 text = f"query {event['query']} was dropped by {event['gateway']}, which lives"
                 findings.append(Finding(1, event["at"], text))
-    for query, event in asked.items():
-        known = query in answered or event["gateway"] not in killed  # the plain audit finds the others
-        if not known and not killed_between(event, event["at"], event["limit"]):
+    for query, event in requests.items():
+        # The audit of `lab.audit` reports the queries of dispatchers that were never killed.
+        is_accounted_for = query in answer_kinds or event["gateway"] not in kill_times
+        if not is_accounted_for and not was_killed_between(event, event["at"], event["limit"]):
             findings.append(Finding(1, event["limit"], f"query {query} has no final answer"))
     return findings
--- a/saffronlane/lab/fleet/clients.py
+++ b/saffronlane/lab/fleet/clients.py
@@ -1,4 +1,4 @@
-"""Clients in an open loop: each request leaves at its time, whatever became of those before it."""
+"""Open-loop clients: each request is sent at its planned time, regardless of the state of earlier ones."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from ...msgpackrpc import Scanner
 from .addresses import Address
 from .record import Record
-from .shape import Asking
+from .shape import PlannedRequest
 
-MOST_OPEN = 32  # requests on a connection
-READY_GAP = 0.03
+MAX_IN_FLIGHT_PER_CONNECTION = 32
+READY_POLL_INTERVAL_S = 0.03
 
 
 class _Connection:
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writer, self._reader = writer, reader
-        self.open: dict[int, asyncio.Future[tuple[Any, Any]]] = {}
+        self.in_flight: dict[int, asyncio.Future[tuple[Any, Any]]] = {}
         self._ids = itertools.count(1)
         self._scanner = Scanner(1_048_576, 10_000)
         self.task = asyncio.create_task(self._read())
@@ -28,32 +28,32 @@
     async def _read(self) -> None:
         try:
             while data := await self._reader.read(65_536):
-                messages, error = self._scanner.feed(data)
+                messages, scan_error = self._scanner.feed(data)
                 for message in messages:
-                    _, number, problem, result = msgspec.msgpack.decode(message)
-                    waiting = self.open.pop(number, None)
-                    if waiting is not None and not waiting.done():
-                        waiting.set_result((problem, result))
-                if error is not None:
+                    _, call_id, error, result = msgspec.msgpack.decode(message)
+                    pending = self.in_flight.pop(call_id, None)
+                    if pending is not None and not pending.done():
+                        pending.set_result((error, result))
+                if scan_error is not None:
                     break
         except (ConnectionError, asyncio.CancelledError):
             pass
         self.writer.close()
-        for waiting in self.open.values():
-            if not waiting.done():
-                waiting.set_exception(ConnectionResetError("the dispatcher closed the connection"))
-        self.open.clear()
+        for pending in self.in_flight.values():
+            if not pending.done():
+                pending.set_exception(ConnectionResetError("the dispatcher closed the connection"))
+        self.in_flight.clear()
 
     def call(self, method: str, params: list[Any]) -> tuple[int, asyncio.Future[tuple[Any, Any]]]:
-        number = next(self._ids)
+        call_id = next(self._ids)
         answer: asyncio.Future[tuple[Any, Any]] = asyncio.get_running_loop().create_future()
-        self.open[number] = answer
-        self.writer.write(msgspec.msgpack.encode([0, number, method, params]))
-        return number, answer
+        self.in_flight[call_id] = answer
+        self.writer.write(msgspec.msgpack.encode([0, call_id, method, params]))
+        return call_id, answer
 
 
 class Clients:
-    """All clients of one dispatcher, on as many connections as their open requests need."""
+    """All clients of one dispatcher. Opens as many connections as the requests in flight need."""
 
     def __init__(self, name: str, address: Address, record: Record) -> None:
         self.name, self._address, self._record = name, address, record
@@ -61,17 +61,21 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def _connection(self) -> _Connection:
-        self._connections = [c for c in self._connections if not c.task.done()]
-        for one in self._connections:
-            if len(one.open) < MOST_OPEN:
-                return one
+        self._connections = [connection for connection in self._connections if not connection.task.done()]
+        for connection in self._connections:
+            if len(connection.in_flight) < MAX_IN_FLIGHT_PER_CONNECTION:
+                return connection
         async with asyncio.timeout(2.0):
-            made = _Connection(*await asyncio.open_connection(*self._address))
-        self._connections.append(made)
-        return made
+            new_connection = _Connection(*await asyncio.open_connection(*self._address))
+        self._connections.append(new_connection)
+        return new_connection
 
-    async def well(self, seconds: float) -> None:
-        """Wait until the dispatcher says that it may be used. TimeoutError if it does not."""
+    async def wait_until_ready(self, seconds: float) -> None:
+        """Waits until the dispatcher reports that it is ready.
+
+        Raises:
+            TimeoutError: If it is not ready within this number of seconds.
+        """
         async with asyncio.timeout(seconds):
             while True:
                 try:
@@ -80,61 +84,68 @@
                         return
                 except (ConnectionError, OSError):
                     pass
-                await asyncio.sleep(READY_GAP)
+                await asyncio.sleep(READY_POLL_INTERVAL_S)
 
-    def ask(self, asking: Asking) -> None:
-        """One request, on its way from now on."""
-        task = asyncio.create_task(self._ask(asking))
+    def send_request(self, request: PlannedRequest) -> None:
+        """Starts a task that sends the request and records its outcome."""
+        task = asyncio.create_task(self._run_request(request))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _ask(self, asking: Asking) -> None:
-        record, sort = self._record, asking.sort
+    async def _run_request(self, request: PlannedRequest) -> None:
+        record, query_class = self._record, request.query_class
         try:
             connection = await self._connection()
         except (OSError, TimeoutError):
-            return  # nobody there: the front would have gone elsewhere, and nothing was taken
+            return  # no dispatcher accepted the request; a real front end would use another dispatcher
         fields = {
-            "rid": asking.rid,
-            "budget": str(round(1000.0 * sort.deadline)),
+            "rid": request.request_id,
+            "budget": str(round(1000.0 * query_class.deadline)),
             "acct": "acme",
-            "est": f"{1000.0 * asking.work:.1f}",
+            "est": f"{1000.0 * request.work:.1f}",
             "memory": "1",
         }
-        if sort.keyed:
-            fields |= {"token": asking.rid * 2, "obj": asking.key}
-        body = f"SELECT * FROM s_{asking.tables}.t".encode()
-        limit = record.now() + sort.deadline
-        named = {"query": asking.rid, "gateway": self.name}
+        if query_class.has_idempotency_key:
+            fields |= {"token": request.request_id * 2, "obj": request.key}
+        body = f"SELECT * FROM s_{request.table_group}.t".encode()
+        limit = record.now() + query_class.deadline
+        event_fields = {"query": request.request_id, "gateway": self.name}
         record.add(
-            "asked", **named, cls=sort.name, key=asking.key, limit=limit, work=asking.work, wanted=asking.at
+            "asked",
+            **event_fields,
+            cls=query_class.name,
+            key=request.key,
+            limit=limit,
+            work=request.work,
+            wanted=request.at,
         )
-        number, answer = connection.call(sort.name, [fields, body])
+        call_id, answer = connection.call(query_class.name, [fields, body])
         try:
-            async with asyncio.timeout(asking.leaves or sort.deadline + 0.5):
-                problem, _ = await answer
+            async with asyncio.timeout(request.cancel_after or query_class.deadline + 0.5):
+                error, _ = await answer
         except TimeoutError:
-            connection.open.pop(number, None)
-            if asking.leaves:
-                connection.writer.write(msgspec.msgpack.encode([2, "forget", [number]]))
-                record.add("left", **named)
+            connection.in_flight.pop(call_id, None)
+            if request.cancel_after:
+                connection.writer.write(msgspec.msgpack.encode([2, "forget", [call_id]]))
+                record.add("left", **event_fields)
             return
         except ConnectionError:
-            record.add("unreachable", **named)
+            record.add("unreachable", **event_fields)
             return
-        code = "OK" if problem is None else "UNAVAILABLE" if problem[0] == "Shed" else "ABORTED"
-        promise = code == "UNAVAILABLE"
-        record.add("answer", **named, code=code, promise=promise)
+        code = "OK" if error is None else "UNAVAILABLE" if error[0] == "Shed" else "ABORTED"
+        is_safe_to_retry = code == "UNAVAILABLE"
+        record.add("answer", **event_fields, code=code, promise=is_safe_to_retry)
 
-    async def finish(self) -> None:
-        """Wait for every answer that is owed."""
+    async def wait_for_answers(self) -> None:
+        """Waits until every request has been answered, cancelled or timed out."""
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def close(self) -> None:
-        for one in self._connections:
-            one.task.cancel()
-            one.writer.close()
+        """Closes the connections and cancels the requests in flight."""
+        for connection in self._connections:
+            connection.task.cancel()
+            connection.writer.close()
         for task in list(self._tasks):
             task.cancel()
-        tasks = [c.task for c in self._connections]
+        tasks = [connection.task for connection in self._connections]
         await asyncio.gather(*tasks, *self._tasks, return_exceptions=True)
--- a/saffronlane/lab/fleet/cold.py
+++ b/saffronlane/lab/fleet/cold.py
@@ -1,7 +1,7 @@
-"""What all dispatchers together send to cold nodes, in virtual time: the sum of calls against the budget.
+"""Simulates the load that all dispatchers together send to cold nodes, and compares it with the budget.
 
-True `policy.Gateway` decisions; traffic, answers and restarts are drawn. Nothing of the wire is played: only
-who sends when is asked here.
+Runs in virtual time with the real decisions of `policy.Gateway`. Traffic, answers and restarts are random.
+The network protocol is not simulated, because only the times and targets of the attempts matter here.
 """
 
 from __future__ import annotations
@@ -27,22 +27,31 @@
         threads=3,
     ),
 )
-WORKS, SHARES = (0.13, 3.5), (15.0, 2.3)  # core seconds of a class's mean query, and its part of the traffic
-MEAN = sum(work * share for work, share in zip(WORKS, SHARES, strict=True)) / sum(SHARES)
-MULTIPLE, WINDOW, COLD_SHARE, COLD_TIME, CORES = 4.0, 3.0, 0.25, 15.0, 8.0
-LEARNING = 20.0  # seconds of traffic before the cold nodes come
-SPREAD = 1.2  # coefficient of variation of works
-REJECTED, RESET, LOST = 0.03, 0.02, 0.01  # shares of attempts, and of messages
+# For each class, the mean work of a query in core seconds and the class's weight in the traffic.
+MEAN_WORK_BY_CLASS, TRAFFIC_SHARES = (0.13, 3.5), (15.0, 2.3)
+MEAN_WORK = sum(work * share for work, share in zip(MEAN_WORK_BY_CLASS, TRAFFIC_SHARES, strict=True)) / sum(
+    TRAFFIC_SHARES
+)
+OVERLOAD_FACTOR, OVERLOAD_WINDOW_S, INITIAL_CAPACITY_RATIO, SLOW_START_S, CORES = 4.0, 3.0, 0.25, 15.0, 8.0
+LEARNING_PERIOD_S = 20.0  # traffic before the cold nodes are added
+WORK_VARIATION = 1.2  # coefficient of variation of the work of a query
+# Shares of the attempts that are rejected or reset, and of the peer messages that are lost.
+REJECTED_RATIO, RESET_RATIO, MESSAGE_LOSS_RATIO = 0.03, 0.02, 0.01
 
 
 @dataclass(frozen=True, slots=True)
-class ColdDay:
-    """One draw.
+class ColdNodeScenario:
+    """One randomly generated run.
 
     Attributes:
-        wrong: estimates are off by up to this factor.
-        restarted: share of the dispatchers that start anew within two windows.
-        failing: times the usual share of attempts that are turned away or break.
+        dispatchers: The number of dispatchers.
+        nodes: The number of warm nodes.
+        cold: The number of cold nodes that are added after the learning period.
+        load: The requested share of the cores of the warm nodes.
+        estimate_error: The largest factor between the estimated cost of a query and its work.
+        restarted_share: The share of the dispatchers that restart within two windows after the cold nodes
+            were added.
+        failure_factor: A multiplier of the usual shares of rejected and reset attempts.
     """
 
     dispatchers: int
@@ -50,58 +59,61 @@
     cold: int
     seed: int
     load: float = 0.7
-    wrong: float = 3.0
-    restarted: float = 0.1
-    failing: float = 1.0
+    estimate_error: float = 3.0
+    restarted_share: float = 0.1
+    failure_factor: float = 1.0
 
 
 @dataclass(slots=True)
-class ColdSum:
-    """What came of it; ratios to N + 2 root N + 2, the largest over nodes and windows.
+class ColdNodeLoad:
+    """The load of the cold nodes.
+
+    The ratios compare the load in one window with the allowed N + 2 sqrt(N) + 2 calls, where N is the number
+    of calls in the budget. Each is the largest over all nodes and windows.
 
     Attributes:
-        calls: counted as they are.
-        work: counted in calls of mean work.
-        sent: calls that a cold node got while it was cold, and
-        done: their work, in core seconds.
+        call_ratio: The ratio of the number of calls.
+        work_ratio: The ratio of the work, in units of the mean work of a call.
+        calls_per_node: The mean number of calls that a node received while it was cold.
+        work_per_node: The work of these calls in core seconds.
     """
 
-    calls: float = 0.0
-    work: float = 0.0
-    sent: float = 0.0
-    done: float = 0.0
+    call_ratio: float = 0.0
+    work_ratio: float = 0.0
+    calls_per_node: float = 0.0
+    work_per_node: float = 0.0
 
 
 @dataclass(eq=False)
-class _Place:
-    """One dispatcher."""
+class _Dispatcher:
+    """One dispatcher, replaced by a new instance when it restarts."""
 
     gateway: Gateway
-    born: float
-    attempts: dict[int, int] = field(default_factory=dict)
+    started_at: float
+    attempt_counts: dict[int, int] = field(default_factory=dict)
 
 
-class _Play:
-    def __init__(self, day: ColdDay) -> None:
-        self.day, self.random, self.now = day, Random(f"cold {day.seed}"), 0.0
+class _Simulation:
+    def __init__(self, scenario: ColdNodeScenario) -> None:
+        self.scenario, self.random, self.now = scenario, Random(f"cold {scenario.seed}"), 0.0
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.sequence = self.requests = 0
-        self.works: dict[int, tuple[float, int]] = {}
-        self.ended: set[tuple[int, int, int]] = set()
+        self.request_work: dict[int, tuple[float, int]] = {}
+        self.ended_attempts: set[tuple[int, int, int]] = set()
         self.sends: dict[bytes, list[tuple[float, float]]] = {}
-        self.warm = [self._entry(10, n, 0.0) for n in range(day.nodes)]
-        self.cold = [self._entry(11, n, LEARNING) for n in range(day.cold)]
-        self.places = [self._place(n) for n in range(day.dispatchers)]
+        self.warm_entries = [self._entry(10, index, 0.0) for index in range(scenario.nodes)]
+        self.cold_entries = [self._entry(11, index, LEARNING_PERIOD_S) for index in range(scenario.cold)]
+        self.dispatchers = [self._new_dispatcher(index) for index in range(scenario.dispatchers)]
 
     @staticmethod
-    def _entry(kind: int, n: int, started: float) -> api.EngineEntry:
-        return api.EngineEntry(bytes([kind, 0, n // 256, n % 256]), api.EngineState.READY, started)
+    def _entry(kind: int, index: int, started: float) -> api.EngineEntry:
+        return api.EngineEntry(bytes([kind, 0, index // 256, index % 256]), api.EngineState.READY, started)
 
-    def _place(self, position: int) -> _Place:
+    def _new_dispatcher(self, position: int) -> _Dispatcher:
         settings = api.Settings(
             classes=CLASSES,
             machine_types=(api.MachineType("std", CORES, 16384.0),),
-            gateway_count=self.day.dispatchers,
+            gateway_count=self.scenario.dispatchers,
             gateway_index=position,
             limits=api.Limits(
                 can_cancel=True,
@@ -116,10 +128,10 @@
             guarantees=api.Guarantees(
                 response_slack=0.05,
                 drain_grace_period=0.5,
-                slow_start_overload_factor=MULTIPLE,
-                slow_start_overload_window=WINDOW,
-                slow_start_initial_ratio=COLD_SHARE,
-                slow_start_duration=COLD_TIME,
+                slow_start_overload_factor=OVERLOAD_FACTOR,
+                slow_start_overload_window=OVERLOAD_WINDOW_S,
+                slow_start_initial_ratio=INITIAL_CAPACITY_RATIO,
+                slow_start_duration=SLOW_START_S,
                 retry_budget_base=3.0,
                 retry_budget_ratio=0.2,
                 retry_budget_window=10.0,
@@ -127,144 +139,161 @@
             reports_work=True,
             memory_grants_enabled=True,
         )
-        return _Place(Gateway(settings, self.random.randrange(2**32)), self.now)
+        return _Dispatcher(Gateway(settings, self.random.randrange(2**32)), self.now)
 
-    def at(self, time: float, what: Callable[[], None]) -> None:
+    def schedule_at(self, time: float, callback: Callable[[], None]) -> None:
         self.sequence += 1
-        heapq.heappush(self.events, (time, self.sequence, what))
-
-    def run(self) -> ColdSum:
-        day, random = self.day, self.random
-        for n in range(day.dispatchers):
-            self.step(n, api.EndpointListUpdate(api.EndpointListMode.FULL, 1, tuple(self.warm)))
-        weights = [random.choice((1, 1, 1, 1, 3)) for _ in self.places]
-        time, end = 0.0, LEARNING + COLD_TIME
-        while (time := time + random.expovariate(day.load * day.nodes * CORES / MEAN)) < end:
-            asked = random.choices(range(day.dispatchers), weights)[0]
-            self.at(time, partial(self.ask, asked))
-        self.at(LEARNING, self.begin)
-        for _ in range(round(day.restarted * day.dispatchers)):
-            self.at(LEARNING + random.uniform(0.0, 2.0 * WINDOW), self.restart)
+        heapq.heappush(self.events, (time, self.sequence, callback))
+
+    def run(self) -> ColdNodeLoad:
+        scenario, random = self.scenario, self.random
+        for index in range(scenario.dispatchers):
+            self.step(index, api.EndpointListUpdate(api.EndpointListMode.FULL, 1, tuple(self.warm_entries)))
+        weights = [random.choice((1, 1, 1, 1, 3)) for _ in self.dispatchers]
+        time, end = 0.0, LEARNING_PERIOD_S + SLOW_START_S
+        while (time := time + random.expovariate(scenario.load * scenario.nodes * CORES / MEAN_WORK)) < end:
+            dispatcher_index = random.choices(range(scenario.dispatchers), weights)[0]
+            self.schedule_at(time, partial(self.submit_request, dispatcher_index))
+        self.schedule_at(LEARNING_PERIOD_S, self.add_cold_nodes)
+        for _ in range(round(scenario.restarted_share * scenario.dispatchers)):
+            self.schedule_at(
+                LEARNING_PERIOD_S + random.uniform(0.0, 2.0 * OVERLOAD_WINDOW_S),
+                self.restart_random_dispatcher,
+            )
         while self.events and self.events[0][0] <= end:
-            self.now, _, what = heapq.heappop(self.events)
-            what()
-        return self.total()
+            self.now, _, callback = heapq.heappop(self.events)
+            callback()
+        return self.measure_load()
 
-    def begin(self) -> None:
-        for n in range(len(self.places)):
-            self.step(n, api.EndpointListUpdate(api.EndpointListMode.DELTA, 2, tuple(self.cold)))
+    def add_cold_nodes(self) -> None:
+        for index in range(len(self.dispatchers)):
+            self.step(index, api.EndpointListUpdate(api.EndpointListMode.DELTA, 2, tuple(self.cold_entries)))
 
-    def restart(self) -> None:
-        n = self.random.randrange(len(self.places))
-        self.places[n] = self._place(n)
-        self.step(n, api.EndpointListUpdate(api.EndpointListMode.FULL, 2, (*self.warm, *self.cold)))
+    def restart_random_dispatcher(self) -> None:
+        index = self.random.randrange(len(self.dispatchers))
+        self.dispatchers[index] = self._new_dispatcher(index)
+        self.step(
+            index,
+            api.EndpointListUpdate(api.EndpointListMode.FULL, 2, (*self.warm_entries, *self.cold_entries)),
+        )
 
-    def ask(self, n: int) -> None:
+    def submit_request(self, index: int) -> None:
         random = self.random
-        cls = random.choices(range(len(CLASSES)), SHARES)[0]
-        sigma = math.sqrt(math.log(1.0 + SPREAD**2))
-        work = WORKS[cls] * math.exp(random.gauss(-(sigma**2) / 2.0, sigma))
-        wrong = math.log(self.day.wrong)
-        cost = work * math.exp(random.uniform(-wrong, wrong))
+        class_index = random.choices(range(len(CLASSES)), TRAFFIC_SHARES)[0]
+        sigma = math.sqrt(math.log(1.0 + WORK_VARIATION**2))
+        work = MEAN_WORK_BY_CLASS[class_index] * math.exp(random.gauss(-(sigma**2) / 2.0, sigma))
+        estimate_error = math.log(self.scenario.estimate_error)
+        cost = work * math.exp(random.uniform(-estimate_error, estimate_error))
         self.requests += 1
-        self.works[self.requests] = work, cls
-        deadline, tables = CLASSES[cls].deadline, float(random.randrange(60))
+        self.request_work[self.requests] = work, class_index
+        deadline, table_group = CLASSES[class_index].deadline, float(random.randrange(60))
         self.step(
-            n,
+            index,
             api.Arrival(
                 self.requests,
-                cls,
+                class_index,
                 deadline,
                 estimated_cost=cost,
                 estimated_memory_mb=100.0,
-                table_group=tables,
+                table_group=table_group,
             ),
         )
 
-    def step(self, n: int, event: api.Event) -> None:
-        place = self.places[n]
-        for action in place.gateway.step(self.now, [event]):
+    def step(self, index: int, event: api.Event) -> None:
+        dispatcher = self.dispatchers[index]
+        for action in dispatcher.gateway.step(self.now, [event]):
             if isinstance(action, api.SetTimer):
                 fired = api.TimerFired(action.token)
-                self.at(max(action.deadline, self.now), partial(self.later, n, place, fired))
+                self.schedule_at(
+                    max(action.deadline, self.now), partial(self.step_if_current, index, dispatcher, fired)
+                )
             elif isinstance(action, api.Dispatch):
-                self.send(n, place, action)
+                self.send(index, dispatcher, action)
             elif isinstance(action, api.Cancel):
-                self.end(n, place, action.request, action.attempt, b"", api.Outcome.CANCELLED, 0.0, 0.001)
+                self.schedule_attempt_end(
+                    index, dispatcher, action.request, action.attempt, b"", api.Outcome.CANCELLED, 0.0, 0.001
+                )
             elif isinstance(action, api.SendGossip):
-                self.tell(n, action.data)
+                self.broadcast(index, action.data)
 
-    def later(self, n: int, place: _Place, event: api.Event) -> None:
-        if self.places[n] is place:  # it has not been restarted since
-            self.step(n, event)
+    def step_if_current(self, index: int, dispatcher: _Dispatcher, event: api.Event) -> None:
+        if self.dispatchers[index] is dispatcher:  # not restarted since the event was scheduled
+            self.step(index, event)
 
-    def tell(self, sender: int, data: bytes) -> None:
+    def broadcast(self, sender: int, data: bytes) -> None:
         message = api.PeerMessage(sender, data)
-        for n in range(len(self.places)):
-            if n != sender and self.random.random() > LOST:
-                self.at(self.now + 0.03, partial(self.step, n, message))
-
-    def send(self, n: int, place: _Place, action: api.Dispatch) -> None:
-        work, cls = self.works[action.request]
-        attempt = place.attempts.get(action.request, 0)
-        place.attempts[action.request] = attempt + 1
+        for index in range(len(self.dispatchers)):
+            if index != sender and self.random.random() > MESSAGE_LOSS_RATIO:
+                self.schedule_at(self.now + 0.03, partial(self.step, index, message))
+
+    def send(self, index: int, dispatcher: _Dispatcher, action: api.Dispatch) -> None:
+        work, class_index = self.request_work[action.request]
+        attempt = dispatcher.attempt_counts.get(action.request, 0)
+        dispatcher.attempt_counts[action.request] = attempt + 1
         cold = action.engine[0] == 11
         if cold:
             self.sends.setdefault(action.engine, []).append((self.now, work))
-        fate, failing = self.random.random(), self.day.failing
-        lasts = work / CLASSES[cls].threads * self.random.uniform(1.0, 2.0) * (3.0 if cold else 1.0)
-        if fate < REJECTED * failing:
-            outcome, work, lasts = api.Outcome.REJECTED, 0.0, 0.01
-        elif fate < (REJECTED + RESET) * failing:
-            outcome, work, lasts = api.Outcome.RESET, 0.0, 0.05
+        outcome_draw, failure_factor = self.random.random(), self.scenario.failure_factor
+        duration_s = (
+            work / CLASSES[class_index].threads * self.random.uniform(1.0, 2.0) * (3.0 if cold else 1.0)
+        )
+        if outcome_draw < REJECTED_RATIO * failure_factor:
+            outcome, work, duration_s = api.Outcome.REJECTED, 0.0, 0.01
+        elif outcome_draw < (REJECTED_RATIO + RESET_RATIO) * failure_factor:
+            outcome, work, duration_s = api.Outcome.RESET, 0.0, 0.05
         else:
             outcome = api.Outcome.OK
-        self.end(n, place, action.request, attempt, action.engine, outcome, work, lasts)
+        self.schedule_attempt_end(
+            index, dispatcher, action.request, attempt, action.engine, outcome, work, duration_s
+        )
 
-    def end(
+    def schedule_attempt_end(
         self,
-        n: int,
-        place: _Place,
+        index: int,
+        dispatcher: _Dispatcher,
         request: int,
         attempt: int,
         engine: bytes,
         outcome: api.Outcome,
         work: float,
-        lasts: float,
+        duration_s: float,
     ) -> None:
-        def ends() -> None:
-            if (n, request, attempt) not in self.ended:
-                self.ended.add((n, request, attempt))
-                final = outcome is api.Outcome.OK
-                event = api.AttemptEnded(request, attempt, engine, outcome, lasts, final, work)
-                self.later(n, place, event)
+        def on_end() -> None:
+            if (index, request, attempt) not in self.ended_attempts:
+                self.ended_attempts.add((index, request, attempt))
+                is_final = outcome is api.Outcome.OK
+                event = api.AttemptEnded(request, attempt, engine, outcome, duration_s, is_final, work)
+                self.step_if_current(index, dispatcher, event)
 
-        self.at(self.now + lasts, ends)
+        self.schedule_at(self.now + duration_s, on_end)
 
-    def total(self) -> ColdSum:
-        total = ColdSum()
+    def measure_load(self) -> ColdNodeLoad:
+        load = ColdNodeLoad()
         for sends in self.sends.values():
-            total.sent += len(sends) / len(self.cold)
-            total.done += sum(work for _, work in sends) / len(self.cold)
-            last, inside = 0, 0.0
+            load.calls_per_node += len(sends) / len(self.cold_entries)
+            load.work_per_node += sum(work for _, work in sends) / len(self.cold_entries)
+            last, work_in_window = 0, 0.0
             for first, (time, work) in enumerate(sends):
-                while last < len(sends) and sends[last][0] < time + WINDOW:
-                    inside += sends[last][1]
+                while last < len(sends) and sends[last][0] < time + OVERLOAD_WINDOW_S:
+                    work_in_window += sends[last][1]
                     last += 1
-                most = allowed(time - LEARNING)
-                total.calls = max(total.calls, (last - first) / most)
-                total.work = max(total.work, inside / MEAN / most)
-                inside -= work
-        return total
+                max_calls = allowed_calls(time - LEARNING_PERIOD_S)
+                load.call_ratio = max(load.call_ratio, (last - first) / max_calls)
+                load.work_ratio = max(load.work_ratio, work_in_window / MEAN_WORK / max_calls)
+                work_in_window -= work
+        return load
 
 
-def allowed(age: float) -> float:
-    """Calls of mean work that a node of this age bears in one window, and what is put down to chance."""
-    share = COLD_SHARE + (1.0 - COLD_SHARE) * min(1.0, age / COLD_TIME)
-    calls = MULTIPLE * CORES * share * WINDOW / MEAN
+def allowed_calls(age: float) -> float:
+    """Returns the number of calls of mean work that a node of this age may receive in one window.
+
+    Includes the excess that is attributed to chance.
+    """
+    share = INITIAL_CAPACITY_RATIO + (1.0 - INITIAL_CAPACITY_RATIO) * min(1.0, age / SLOW_START_S)
+    calls = OVERLOAD_FACTOR * CORES * share * OVERLOAD_WINDOW_S / MEAN_WORK
     return calls + 2.0 * math.sqrt(calls) + 2.0
 
 
-def play(day: ColdDay) -> ColdSum:
-    """Alike for a seed."""
-    return _Play(day).run()
+def simulate(scenario: ColdNodeScenario) -> ColdNodeLoad:
+    """Runs the scenario. The result depends only on the scenario and its seed."""
+    return _Simulation(scenario).run()
--- a/saffronlane/lab/fleet/disks.py
+++ b/saffronlane/lab/fleet/disks.py
@@ -1,9 +1,11 @@
-"""Disks that lie, through the seam of `storage.files`: a test's way to start the program, no switch in it.
+"""Runs the program with injected disk faults.
 
     python -m saffronlane.lab.fleet.disks FAULTS.json serve CONFIG.json
 
-runs `saffronlane serve CONFIG.json` on a disk with those faults. What was written reaches the machine's own
-disk at a sync that is kept, so that a process that is killed leaves what a loss of power would.
+runs `saffronlane serve CONFIG.json` on a disk with the faults of the first file. The faults are injected by
+replacing the file operations of `storage.files`, so that the program itself needs no switch for them.
+Written data reaches the real disk only at a successful sync, so that a killed process leaves the same files
+as a power failure.
 """
 
 from __future__ import annotations
@@ -17,37 +19,51 @@
 
 import msgspec
 
-from ... import state_directory as folder
+from ... import state_directory
 from ...storage import Handle, RealFiles
 
-KINDS = ("lie", "half", "eio", "enospc", "slow", "flip")
-SLOW = 2.0  # seconds that a slow operation takes
+FAULT_KINDS = ("lie", "half", "eio", "enospc", "slow", "flip")
+SLOW_OPERATION_S = 2.0
 
 
 class DiskFault(msgspec.Struct, frozen=True):
     """A fault of one operation (create, write, sync, rename, remove, read, sync_folder).
 
-    `lie`: says yes and keeps nothing; `half`: does half of a write, then fails; `eio`, `enospc`: fails;
-    `slow`: takes two seconds; `flip`: turns one bit over.
+    Attributes:
+        kind: `lie` reports success without storing anything. `half` performs half of a write and then fails.
+            `eio` and `enospc` fail with this error code. `slow` takes two seconds. `flip` inverts one bit.
+        op: The name of the operation.
+        after: The number of operations of this name that succeed before the fault begins.
+        count: The number of operations that the fault affects.
     """
 
     kind: str
     op: str
-    after: int = 0  # operations of that name that go well before
-    count: int = 1_000_000_000  # and so many that do not
+    after: int = 0
+    count: int = 1_000_000_000
 
 
 class Disk:
-    """Counts operations and says what happens to each."""
+    """Counts the operations of each name and selects the fault that applies to each.
+
+    Raises:
+        ValueError: If a fault is of an unknown kind.
+    """
 
     def __init__(self, faults: list[DiskFault]) -> None:
         for fault in faults:
-            if fault.kind not in KINDS:
-                raise ValueError(f"no such kind of disk fault: {fault.kind!r}; there are {', '.join(KINDS)}")
+            if fault.kind not in FAULT_KINDS:
+                raise ValueError(
+                    f"unknown kind of disk fault {fault.kind!r}, expected one of {', '.join(FAULT_KINDS)}"
+                )
         self._faults, self._counts = faults, dict.fromkeys((fault.op for fault in faults), 0)
 
-    def meets(self, op: str) -> str:
-        """The kind of fault that this operation meets; empty: none. OSError where that is its kind."""
+    def next_fault(self, op: str) -> str:
+        """Counts one operation and returns the kind of fault that applies to it, or an empty string.
+
+        Raises:
+            OSError: If the fault is `eio` or `enospc`.
+        """
         if op not in self._counts:
             return ""
         number, self._counts[op] = self._counts[op], self._counts[op] + 1
@@ -57,72 +73,73 @@
                     code = errno.EIO if fault.kind == "eio" else errno.ENOSPC
                     raise OSError(code, os.strerror(code))
                 if fault.kind == "slow":
-                    time.sleep(SLOW)
+                    time.sleep(SLOW_OPERATION_S)
                 return fault.kind
         return ""
 
 
 class _Handle:
-    """Keeps what is written until a sync that is kept."""
+    """Buffers written data until a successful sync."""
 
-    def __init__(self, true: Handle, disk: Disk) -> None:
-        self._true, self._disk, self._held = true, disk, bytearray()
+    def __init__(self, real_handle: Handle, disk: Disk) -> None:
+        self._real_handle, self._disk, self._unsynced = real_handle, disk, bytearray()
 
     def write(self, data: bytes) -> None:
-        kind = self._disk.meets("write")
+        kind = self._disk.next_fault("write")
         if kind == "flip" and data:
             data = bytes([data[0] ^ 1]) + data[1:]
         if kind == "half":
-            self._held += data[: len(data) // 2]
+            self._unsynced += data[: len(data) // 2]
             raise OSError(errno.EIO, os.strerror(errno.EIO))
-        self._held += data
+        self._unsynced += data
 
     def sync(self) -> None:
-        if self._disk.meets("sync") != "lie":
-            self._true.write(bytes(self._held))
-            self._held.clear()
-            self._true.sync()
+        if self._disk.next_fault("sync") != "lie":
+            self._real_handle.write(bytes(self._unsynced))
+            self._unsynced.clear()
+            self._real_handle.sync()
 
     def close(self) -> None:
-        self._true.close()
+        self._real_handle.close()
 
 
 def faulty_files(disk: Disk) -> type[RealFiles]:
-    """The folder of the machine with this disk's faults."""
+    """Returns file operations that access the real disk and apply the faults of `disk`."""
 
-    class Faulty(RealFiles):
+    class FaultyFiles(RealFiles):
         def read(self, name: str) -> bytes:
             data = super().read(name)
-            if disk.meets("read") == "flip" and data:
+            if disk.next_fault("read") == "flip" and data:
                 middle = len(data) // 2
                 data = data[:middle] + bytes([data[middle] ^ 16]) + data[middle + 1 :]
             return data
 
         def create(self, name: str) -> Handle:
-            disk.meets("create")
+            disk.next_fault("create")
             return _Handle(super().create(name), disk)
 
         def rename(self, old: str, new: str) -> None:
-            if disk.meets("rename") != "lie":
+            if disk.next_fault("rename") != "lie":
                 super().rename(old, new)
 
         def remove(self, name: str) -> None:
-            if disk.meets("remove") != "lie":
+            if disk.next_fault("remove") != "lie":
                 super().remove(name)
 
         def sync_folder(self) -> None:
-            disk.meets("sync_folder")
+            disk.next_fault("sync_folder")
             super().sync_folder()
 
-    return Faulty
+    return FaultyFiles
 
 
-def run(arguments: list[str]) -> None:
+def main(arguments: list[str]) -> None:
+    """Runs the program with the faults of the file that the first argument names."""
     faults = msgspec.json.decode(Path(arguments[0]).read_bytes(), type=list[DiskFault])
-    setattr(folder, "RealFiles", faulty_files(Disk(faults)))  # noqa: B010
+    setattr(state_directory, "RealFiles", faulty_files(Disk(faults)))  # noqa: B010
     sys.argv = ["saffronlane", *arguments[1:]]
-    runpy.run_module("saffronlane", run_name="__main__")  # as an operator would start it
+    runpy.run_module("saffronlane", run_name="__main__")  # the same entry point that an operator uses
 
 
 if __name__ == "__main__":
-    run(sys.argv[1:])
+    main(sys.argv[1:])
--- a/saffronlane/lab/fleet/faults.py
+++ b/saffronlane/lab/fleet/faults.py
@@ -1,4 +1,4 @@
-"""Strikes a fleet with the faults of a schedule, and takes them back."""
+"""Injects the faults of a schedule into a fleet and ends each after its duration."""
 
 from __future__ import annotations
 
@@ -6,141 +6,144 @@
 import signal
 
 from .fleet import Fleet
-from .relays import Weather
+from .relays import NetworkConditions
 from .schedule import Fault
 
-STEP = 0.2  # seconds between dispatchers of a rolling restart
-OLD = 5.0  # seconds: what is played again is older than this, where there is any
-REPLAYED = 40  # datagrams played again to one dispatcher
+ROLLING_RESTART_PAUSE_S = 0.2  # between two dispatchers of a rolling restart
+MIN_REPLAY_AGE_S = 5.0  # age of replayed datagrams; newer ones are replayed only if there are no older ones
+MAX_REPLAYED_DATAGRAMS = 40  # candidates for the replay to one dispatcher
 
 
-class Striker:
-    """Runs faults, each as a task of its own; `finish` waits until the last is taken back."""
+class FaultInjector:
+    """Runs each fault as a separate task. `inject` returns when all faults have ended."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
-        self.ends: list[tuple[float, Fault]] = []  # when each was taken back
-        self.crashed: list[str] = []  # dispatchers that ended though nobody asked them to
+        self.ended_faults: list[tuple[float, Fault]] = []  # with the time at which each fault ended
+        self.unexpected_exits: list[str] = []  # dispatchers with a non-zero exit code after SIGTERM
 
-    async def play(self, faults: tuple[Fault, ...]) -> None:
-        await asyncio.gather(*map(self._one, faults))
+    async def inject(self, faults: tuple[Fault, ...]) -> None:
+        """Injects all faults at their times and waits until the last has ended."""
+        await asyncio.gather(*map(self._inject, faults))
 
-    async def _one(self, fault: Fault) -> None:
+    async def _inject(self, fault: Fault) -> None:
         record = self.fleet.record
         await asyncio.sleep(max(0.0, fault.at - record.now()))
-        record.add("fault", fault=fault.kind, who=fault.who, on=True)
-        kind, _, what = fault.kind.partition(" ")
+        record.add("fault", fault=fault.kind, who=fault.targets, on=True)
+        kind, _, action = fault.kind.partition(" ")
         if kind == "node":
-            await self._node(what, fault)
+            await self._disturb_nodes(action, fault)
         elif kind == "peers":
-            await self._peers(what, fault)
+            await self._disturb_peers(action, fault)
         elif kind == "feed":
-            await self._feed(what, fault)
+            await self._disturb_feed(action, fault)
         else:
-            await self._process(kind, fault)
-        record.add("fault", fault=fault.kind, who=fault.who, on=False)
-        self.ends.append((record.now(), fault))
+            await self._disturb_dispatchers(kind, fault)
+        record.add("fault", fault=fault.kind, who=fault.targets, on=False)
+        self.ended_faults.append((record.now(), fault))
 
     # --- compute nodes ---
 
-    async def _node(self, what: str, fault: Fault) -> None:
-        nodes = [self.fleet.nodes[n] for n in fault.who]
-        if what == "replaced":
-            await self._replace(fault)
+    async def _disturb_nodes(self, action: str, fault: Fault) -> None:
+        nodes = [self.fleet.nodes[n] for n in fault.targets]
+        if action == "replaced":
+            await self._replace_nodes(fault)
             return
         for node in nodes:
-            if what in ("crash", "late"):
+            if action in ("crash", "late"):
                 node.crash()
-            elif what == "reset":
-                node.reset()
-            elif what == "half open":
-                node.half_open()
-            elif what == "hang":
-                node.hang(True)
-            elif what == "slow":
-                node.slow(2.0 + 8.0 * fault.size)
+            elif action == "reset":
+                node.reset_connections()
+            elif action == "half open":
+                node.make_half_open()
+            elif action == "hang":
+                node.set_hung(True)
+            elif action == "slow":
+                node.set_slowdown(2.0 + 8.0 * fault.severity)
             else:
-                node.errs, node.stalls = what == "errors", what == "stall"
-        await asyncio.sleep(fault.length)
+                node.fails_queries, node.stalls_results = action == "errors", action == "stall"
+        await asyncio.sleep(fault.duration)
         for node in nodes:
-            if what in ("crash", "late"):
+            if action in ("crash", "late"):
                 await node.start(cold=True)
-            elif what == "hang":
-                node.hang(False)
-            elif what == "slow":
-                node.slow(1.0)
-            node.errs = node.stalls = False
-        if what in ("crash", "late"):  # the list does not know that it was gone, only when it came back
-            self.fleet.tell(nodes, "up", fresh=True)
-
-    async def _replace(self, fault: Fault) -> None:
-        fleet, old = self.fleet, [self.fleet.nodes[n] for n in fault.who]
-        fleet.tell(old, "draining")
-        fresh = [await fleet.add_node(cold=True) for _ in old]
-        await asyncio.sleep(0.3 * fault.length)
-        fleet.feed.tell(fresh)
-        await asyncio.sleep(0.7 * fault.length)
-        fleet.tell(old, "removed")
+            elif action == "hang":
+                node.set_hung(False)
+            elif action == "slow":
+                node.set_slowdown(1.0)
+            node.fails_queries = node.stalls_results = False
+        if action in ("crash", "late"):  # the endpoint list reports the restart, not the crash
+            self.fleet.publish(nodes, "up", is_restart=True)
+
+    async def _replace_nodes(self, fault: Fault) -> None:
+        fleet, old_nodes = self.fleet, [self.fleet.nodes[n] for n in fault.targets]
+        fleet.publish(old_nodes, "draining")
+        new_entries = [await fleet.add_node(cold=True) for _ in old_nodes]
+        await asyncio.sleep(0.3 * fault.duration)
+        fleet.feed.publish(new_entries)
+        await asyncio.sleep(0.7 * fault.duration)
+        fleet.publish(old_nodes, "removed")
         await asyncio.sleep(1.0)
-        for node in old:
+        for node in old_nodes:
             node.crash()
 
     # --- peers and feed ---
 
-    async def _peers(self, what: str, fault: Fault) -> None:
-        relay, who = self.fleet.relay, frozenset(fault.who)
-        if what == "replay":
-            await asyncio.sleep(fault.length)
+    async def _disturb_peers(self, action: str, fault: Fault) -> None:
+        relay, targets = self.fleet.relay, frozenset(fault.targets)
+        if action == "replay":
+            await asyncio.sleep(fault.duration)
             now = asyncio.get_running_loop().time()
-            old = [one for one in relay.remembered if one.at < now - OLD] or list(relay.remembered)
-            for receiver in fault.who:
-                for one in old[:REPLAYED]:
-                    if one.receiver == receiver:
-                        relay.write(one.sender, receiver, one.data)
+            candidates = [
+                datagram for datagram in relay.recent_datagrams if datagram.at < now - MIN_REPLAY_AGE_S
+            ] or list(relay.recent_datagrams)
+            for receiver in fault.targets:
+                for datagram in candidates[:MAX_REPLAYED_DATAGRAMS]:
+                    if datagram.receiver == receiver:
+                        relay.write(datagram.sender, receiver, datagram.data)
             return
-        weather = {
-            "drop": Weather(who, None, drop=0.3 + 0.6 * fault.size),
-            "late": Weather(who, None, delay=0.5 * fault.size, jitter=0.5),
-            "deaf": Weather(None, who, drop=1.0),
-            "mute": Weather(who, None, drop=1.0),
-            "twice": Weather(who, None, duplicate=0.8, jitter=0.1),
-            "corrupt": Weather(who, None, corrupt=0.5),
-        }[what]
-        relay.weather.append(weather)
-        await asyncio.sleep(fault.length)
-        relay.weather.remove(weather)
-
-    async def _feed(self, what: str, fault: Fault) -> None:
-        if what == "cut":
-            self.fleet.feed.cut()
+        conditions = {
+            "drop": NetworkConditions(targets, None, drop=0.3 + 0.6 * fault.severity),
+            "late": NetworkConditions(targets, None, delay=0.5 * fault.severity, jitter=0.5),
+            "deaf": NetworkConditions(None, targets, drop=1.0),
+            "mute": NetworkConditions(targets, None, drop=1.0),
+            "twice": NetworkConditions(targets, None, duplicate=0.8, jitter=0.1),
+            "corrupt": NetworkConditions(targets, None, corrupt=0.5),
+        }[action]
+        relay.conditions.append(conditions)
+        await asyncio.sleep(fault.duration)
+        relay.conditions.remove(conditions)
+
+    async def _disturb_feed(self, action: str, fault: Fault) -> None:
+        if action == "cut":
+            self.fleet.feed.abort_connections()
             return
-        self.fleet.feed.hush(True)
-        await asyncio.sleep(fault.length)
-        self.fleet.feed.hush(False)
+        self.fleet.feed.set_silent(True)
+        await asyncio.sleep(fault.duration)
+        self.fleet.feed.set_silent(False)
 
     # --- dispatchers ---
 
-    async def _process(self, kind: str, fault: Fault) -> None:
+    async def _disturb_dispatchers(self, kind: str, fault: Fault) -> None:
         fleet = self.fleet
         if kind == "pause":
-            for number in fault.who:
-                fleet.signal(number, signal.SIGSTOP)
-            await asyncio.sleep(min(fault.length, 3.0))
-            for number in fault.who:
-                fleet.signal(number, signal.SIGCONT)
+            for number in fault.targets:
+                fleet.send_signal(number, signal.SIGSTOP)
+            await asyncio.sleep(min(fault.duration, 3.0))
+            for number in fault.targets:
+                fleet.send_signal(number, signal.SIGCONT)
             return
         if kind == "kill":
-            for number in fault.who:
+            for number in fault.targets:
                 fleet.kill(number)
-            for number in fault.who:
+            for number in fault.targets:
                 fleet.start(number)
-            await asyncio.gather(*map(fleet.ready, fault.who))
+            await asyncio.gather(*map(fleet.wait_until_ready, fault.targets))
             return
-        for number in fault.who:  # roll
-            fleet.signal(number, signal.SIGTERM)
-            code = await fleet.ended(fleet.children[number], 20.0)
+        for number in fault.targets:  # rolling restart
+            fleet.send_signal(number, signal.SIGTERM)
+            code = await fleet.wait_for_exit(fleet.processes[number], 20.0)
             if code != 0:
-                self.crashed.append(f"d{number}: exit code {code} after SIGTERM")
+                self.unexpected_exits.append(f"d{number}: exit code {code} after SIGTERM")
             fleet.start(number)
-            await fleet.ready(number)
-            await asyncio.sleep(STEP)
+            await fleet.wait_until_ready(number)
+            await asyncio.sleep(ROLLING_RESTART_PAUSE_S)
--- a/saffronlane/lab/fleet/feed.py
+++ b/saffronlane/lab/fleet/feed.py
@@ -1,4 +1,4 @@
-"""The stand-in control feed: numbered events to every dispatcher, and ways to keep them from some."""
+"""A stand-in control feed: streams numbered membership events to the dispatchers, and can be disturbed."""
 
 from __future__ import annotations
 
@@ -8,48 +8,51 @@
 from collections.abc import Callable
 from typing import Any
 
-from .addresses import Address, text
+from .addresses import Address, format_address
 
-BEAT = 1.0  # seconds between lines that hold only the last number
+HEARTBEAT_INTERVAL_S = 1.0  # between lines that contain only the number of the last event
 
 Entry = dict[str, Any]
 
 
-def entry(name: str, address: Address, phase: str, since_ms: float = 0.0) -> Entry:
+def list_entry(name: str, address: Address, phase: str, started_at_ms: float = 0.0) -> Entry:
+    """Returns the list entry of a node; `started_at_ms` is 0 for a node that is not cold."""
     return {
         "id": name,
-        "host_port": text(address),
+        "host_port": format_address(address),
         "locality": "here",
         "flavor": "std",
         "phase": phase,
-        "up_since_ms": since_ms,
+        "up_since_ms": started_at_ms,
     }
 
 
 class Feed:
-    """One server; a dispatcher says from which event on it wants them.
+    """The feed server. A dispatcher subscribes with the number of the last event that it has.
 
     Args:
-        address: where it listens.
-        on_told: told each event's entries once, when it first goes out: then it counts as told to all.
+        address: The address on which the server listens.
+        on_published: Called once per event with its entries when the event is first sent to any dispatcher.
+            From then on, the audit treats the event as received by all dispatchers.
     """
 
-    def __init__(self, address: Address, on_told: Callable[[list[Entry]], None]) -> None:
-        self.address, self._on_told = address, on_told
+    def __init__(self, address: Address, on_published: Callable[[list[Entry]], None]) -> None:
+        self.address, self._on_published = address, on_published
         self.events: list[list[Entry]] = []
-        self.silent = False  # stays open and says nothing
-        self._told = 0  # the last event that went out
-        self._writers: dict[asyncio.StreamWriter, int] = {}  # and the last event written
+        self.is_silent = False  # keeps connections open but sends nothing
+        self._published_count = 0  # number of the last event sent to any dispatcher
+        self._subscribers: dict[asyncio.StreamWriter, int] = {}  # number of the last event sent to each
         self._server: asyncio.Server | None = None
-        self._beats: asyncio.TimerHandle | None = None
+        self._heartbeat_timer: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
+        """Starts the server and its heartbeats."""
         self._server = await asyncio.start_server(self._serve, *self.address, backlog=1024)
-        self._beat()
+        self._send_heartbeats()
 
-    def known(self) -> dict[str, Any]:
-        """The events so far, as a configuration holds them."""
+    def to_config(self) -> dict[str, Any]:
+        """Returns all events so far in the form of a dispatcher's configuration."""
         return {
             "n": len(self.events),
             "events": [{"n": n, "members": self._members(n)} for n in range(1, len(self.events) + 1)],
@@ -58,18 +61,19 @@
     def _members(self, number: int) -> dict[str, Any]:
         return {"revision": number, "complete": number == 1, "members": self.events[number - 1]}
 
-    def tell(self, entries: list[Entry]) -> None:
-        """One more event, to all that are connected and hear."""
+    def publish(self, entries: list[Entry]) -> None:
+        """Adds an event and sends it to the connected dispatchers, unless the feed is silent."""
         self.events.append(entries)
-        self._flush()
+        self._send_pending()
 
-    def hush(self, on: bool) -> None:
-        self.silent = on
-        self._flush()
+    def set_silent(self, is_silent: bool) -> None:
+        """Suspends all output, or resumes it with the events added meanwhile."""
+        self.is_silent = is_silent
+        self._send_pending()
 
-    def cut(self) -> None:
-        """Every connection breaks."""
-        for writer in list(self._writers):
+    def abort_connections(self) -> None:
+        """Aborts every connection."""
+        for writer in list(self._subscribers):
             writer.transport.abort()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -79,41 +83,44 @@
         try:
             line = await reader.readline()
             if line.startswith(b"SUB ") and line[4:].strip().isdigit():
-                self._writers[writer] = int(line[4:])
-                self._flush()
+                self._subscribers[writer] = int(line[4:])
+                self._send_pending()
                 while await reader.read(100):
                     pass
         except (ConnectionError, asyncio.CancelledError):
             pass
         finally:
             self._tasks.discard(task)
-            self._writers.pop(writer, None)
+            self._subscribers.pop(writer, None)
             writer.close()
 
-    def _flush(self) -> None:
-        for writer, last in list(self._writers.items()):
-            if self.silent or writer.is_closing():
+    def _send_pending(self) -> None:
+        for writer, last_sent in list(self._subscribers.items()):
+            if self.is_silent or writer.is_closing():
                 continue
-            for number in range(last + 1, len(self.events) + 1):
+            for number in range(last_sent + 1, len(self.events) + 1):
                 writer.write(json.dumps({"n": number, "members": self._members(number)}).encode() + b"\n")
-                if number > self._told:
-                    self._told = number
-                    self._on_told(self.events[number - 1])
-            self._writers[writer] = len(self.events)
-
-    def _beat(self) -> None:
-        for writer in list(self._writers):
-            if not self.silent and not writer.is_closing():
+                if number > self._published_count:
+                    self._published_count = number
+                    self._on_published(self.events[number - 1])
+            self._subscribers[writer] = len(self.events)
+
+    def _send_heartbeats(self) -> None:
+        for writer in list(self._subscribers):
+            if not self.is_silent and not writer.is_closing():
                 writer.write(json.dumps({"n": len(self.events)}).encode() + b"\n")
-        self._beats = asyncio.get_running_loop().call_later(BEAT, self._beat)
+        self._heartbeat_timer = asyncio.get_running_loop().call_later(
+            HEARTBEAT_INTERVAL_S, self._send_heartbeats
+        )
 
     async def close(self) -> None:
-        if self._beats is not None:
-            self._beats.cancel()
+        """Stops the server and closes all connections."""
+        if self._heartbeat_timer is not None:
+            self._heartbeat_timer.cancel()
         if self._server is not None:
             self._server.close()
         with contextlib.suppress(RuntimeError):
-            self.cut()
+            self.abort_connections()
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/saffronlane/lab/fleet/measures.py
+++ b/saffronlane/lab/fleet/measures.py
@@ -1,11 +1,15 @@
-"""How evenly load lies, how soon a fleet is itself again, and what that costs; defined once, here.
-
-- idle share: node-seconds with nothing to do while queries wait at a dispatcher or some node has over two
-  threads a core, over all node-seconds;
-- imbalance: work that reaches a node in a second over its even part, p99 and largest;
-- herd index: arrivals at a node in 250 ms from different dispatchers over what chance would bring, p99.9;
-- worth in time: worth answered inside the aim over worth asked for;
-- recovery: seconds from the end of a fault until worth in time is 0.95 of that before the first fault.
+"""Defines the measures of a fleet: balance of the load, recovery from faults, and cost.
+
+- Idle share: the share of node-seconds in which a node is idle although queries wait at a dispatcher or some
+  node runs more than two threads per core.
+- Imbalance: the work that reaches a node in one second, relative to an even distribution; 99th percentile and
+  maximum.
+- Herd index: the number of different dispatchers that reach a node within 250 ms, relative to the number
+  that chance explains; 99.9th percentile.
+- In-time share: the priority weight of the requests that were answered within their latency objective,
+  relative to that of all requests.
+- Recovery time: seconds from the end of a fault until the in-time share reaches 0.95 of its value before the
+  first fault.
 """
 
 from __future__ import annotations
@@ -24,148 +28,186 @@
 if TYPE_CHECKING:
     from .fleet import Fleet
 
-SAMPLE, SECOND, HERD = 0.05, 1.0, 0.25  # seconds
-CROWDED = 2.0  # threads a core
-WELL = 0.95
-LOOK = 2.0  # seconds of requests by which worth in time is judged, around a moment
-
-
-class Measures(msgspec.Struct):
-    """Figures of one day; shares are 0 to 1, times in seconds."""
-
-    asked: int
-    worth_in_time: float
+SAMPLE_INTERVAL_S, IMBALANCE_WINDOW_S, HERD_WINDOW_S = 0.05, 1.0, 0.25  # seconds
+OVERLOADED_THREADS_PER_CORE = 2.0
+RECOVERED_RATIO = 0.95
+RECOVERY_WINDOW_S = 2.0  # window of request times over which the in-time share is measured after a fault
+
+
+class Measures(
+    msgspec.Struct,
+    rename={
+        "request_count": "asked",
+        "in_time_share": "worth_in_time",
+        "imbalance_max": "imbalance_most",
+        "recovery_times": "recoveries",
+        "attempts_per_request": "attempts",
+    },
+):
+    """The measures of one run.
+
+    Attributes:
+        request_count: The number of requests.
+        in_time_share: The in-time share over all requests.
+        served: The share of the requests that were answered with a result.
+        refused: The share of the requests that were rejected.
+        idle_share: The idle share.
+        imbalance_p99: The 99th percentile of the imbalance.
+        imbalance_max: The largest imbalance.
+        herd_p999: The 99.9th percentile of the herd index.
+        recovery_times: The recovery time of each fault in seconds, or infinity if the fleet did not recover
+            within the run.
+        messages: The number of messages between dispatchers.
+        connections: The number of connections to nodes.
+        attempts_per_request: The mean number of attempts per request.
+    """
+
+    request_count: int
+    in_time_share: float
     served: float
     refused: float
     idle_share: float
     imbalance_p99: float
-    imbalance_most: float
+    imbalance_max: float
     herd_p999: float
-    recoveries: dict[str, float]  # by fault; infinity: not within the day
+    recovery_times: dict[str, float]
     messages: int
     connections: int
-    attempts: float  # a request
+    attempts_per_request: float
 
 
-class Watch:
-    """Adds up what each look at the nodes shows."""
+class IdleMonitor:
+    """Accumulates samples of the nodes for the idle share."""
 
     def __init__(self, cores: float) -> None:
         self.cores = cores
-        self.idle = self.looks = 0
+        self.idle_samples = self.node_samples = 0
 
-    def look(self, threads: list[float], held: int) -> None:
-        """Threads at each node, and queries that wait at dispatchers, as far as they are known."""
-        crowded = held or any(one > CROWDED * self.cores for one in threads)
-        self.looks += len(threads)
-        self.idle += sum(not one for one in threads) if crowded else 0
+    def add_sample(self, thread_counts: list[float], queued_count: int) -> None:
+        """Adds the number of running threads of each node and the number of queries queued at dispatchers."""
+        is_fleet_busy = queued_count or any(
+            threads > OVERLOADED_THREADS_PER_CORE * self.cores for threads in thread_counts
+        )
+        self.node_samples += len(thread_counts)
+        self.idle_samples += sum(not threads for threads in thread_counts) if is_fleet_busy else 0
 
     @property
     def idle_share(self) -> float:
-        return self.idle / max(1, self.looks)
+        """The share of idle nodes in all samples; samples without waiting load count as not idle."""
+        return self.idle_samples / max(1, self.node_samples)
 
 
 class Sampler:
-    """Looks at the nodes of a fleet of processes again and again. What dispatchers hold is not seen."""
+    """Periodically samples the nodes of a fleet of processes. The queues of dispatchers are not visible."""
 
     def __init__(self, fleet: Fleet) -> None:
-        self.watch = Watch(fleet.shape.cores)
+        self.idle_monitor = IdleMonitor(fleet.shape.cores)
         self._fleet = fleet
-        self._task = asyncio.create_task(self._look())
+        self._task = asyncio.create_task(self._sample_nodes())
 
-    async def _look(self) -> None:
+    async def _sample_nodes(self) -> None:
         while True:
-            await asyncio.sleep(SAMPLE)
-            self.watch.look([node.threads for node in self._fleet.nodes], 0)
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
+            self.idle_monitor.add_sample([node.threads for node in self._fleet.nodes], 0)
 
-    def end(self) -> None:
+    def stop(self) -> None:
+        """Stops sampling."""
         self._task.cancel()
 
 
 def quantile(values: list[float], share: float) -> float:
-    """The value that so large a share does not pass; 0 of nothing."""
+    """Returns the quantile of the values for this share, or 0 if there are none."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))] if ordered else 0.0
 
 
-def imbalance(sends: list[dict[str, Any]], nodes: int, seconds: float) -> tuple[float, float]:
-    """p99 and largest of the work that reaches a node in a second over its even part of that second."""
+def imbalance(attempts: list[dict[str, Any]], nodes: int, seconds: float) -> tuple[float, float]:
+    """Returns the 99th percentile and the maximum of the imbalance over all nodes and seconds."""
     work: dict[int, dict[str, float]] = defaultdict(lambda: defaultdict(float))
-    for sent in sends:
-        work[int(sent["at"] / SECOND)][sent["engine"]] += sent["work"]
+    for attempt in attempts:
+        work[int(attempt["at"] / IMBALANCE_WINDOW_S)][attempt["engine"]] += attempt["work"]
     ratios: list[float] = []
-    for second in range(int(seconds / SECOND)):
-        whole = sum(work[second].values())
-        if whole > 0.0:
-            parts = list(work[second].values()) + [0.0] * (nodes - len(work[second]))
-            ratios += [part * nodes / whole for part in parts]
+    for second in range(int(seconds / IMBALANCE_WINDOW_S)):
+        total = sum(work[second].values())
+        if total > 0.0:
+            node_work = list(work[second].values()) + [0.0] * (nodes - len(work[second]))
+            ratios += [node_share * nodes / total for node_share in node_work]
     return quantile(ratios, 0.99), max(ratios, default=0.0)
 
 
-def herd(sends: list[dict[str, Any]], nodes: int) -> float:
-    """p99.9 of the different dispatchers that reach a node within 250 ms, over what chance would bring."""
-    seen: dict[tuple[int, str], set[str]] = defaultdict(set)
-    all_of: dict[int, int] = defaultdict(int)
-    for sent in sends:
-        slot = int(sent["at"] / HERD)
-        seen[slot, sent["engine"]].add(sent["gateway"])
-        all_of[slot] += 1
+def herd_index(attempts: list[dict[str, Any]], nodes: int) -> float:
+    """Returns the 99.9th percentile of the herd index over all nodes and windows of 250 ms."""
+    gateways_by_slot: dict[tuple[int, str], set[str]] = defaultdict(set)
+    attempts_by_slot: dict[int, int] = defaultdict(int)
+    for attempt in attempts:
+        slot = int(attempt["at"] / HERD_WINDOW_S)
+        gateways_by_slot[slot, attempt["engine"]].add(attempt["gateway"])
+        attempts_by_slot[slot] += 1
     ratios = []
-    for (slot, _), gateways in seen.items():
-        chance = all_of[slot] / nodes
-        ratios.append(len(gateways) / (chance + 3.0 * math.sqrt(chance) + 1.0))
+    for (slot, _), gateways in gateways_by_slot.items():
+        expected = attempts_by_slot[slot] / nodes
+        ratios.append(len(gateways) / (expected + 3.0 * math.sqrt(expected) + 1.0))
     return quantile(ratios, 0.999)
 
 
 def measure(
-    record: Record, shape: FleetShape, watch: Watch, schedule: Schedule, messages: int, connections: int
+    record: Record,
+    shape: FleetShape,
+    idle_monitor: IdleMonitor,
+    schedule: Schedule,
+    messages: int,
+    connections: int,
 ) -> Measures:
-    """All figures of a day from its record."""
-    sorts = {sort.name: sort for sort in shape.sorts}
-    asked = {e["query"]: e for e in record.events if e["kind"] == "asked"}
-    answers = {e["query"]: e for e in record.events if e["kind"] == "answer"}
-    sends = [e for e in record.events if e["kind"] == "sent"]
-    worths: list[tuple[float, float, float]] = []  # when asked, worth, worth in time
-    for query, event in asked.items():
-        sort, answer = sorts[event["cls"]], answers.get(query)
-        good = answer is not None and answer["code"] == "OK"
-        wanted = sort.aim + sort.stretch * event["work"] / sort.threads
-        in_time = good and answer is not None and answer["at"] - event["at"] <= wanted
-        worths.append((event["at"], sort.worth, sort.worth * in_time))
-    p99, most = imbalance(sends, shape.nodes, schedule.seconds)
-    codes = [answers[query]["code"] for query in asked if query in answers]
-    count = max(1, len(asked))
+    """Calculates all measures of a run from its record."""
+    query_classes = {query_class.name: query_class for query_class in shape.query_classes}
+    requests = {event["query"]: event for event in record.events if event["kind"] == "asked"}
+    answers = {event["query"]: event for event in record.events if event["kind"] == "answer"}
+    attempts = [event for event in record.events if event["kind"] == "sent"]
+    outcomes: list[tuple[float, float, float]] = []  # request time, weight, weight if in time
+    for query, event in requests.items():
+        query_class, answer = query_classes[event["cls"]], answers.get(query)
+        is_ok = answer is not None and answer["code"] == "OK"
+        objective = (
+            query_class.latency_objective
+            + query_class.latency_objective_per_work * event["work"] / query_class.threads
+        )
+        is_in_time = is_ok and answer is not None and answer["at"] - event["at"] <= objective
+        outcomes.append((event["at"], query_class.priority_weight, query_class.priority_weight * is_in_time))
+    p99, largest = imbalance(attempts, shape.nodes, schedule.seconds)
+    codes = [answers[query]["code"] for query in requests if query in answers]
+    count = max(1, len(requests))
     return Measures(
-        asked=len(asked),
-        worth_in_time=share_in_time(worths),
+        request_count=len(requests),
+        in_time_share=in_time_share(outcomes),
         served=codes.count("OK") / count,
         refused=codes.count("UNAVAILABLE") / count,
-        idle_share=watch.idle_share,
+        idle_share=idle_monitor.idle_share,
         imbalance_p99=p99,
-        imbalance_most=most,
-        herd_p999=herd(sends, shape.nodes),
-        recoveries=recoveries(worths, schedule),
+        imbalance_max=largest,
+        herd_p999=herd_index(attempts, shape.nodes),
+        recovery_times=recovery_times(outcomes, schedule),
         messages=messages,
         connections=connections,
-        attempts=len(sends) / count,
+        attempts_per_request=len(attempts) / count,
     )
 
 
-def share_in_time(worths: list[tuple[float, float, float]]) -> float:
-    return sum(w[2] for w in worths) / max(1e-9, sum(w[1] for w in worths))
+def in_time_share(outcomes: list[tuple[float, float, float]]) -> float:
+    """Returns the weight of the requests answered in time relative to that of all requests."""
+    return sum(outcome[2] for outcome in outcomes) / max(1e-9, sum(outcome[1] for outcome in outcomes))
 
 
-def recoveries(worths: list[tuple[float, float, float]], schedule: Schedule) -> dict[str, float]:
-    """For each fault, the time from its end until worth in time is as before the first one, or nearly."""
+def recovery_times(outcomes: list[tuple[float, float, float]], schedule: Schedule) -> dict[str, float]:
+    """Returns the recovery time of each fault, by its position and kind."""
     first = min((fault.at for fault in schedule.faults), default=0.0)
-    usual = WELL * share_in_time([w for w in worths if w[0] < first])
-    found = {}
+    recovered_share = RECOVERED_RATIO * in_time_share([outcome for outcome in outcomes if outcome[0] < first])
+    times = {}
     for number, fault in enumerate(schedule.faults):
-        end = at = fault.at + fault.length
+        end = at = fault.at + fault.duration
         while at < schedule.seconds:
-            near = [w for w in worths if at <= w[0] < at + LOOK]
-            if near and share_in_time(near) >= usual:
+            nearby_outcomes = [outcome for outcome in outcomes if at <= outcome[0] < at + RECOVERY_WINDOW_S]
+            if nearby_outcomes and in_time_share(nearby_outcomes) >= recovered_share:
                 break
             at += 0.25
-        found[f"{number} {fault.kind}"] = round(at - end, 2) if at < schedule.seconds else math.inf
-    return found
+        times[f"{number} {fault.kind}"] = round(at - end, 2) if at < schedule.seconds else math.inf
+    return times
--- a/saffronlane/lab/fleet/nodes.py
+++ b/saffronlane/lab/fleet/nodes.py
@@ -1,4 +1,4 @@
-"""Stand-in compute nodes behind real sockets: processor sharing, cold starts, and ways to fail."""
+"""Stand-in compute nodes with real sockets. They simulate processor sharing, slow start and faults."""
 
 from __future__ import annotations
 
@@ -13,112 +13,131 @@
 from ..model import EngineShape, Machine, Run
 from .addresses import Address
 from .record import Record
-from .shape import COLD_SHARE, COLD_TIME, FALL_MULTIPLE, FALL_WINDOW, MEMORY_MB, FleetShape
+from .shape import (
+    INITIAL_CAPACITY_RATIO,
+    MEMORY_MB,
+    OVERLOAD_FACTOR,
+    OVERLOAD_WINDOW_S,
+    SLOW_START_S,
+    FleetShape,
+)
 
 ROWS = b"a\tb\tc\n"
-SLOTS = 4  # queries a core; one more is turned away
-_LINGER = struct.pack("ii", 1, 0)
+QUERY_SLOTS_PER_CORE = 4  # further queries are rejected
+_LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER value with which a close sends RST
 
 
 @dataclass(eq=False, slots=True)
 class _Query:
-    link: _Link
-    rid: bytes
-    named: dict[str, Any]
+    connection: _Connection
+    request_id: bytes
+    event_fields: dict[str, Any]
     run: Run
 
 
 @dataclass(eq=False, slots=True)
-class _Link:
+class _Connection:
     writer: asyncio.StreamWriter
-    dead: bool = False  # half open: nothing that comes is heard, nothing is said
+    is_dead: bool = False  # half open: input is ignored and nothing is sent
 
-    def say(self, *words: bytes) -> None:
-        if not self.dead and not self.writer.is_closing():
+    def send(self, *words: bytes) -> None:
+        if not self.is_dead and not self.writer.is_closing():
             self.writer.write(encode_command(*words))
 
     def reset(self) -> None:
         sock = self.writer.get_extra_info("socket")
         if sock is not None:
             with contextlib.suppress(OSError):
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER)
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
         self.writer.transport.abort()
 
 
 class Node:
-    """One compute node. Faults are switches, set and taken back by whoever plays the day."""
+    """One compute node. The fault injector switches its faults on and off."""
 
     def __init__(self, name: str, address: Address, shape: FleetShape, record: Record) -> None:
         self.name, self.address, self.record = name, address, record
         self._shape = EngineShape(
-            shape.cores, MEMORY_MB, 1.0, COLD_SHARE, COLD_TIME, FALL_MULTIPLE, FALL_WINDOW
+            shape.cores,
+            MEMORY_MB,
+            1.0,
+            INITIAL_CAPACITY_RATIO,
+            SLOW_START_S,
+            OVERLOAD_FACTOR,
+            OVERLOAD_WINDOW_S,
         )
         self._cores = shape.cores
         self.incarnation = 0
         self.machine = Machine(self._shape, -1e9)
-        self.hung = self.errs = self.stalls = False
-        self.connections = 0
+        self.hung = self.fails_queries = self.stalls_results = False
+        self.connection_count = 0
         self.queries: dict[Run, _Query] = {}
-        self.links: set[_Link] = set()
+        self.open_connections: set[_Connection] = set()
         self._server: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
     def threads(self) -> float:
+        """The number of running threads."""
         return sum(run.threads for run in self.machine.running)
 
-    # --- life ---
+    # --- lifecycle and faults ---
 
     async def start(self, cold: bool = False) -> None:
-        """Listen; a cold one starts now."""
+        """Starts to listen. A cold node begins its slow start and a new incarnation."""
         now = self.record.now()
         self.incarnation += cold
         self.machine = Machine(self._shape, now if cold else -1e9)
-        self.hung = self.errs = self.stalls = False
+        self.hung = self.fails_queries = self.stalls_results = False
         self._server = await asyncio.start_server(self._serve, *self.address, backlog=1024)
         if cold:
-            about = {"capacity": self._cores, "share": COLD_SHARE, "warm_after": COLD_TIME}
+            slow_start = {
+                "capacity": self._cores,
+                "share": INITIAL_CAPACITY_RATIO,
+                "warm_after": SLOW_START_S,
+            }
             self.record.add(
                 "cold",
                 engine=self.name,
                 incarnation=self.incarnation,
-                **about,
-                multiple=FALL_MULTIPLE,
-                window=FALL_WINDOW,
+                **slow_start,
+                multiple=OVERLOAD_FACTOR,
+                window=OVERLOAD_WINDOW_S,
             )
 
     def crash(self) -> None:
-        """The process is gone: connections are reset, what ran is lost."""
+        """Simulates a crash: stops listening, resets the connections and loses the running queries."""
         if self._server is not None:
             self._server.close()
             self._server = None
-        for link in list(self.links):
-            link.reset()
-        self._drop("lost", list(self.queries.values()))
+        for connection in list(self.open_connections):
+            connection.reset()
+        self._remove_queries("lost", list(self.queries.values()))
         if self._timer is not None:
             self._timer.cancel()
 
-    def reset(self) -> None:
-        """Every connection breaks once; what ran on it stops."""
-        for link in list(self.links):
-            link.reset()
+    def reset_connections(self) -> None:
+        """Resets every connection, which stops the queries that run on it."""
+        for connection in list(self.open_connections):
+            connection.reset()
 
-    def half_open(self) -> None:
-        """Every connection that is open goes dead without a word; new ones are well."""
-        for link in self.links:
-            link.dead = True
+    def make_half_open(self) -> None:
+        """Makes every open connection half open without notice. New connections work."""
+        for connection in self.open_connections:
+            connection.is_dead = True
 
-    def slow(self, times: float) -> None:
+    def set_slowdown(self, slowdown: float) -> None:
+        """Divides the speed of the node by this factor."""
         self.machine.advance(self.record.now())
-        self.machine.slow = times
-        self._plan()
+        self.machine.slow = slowdown
+        self._complete_and_reschedule()
 
-    def hang(self, on: bool) -> None:
-        """It takes connections and requests and says nothing; afterwards it goes on with what it has."""
+    def set_hung(self, is_hung: bool) -> None:
+        """Suspends all progress and replies, or resumes them. Connections and requests are still accepted."""
         self.machine.advance(self.record.now())
-        self.hung = self.machine.hung = on
-        self._plan()
+        self.hung = self.machine.hung = is_hung
+        self._complete_and_reschedule()
 
     # --- connections ---
 
@@ -126,99 +145,113 @@
         task = asyncio.current_task()
         assert task is not None
         self._tasks.add(task)
-        link, parser = _Link(writer), RespParser(8, 1_000_000)
-        self.links.add(link)
-        self.connections += 1
+        connection, parser = _Connection(writer), RespParser(8, 1_000_000)
+        self.open_connections.add(connection)
+        self.connection_count += 1
         try:
             while data := await reader.read(65_536):
-                found, error = parser.feed(data)
+                commands, error = parser.feed(data)
                 if error is not None:
                     break
-                for words in found if not link.dead else ():
-                    self._on_command(link, words)
+                for words in commands if not connection.is_dead else ():
+                    self._on_command(connection, words)
         except (ConnectionError, asyncio.CancelledError):
             pass
         finally:
-            self.links.discard(link)
+            self.open_connections.discard(connection)
             self._tasks.discard(task)
-            self._drop("cut", [q for q in self.queries.values() if q.link is link])
+            self._remove_queries(
+                "cut", [query for query in self.queries.values() if query.connection is connection]
+            )
             writer.close()
 
-    def _drop(self, kind: str, queries: list[_Query]) -> None:
+    def _remove_queries(self, kind: str, queries: list[_Query]) -> None:
         for query in queries:
             self.machine.remove(query.run, self.record.now())
             self.queries.pop(query.run, None)
-            self.record.add(kind, **query.named)
+            self.record.add(kind, **query.event_fields)
         if queries:
-            self._plan()
+            self._complete_and_reschedule()
 
-    def _on_command(self, link: _Link, words: list[bytes]) -> None:
+    def _on_command(self, connection: _Connection, words: list[bytes]) -> None:
         if words[0] == b"fetch" and len(words) == 4:
-            self._fetch(link, words[1], words[2])
+            self._fetch(connection, words[1], words[2])
         elif words[0] == b"abort":
-            self._drop("stopped", [q for q in self.queries.values() if q.link is link and q.rid == words[1]])
+            self._remove_queries(
+                "stopped",
+                [
+                    query
+                    for query in self.queries.values()
+                    if query.connection is connection and query.request_id == words[1]
+                ],
+            )
         elif words[0] in (b"alive", b"stats") and not self.hung:
-            link.say(words[1], b"FIT", b"-", b"")
+            connection.send(words[1], b"FIT", b"-", b"")
 
-    def _fetch(self, link: _Link, rid: bytes, fields: bytes) -> None:
+    def _fetch(self, connection: _Connection, request_id: bytes, fields: bytes) -> None:
         record, now = self.record, self.record.now()
-        asking = record.askings.get(rid.decode("ascii", "replace"))
-        named = record.sent(rid.decode("ascii", "replace"), self.name, self.incarnation)
-        told = dict(part.partition(b"=")[::2] for part in fields.split(b","))
-        if asking is None or self.errs:
-            record.add("error", **named)
-            link.say(rid, b"BROKE", b"-", b"")
+        request = record.planned_requests.get(request_id.decode("ascii", "replace"))
+        event_fields = record.add_attempt(request_id.decode("ascii", "replace"), self.name, self.incarnation)
+        request_fields = dict(part.partition(b"=")[::2] for part in fields.split(b","))
+        if request is None or self.fails_queries:
+            record.add("error", **event_fields)
+            connection.send(request_id, b"BROKE", b"-", b"")
             return
         self.machine.advance(now)
-        if len(self.machine.running) >= SLOTS * self._cores:
-            record.add("refused", **named)
-            link.say(rid, b"WAIT", b"-", b"")
+        if len(self.machine.running) >= QUERY_SLOTS_PER_CORE * self._cores:
+            record.add("refused", **event_fields)
+            connection.send(request_id, b"WAIT", b"-", b"")
             return
-        if token := told.get(b"i"):
-            if token in record.keys:
-                record.add("discarded", **named)
-                link.say(rid, b"DONE", b"sheets=1,toil=0,room=1", ROWS)
+        if token := request_fields.get(b"i"):
+            if token in record.executed_keys:
+                record.add("discarded", **event_fields)
+                connection.send(request_id, b"DONE", b"sheets=1,toil=0,room=1", ROWS)
                 return
-            record.keys[token] = now
-        run = Run(asking.work, float(asking.sort.threads), 1.0)
-        self.queries[run] = _Query(link, rid, named, run)
-        record.add("ran", **named)
+            record.executed_keys[token] = now
+        run = Run(request.work, float(request.query_class.threads), 1.0)
+        self.queries[run] = _Query(connection, request_id, event_fields, run)
+        record.add("ran", **event_fields)
         if not self.machine.add(run, now):
             record.add("fell", engine=self.name, incarnation=self.incarnation)
-            self.hang(True)
-        self._plan()
+            self.set_hung(True)
+        self._complete_and_reschedule()
 
-    # --- time ---
+    # --- completion of queries ---
 
-    def _plan(self) -> None:
-        """Answer what has ended, and look again when the next one does."""
+    def _complete_and_reschedule(self) -> None:
+        """Sends the results of completed queries and sets a timer for the next completion."""
         loop, now = asyncio.get_running_loop(), self.record.now()
         self.machine.advance(now)
         for run in self.machine.collect():
             query = self.queries.pop(run, None)
             if query is not None:
-                self._answer(query)
+                self._send_result(query)
         if self._timer is not None:
             self._timer.cancel()
-        due = self.machine.next_end(now)
-        self._timer = loop.call_later(max(0.001, due - now), self._plan) if due < 1e9 else None
+        next_completion = self.machine.next_end(now)
+        self._timer = (
+            loop.call_later(max(0.001, next_completion - now), self._complete_and_reschedule)
+            if next_completion < 1e9
+            else None
+        )
 
-    def _answer(self, query: _Query) -> None:
-        named, link = query.named, query.link
-        if link.dead or link.writer.is_closing():
-            self.record.add("lost", **named)
+    def _send_result(self, query: _Query) -> None:
+        event_fields, connection = query.event_fields, query.connection
+        if connection.is_dead or connection.writer.is_closing():
+            self.record.add("lost", **event_fields)
             return
         fields = b"sheets=1,toil=%d,room=1" % round(1e3 * query.run.work)
-        if self.stalls:  # half of an answer, and then nothing more on this connection
-            whole = encode_command(query.rid, b"DONE", fields, ROWS)
-            link.writer.write(whole[: len(whole) // 2])
-            link.dead = True
-            self.record.add("lost", **named)
+        if self.stalls_results:  # sends half of a result and then nothing more on this connection
+            reply = encode_command(query.request_id, b"DONE", fields, ROWS)
+            connection.writer.write(reply[: len(reply) // 2])
+            connection.is_dead = True
+            self.record.add("lost", **event_fields)
             return
-        self.record.add("answered", **named)
-        link.say(query.rid, b"DONE", fields, ROWS)
+        self.record.add("answered", **event_fields)
+        connection.send(query.request_id, b"DONE", fields, ROWS)
 
     async def close(self) -> None:
+        """Stops the node and its connections."""
         self.crash()
         for task in list(self._tasks):
             task.cancel()
--- a/saffronlane/lab/fleet/relays.py
+++ b/saffronlane/lab/fleet/relays.py
@@ -1,7 +1,8 @@
-"""Between the dispatchers: each one's listed address belongs to a relay, which knows who sent what.
+"""Relays the datagrams between dispatchers and applies network faults to them.
 
-A dispatcher writes to a peer's listed address, where the relay hears it; the relay writes on to where that
-peer truly listens, from the sender's listed address, so that the peer knows the sender by it.
+The relay listens at the listed address of every dispatcher. It forwards a datagram to the address at which
+the receiver really listens, with the sender's listed address as the source, so that the receiver can identify
+the sender.
 """
 
 from __future__ import annotations
@@ -15,23 +16,35 @@
 
 from .addresses import Address
 
-MOST, KEPT = 2048, 4096  # bytes that are read of a datagram; datagrams remembered for playing again
-AT_ONCE = 256
+# RECENT_DATAGRAM_COUNT is the number of forwarded datagrams that are kept for a replay.
+MAX_DATAGRAM_BYTES, RECENT_DATAGRAM_COUNT = 2048, 4096
+MAX_READS_PER_WAKEUP = 256  # bounds the time that one socket occupies the event loop
 
 
 @dataclass(slots=True)
-class Weather:
-    """What happens to datagrams between some senders and some receivers; None: all of them."""
+class NetworkConditions:
+    """Faults of the datagrams between some senders and some receivers.
+
+    Attributes:
+        senders: The positions of the senders, or None for all of them.
+        receivers: The positions of the receivers, or None for all of them.
+        drop: The share of the datagrams that are dropped.
+        duplicate: The share of the datagrams that are sent twice.
+        corrupt: The share of the datagrams in which one bit is inverted.
+        delay: A constant delay in seconds.
+        jitter: The upper bound of an additional random delay in seconds, which can reorder datagrams.
+    """
 
     senders: frozenset[int] | None = None
     receivers: frozenset[int] | None = None
-    drop: float = 0.0  # shares of the datagrams
+    drop: float = 0.0
     duplicate: float = 0.0
     corrupt: float = 0.0
-    delay: float = 0.0  # seconds
-    jitter: float = 0.0  # seconds more at the most, drawn for each: what left later may come first
+    delay: float = 0.0
+    jitter: float = 0.0
 
-    def meets(self, sender: int, receiver: int) -> bool:
+    def applies_to(self, sender: int, receiver: int) -> bool:
+        """Whether the faults apply to datagrams from this sender to this receiver."""
         return (self.senders is None or sender in self.senders) and (
             self.receivers is None or receiver in self.receivers
         )
@@ -39,6 +52,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Datagram:
+    """A forwarded datagram with its time and the positions of its sender and receiver."""
+
     at: float
     sender: int
     receiver: int
@@ -47,65 +62,73 @@
 
 @dataclass(eq=False)
 class Relay:
-    """Listens at every listed address. `close` ends it.
-
-    Args:
-        listed: addresses by position, as the dispatchers are told them.
-        true: where each of them listens.
-        to_all: the one address for all.
-        on_pass: told of each datagram that is written on, with its time.
+    """Forwards datagrams from the listed addresses to the dispatchers until `close`.
+
+    Attributes:
+        listed_addresses: The address of each dispatcher, by position, in the configuration of its peers.
+        listen_addresses: The address at which each dispatcher really listens.
+        broadcast_address: The address whose datagrams are forwarded to all dispatchers but the sender.
+        random: The source of random numbers for the faults.
+        on_forward: Called with each forwarded datagram.
+        conditions: The faults that currently apply.
+        forwarded_count: The number of forwarded datagrams.
+        received_count: The number of datagrams received from dispatchers.
+        recent_datagrams: The last forwarded datagrams, which can be replayed.
     """
 
-    listed: list[Address]
-    true: list[Address]
-    to_all: Address
+    listed_addresses: list[Address]
+    listen_addresses: list[Address]
+    broadcast_address: Address
     random: Random
-    on_pass: Callable[[Datagram], None] | None = None
-    weather: list[Weather] = field(default_factory=list)
-    passed: int = 0
-    heard: int = 0
-    remembered: deque[Datagram] = field(default_factory=lambda: deque(maxlen=KEPT))
+    on_forward: Callable[[Datagram], None] | None = None
+    conditions: list[NetworkConditions] = field(default_factory=list)
+    forwarded_count: int = 0
+    received_count: int = 0
+    recent_datagrams: deque[Datagram] = field(default_factory=lambda: deque(maxlen=RECENT_DATAGRAM_COUNT))
     _sockets: list[socket.socket] = field(default_factory=list)
     _positions: dict[Address, int] = field(default_factory=dict)
 
     def start(self) -> None:
+        """Binds all sockets and starts to forward."""
         loop = asyncio.get_running_loop()
-        self._positions = {address: n for n, address in enumerate(self.true)}
-        for number, address in enumerate([*self.listed, self.to_all]):
-            one = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            one.setblocking(False)
-            one.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_194_304)
-            one.bind(address)
-            self._sockets.append(one)
-            receiver = number if number < len(self.listed) else None
-            loop.add_reader(one, self._on_readable, one, receiver)
-
-    def _on_readable(self, one: socket.socket, receiver: int | None) -> None:
-        for _ in range(AT_ONCE):
+        self._positions = {address: n for n, address in enumerate(self.listen_addresses)}
+        for number, address in enumerate([*self.listed_addresses, self.broadcast_address]):
+            relay_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+            relay_socket.setblocking(False)
+            relay_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_194_304)
+            relay_socket.bind(address)
+            self._sockets.append(relay_socket)
+            receiver = number if number < len(self.listed_addresses) else None
+            loop.add_reader(relay_socket, self._on_readable, relay_socket, receiver)
+
+    def _on_readable(self, relay_socket: socket.socket, receiver: int | None) -> None:
+        for _ in range(MAX_READS_PER_WAKEUP):
             try:
-                data, address = one.recvfrom(MOST)
+                data, address = relay_socket.recvfrom(MAX_DATAGRAM_BYTES)
             except OSError:
                 return
             sender = self._positions.get(address)
             if sender is None:
                 continue
-            self.heard += 1
-            for to in range(len(self.true)) if receiver is None else (receiver,):
-                if to != sender:
-                    self._weigh(sender, to, data)
+            self.received_count += 1
+            for target in range(len(self.listen_addresses)) if receiver is None else (receiver,):
+                if target != sender:
+                    self._apply_conditions(sender, target, data)
 
-    def _weigh(self, sender: int, receiver: int, data: bytes) -> None:
+    def _apply_conditions(self, sender: int, receiver: int, data: bytes) -> None:
         delay, copies = 0.0, 1
-        for one in self.weather:
-            if not one.meets(sender, receiver):
+        for condition in self.conditions:
+            if not condition.applies_to(sender, receiver):
                 continue
-            if one.drop and self.random.random() < one.drop:
+            if condition.drop and self.random.random() < condition.drop:
                 return
-            copies += one.duplicate > 0.0 and self.random.random() < one.duplicate
-            delay += one.delay + (self.random.uniform(0.0, one.jitter) if one.jitter else 0.0)
-            if one.corrupt and data and self.random.random() < one.corrupt:
-                place = self.random.randrange(len(data))
-                data = data[:place] + bytes([data[place] ^ 1 << self.random.randrange(8)]) + data[place + 1 :]
+            copies += condition.duplicate > 0.0 and self.random.random() < condition.duplicate
+            delay += condition.delay + (
+                self.random.uniform(0.0, condition.jitter) if condition.jitter else 0.0
+            )
+            if condition.corrupt and data and self.random.random() < condition.corrupt:
+                index = self.random.randrange(len(data))
+                data = data[:index] + bytes([data[index] ^ 1 << self.random.randrange(8)]) + data[index + 1 :]
         for _ in range(copies):
             if delay:
                 asyncio.get_running_loop().call_later(delay, self.write, sender, receiver, data)
@@ -113,22 +136,23 @@
                 self.write(sender, receiver, data)
 
     def write(self, sender: int, receiver: int, data: bytes) -> None:
-        """Now, whatever the weather: also for a datagram of long ago that is played again."""
+        """Forwards a datagram at once, regardless of the conditions. Also used to replay old datagrams."""
         if not self._sockets:
             return
-        self.passed += 1
+        self.forwarded_count += 1
         datagram = Datagram(asyncio.get_running_loop().time(), sender, receiver, data)
-        self.remembered.append(datagram)
-        if self.on_pass is not None:
-            self.on_pass(datagram)
+        self.recent_datagrams.append(datagram)
+        if self.on_forward is not None:
+            self.on_forward(datagram)
         try:
-            self._sockets[sender].sendto(data, self.true[receiver])
+            self._sockets[sender].sendto(data, self.listen_addresses[receiver])
         except OSError:
-            return  # nobody there, or no room: it is lost
+            return  # the receiver does not listen or a buffer is full: the datagram is lost
 
     def close(self) -> None:
+        """Closes all sockets."""
         loop = asyncio.get_running_loop()
         sockets, self._sockets = self._sockets, []
-        for one in sockets:
-            loop.remove_reader(one)
-            one.close()
+        for relay_socket in sockets:
+            loop.remove_reader(relay_socket)
+            relay_socket.close()
--- a/saffronlane/lab/fleet/shape.py
+++ b/saffronlane/lab/fleet/shape.py
@@ -1,4 +1,4 @@
-"""How large a fleet is, what it is asked, and the settings that its dispatchers are given."""
+"""The size of a fleet, its traffic, and the settings of its dispatchers."""
 
 from __future__ import annotations
 
@@ -6,104 +6,168 @@
 from random import Random
 from typing import Any
 
-FALL_MULTIPLE, FALL_WINDOW, COLD_SHARE, COLD_TIME = 4.0, 3.0, 0.35, 8.0
+OVERLOAD_FACTOR, OVERLOAD_WINDOW_S, INITIAL_CAPACITY_RATIO, SLOW_START_S = 4.0, 3.0, 0.35, 8.0
 MEMORY_MB = 4096.0
 
 
 @dataclass(frozen=True, slots=True)
-class Sort:
-    """One class of queries. Times and work are in seconds."""
+class QueryClass:
+    """One class of queries. Times and work are in seconds.
+
+    Attributes:
+        name: The name of the class.
+        share: The share of the requests.
+        work: The mean work of a query in core seconds.
+        latency_objective: The fixed part of the latency objective.
+        deadline: The deadline of a request.
+        threads: The number of threads that a query uses.
+        priority_weight: The priority weight of a request that is answered in time.
+        late_priority_weight: The priority weight of a request that is answered late.
+        latency_objective_per_work: The part of the latency objective per work of a thread.
+        has_idempotency_key: Whether requests carry an idempotency key and an ordering key.
+    """
 
     name: str
     share: float
     work: float
-    aim: float
+    latency_objective: float
     deadline: float
     threads: int = 1
-    worth: float = 1.0
-    late_worth: float = 0.0
-    stretch: float = 2.0
-    keyed: bool = False
-
-
-SORTS = (
-    Sort("look-up", 0.82, 0.06, 0.6, 4.0),
-    Sort("report", 0.13, 0.6, 1.5, 10.0, threads=3, worth=10.0, late_worth=0.4),
-    Sort("load", 0.05, 0.5, 2.0, 10.0, threads=2, worth=12.0, late_worth=0.5, keyed=True),
+    priority_weight: float = 1.0
+    late_priority_weight: float = 0.0
+    latency_objective_per_work: float = 2.0
+    has_idempotency_key: bool = False
+
+
+QUERY_CLASSES = (
+    QueryClass("look-up", 0.82, 0.06, 0.6, 4.0),
+    QueryClass("report", 0.13, 0.6, 1.5, 10.0, threads=3, priority_weight=10.0, late_priority_weight=0.4),
+    QueryClass(
+        "load",
+        0.05,
+        0.5,
+        2.0,
+        10.0,
+        threads=2,
+        priority_weight=12.0,
+        late_priority_weight=0.5,
+        has_idempotency_key=True,
+    ),
 )
-HEAVY_SORTS = (  # most of the work comes in few large queries, so that one wrong place is a jam
-    Sort("look-up", 0.82, 0.13, 0.75, 4.0, stretch=1.5),
-    Sort("report", 0.13, 3.0, 2.0, 20.0, threads=3, worth=10.0, late_worth=0.4),
-    Sort("load", 0.05, 4.0, 4.0, 25.0, threads=2, worth=12.0, late_worth=0.5, keyed=True),
+# Few large queries carry most of the work, so that one bad placement causes a backlog.
+HEAVY_QUERY_CLASSES = (
+    QueryClass("look-up", 0.82, 0.13, 0.75, 4.0, latency_objective_per_work=1.5),
+    QueryClass("report", 0.13, 3.0, 2.0, 20.0, threads=3, priority_weight=10.0, late_priority_weight=0.4),
+    QueryClass(
+        "load",
+        0.05,
+        4.0,
+        4.0,
+        25.0,
+        threads=2,
+        priority_weight=12.0,
+        late_priority_weight=0.5,
+        has_idempotency_key=True,
+    ),
 )
 
 
 @dataclass(frozen=True, slots=True)
 class FleetShape:
-    """A fleet: processes, stand-in nodes, and the part of their cores that is asked for."""
+    """The size and traffic of a fleet.
+
+    Attributes:
+        dispatchers: The number of dispatchers.
+        nodes: The number of nodes.
+        cores: The number of cores of each node.
+        load: The requested share of the cores of all nodes.
+        table_group_count: The number of table groups.
+        seed: The seed of all random numbers.
+        sockets: The limit of sockets of each dispatcher.
+        query_classes: The classes of the traffic.
+    """
 
     dispatchers: int = 8
     nodes: int = 6
     cores: float = 4.0
     load: float = 0.5
-    groups: int = 40
+    table_group_count: int = 40
     seed: int = 1
     sockets: int = 256
-    sorts: tuple[Sort, ...] = SORTS
+    query_classes: tuple[QueryClass, ...] = QUERY_CLASSES
 
     @property
     def mean_work(self) -> float:
-        return sum(sort.share * sort.work for sort in self.sorts)
+        """The mean work of a query in core seconds."""
+        return sum(query_class.share * query_class.work for query_class in self.query_classes)
 
     @property
-    def rate(self) -> float:
-        """Requests a second over all dispatchers."""
+    def request_rate(self) -> float:
+        """The number of requests per second at all dispatchers together."""
         return self.load * self.nodes * self.cores / self.mean_work
 
 
 @dataclass(frozen=True, slots=True)
-class Asking:
-    """One request to come, drawn ahead so that two builds get the same."""
+class PlannedRequest:
+    """One request, generated in advance so that two versions of the program get the same traffic.
+
+    Attributes:
+        at: The time at which the client sends the request, in seconds.
+        dispatcher: The position of the dispatcher that receives the request.
+        query_class: The class of the query.
+        request_id: The id of the request.
+        work: The work of the query in core seconds.
+        table_group: The table group of the query.
+        key: The ordering key in hexadecimal, or an empty string.
+        cancel_after: The seconds after which the client cancels the request, or 0 if it does not.
+    """
 
     at: float
     dispatcher: int
-    sort: Sort
-    rid: str
+    query_class: QueryClass
+    request_id: str
     work: float
-    tables: int
+    table_group: int
     key: str = ""
-    leaves: float = 0.0  # seconds after which its client takes it back; 0: it waits
+    cancel_after: float = 0.0
+
 
+CANCELLED_SHARE, MAX_CANCEL_DELAY_S = 0.04, 0.3  # of the requests that clients cancel
 
-LEAVING, LEAVES_WITHIN = 0.04, 0.3  # share of the clients that leave, and seconds within which
 
+def draw_traffic(shape: FleetShape, seconds: float) -> list[PlannedRequest]:
+    """Generates Poisson arrivals with lognormal work.
 
-def draw_traffic(shape: FleetShape, seconds: float) -> list[Asking]:
-    """Poisson arrivals; fronts are uneven by up to four times, groups by Zipf's law, work is lognormal."""
-    random, leaving = Random(f"traffic {shape.seed}"), Random(f"leaving {shape.seed}")
-    fronts = [random.choice((0.5, 1.0, 1.0, 2.0)) for _ in range(shape.dispatchers)]
-    groups = [1.0 / (rank + 1) ** 0.7 for rank in range(shape.groups)]
-    found, at = [], random.expovariate(shape.rate)
+    The load of dispatchers differs by a factor of up to four. Table groups follow Zipf's law.
+    """
+    random, cancellations = Random(f"traffic {shape.seed}"), Random(f"leaving {shape.seed}")
+    dispatcher_weights = [random.choice((0.5, 1.0, 1.0, 2.0)) for _ in range(shape.dispatchers)]
+    table_group_weights = [1.0 / (rank + 1) ** 0.7 for rank in range(shape.table_group_count)]
+    requests, at = [], random.expovariate(shape.request_rate)
     while at < seconds:
-        sort = random.choices(shape.sorts, [s.share for s in shape.sorts])[0]
-        found.append(
-            Asking(
+        query_class = random.choices(
+            shape.query_classes, [query_class.share for query_class in shape.query_classes]
+        )[0]
+        requests.append(
+            PlannedRequest(
                 at,
-                random.choices(range(shape.dispatchers), fronts)[0],
-                sort,
+                random.choices(range(shape.dispatchers), dispatcher_weights)[0],
+                query_class,
                 f"{random.getrandbits(64):016x}",
-                sort.work * random.lognormvariate(-0.3, 0.77),
-                random.choices(range(shape.groups), groups)[0],
-                f"{random.randrange(1, 50):016x}" if sort.keyed else "",
-                leaving.uniform(0.0, LEAVES_WITHIN) if leaving.random() < LEAVING else 0.0,
+                query_class.work * random.lognormvariate(-0.3, 0.77),
+                random.choices(range(shape.table_group_count), table_group_weights)[0],
+                f"{random.randrange(1, 50):016x}" if query_class.has_idempotency_key else "",
+                cancellations.uniform(0.0, MAX_CANCEL_DELAY_S)
+                if cancellations.random() < CANCELLED_SHARE
+                else 0.0,
             )
         )
-        at += random.expovariate(shape.rate)
-    return found
+        at += random.expovariate(shape.request_rate)
+    return requests
 
 
-def settings(shape: FleetShape, position: int) -> dict[str, Any]:
-    """What a dispatcher of the fleet is told, as the platform tells it."""
+def dispatcher_settings(shape: FleetShape, position: int) -> dict[str, Any]:
+    """Returns the settings of the dispatcher at this position in the form of the platform."""
     return {
         "fleetSize": shape.dispatchers,
         "position": position,
@@ -113,17 +177,17 @@
         "extra": {
             "kindCores": [shape.cores],
             "sizeMb": [MEMORY_MB],
-            "parallelism": [sort.threads for sort in shape.sorts],
+            "parallelism": [query_class.threads for query_class in shape.query_classes],
             "costInAnswers": True,
             "grantsCount": True,
         },
         "guarantees": {
             "answerSlack": 0.05,
             "stopSendingWithin": 0.5,
-            "fallMultiple": FALL_MULTIPLE,
-            "fall": FALL_WINDOW,
-            "coldFrom": COLD_SHARE,
-            "cold": COLD_TIME,
+            "fallMultiple": OVERLOAD_FACTOR,
+            "fall": OVERLOAD_WINDOW_S,
+            "coldFrom": INITIAL_CAPACITY_RATIO,
+            "cold": SLOW_START_S,
             "lookBack": 10.0,
             "extraFree": 3.0,
             "repeatRatio": 0.2,
@@ -141,17 +205,17 @@
         },
         "services": [
             {
-                "name": sort.name,
-                "aim": sort.aim,
-                "deadline": sort.deadline,
-                "value": sort.worth,
-                "lateValue": sort.late_worth,
-                "aimStretch": sort.stretch,
-                "effect": "dedup" if sort.keyed else "retryable",
-                "keyTtl": 25.0 if sort.keyed else 0.0,
-                "sequential": sort.keyed,
+                "name": query_class.name,
+                "aim": query_class.latency_objective,
+                "deadline": query_class.deadline,
+                "value": query_class.priority_weight,
+                "lateValue": query_class.late_priority_weight,
+                "aimStretch": query_class.latency_objective_per_work,
+                "effect": "dedup" if query_class.has_idempotency_key else "retryable",
+                "keyTtl": 25.0 if query_class.has_idempotency_key else 0.0,
+                "sequential": query_class.has_idempotency_key,
             }
-            for sort in shape.sorts
+            for query_class in shape.query_classes
         ],
         "tenants": [{"name": "acme", "allowancePerS": 1e6, "share": 1.0}],
     }
--- a/saffronlane/lab/fleet/virtual.py
+++ b/saffronlane/lab/fleet/virtual.py
@@ -1,7 +1,8 @@
-"""A fleet in virtual time: true dispatchers on a simulated wire, stand-in nodes, the measures of processes.
+"""Simulates a fleet in virtual time: real dispatchers, a simulated network and stand-in nodes.
 
-What takes 1,000 machines is played here, alike for a seed. Nothing of it stands in for the processes:
-sockets, clocks and the cost of a step are theirs to show.
+Makes runs of fleets that would need 1,000 machines reproducible for a given seed, and calculates the same
+measures as for a run with processes. It does not replace such runs, because sockets, clocks and the CPU cost
+of a step are not simulated.
 """
 
 from __future__ import annotations
@@ -16,297 +17,366 @@
 from ... import interface as api
 from ...simulator import settings as params
 from ..model import EngineShape, Machine, Run
-from .measures import Measures, Watch, measure
-from .policies import Chooser
+from .measures import IdleMonitor, Measures, measure
+from .policies import PlacementPolicy
 from .record import Record
 from .schedule import Fault, Schedule
 from .shape import (
-    COLD_SHARE,
-    COLD_TIME,
-    FALL_MULTIPLE,
-    FALL_WINDOW,
+    INITIAL_CAPACITY_RATIO,
     MEMORY_MB,
-    Asking,
+    OVERLOAD_FACTOR,
+    OVERLOAD_WINDOW_S,
+    SLOW_START_S,
     FleetShape,
+    PlannedRequest,
+    dispatcher_settings,
     draw_traffic,
-    settings,
 )
 
-LATENCY, LOSS = 0.008, 0.01  # seconds that a message takes; share of messages that are lost
-SLOTS, KNEE, THRASH = 4, 1.6, 0.8
-LOOK = 0.05
-LATE_LIST = 1.0  # seconds until the list tells of a change
+MESSAGE_LATENCY_S, MESSAGE_LOSS_RATIO = 0.008, 0.01  # of the messages between dispatchers
+QUERY_SLOTS_PER_CORE, KNEE_THREADS_PER_CORE, THRASH_FACTOR = 4, 1.6, 0.8
+SAMPLE_INTERVAL_S = 0.05
+LIST_DELAY_S = 1.0  # from a crash until the endpoint list reports it
 
 
 @dataclass(eq=False, slots=True)
-class _Out:
-    """One attempt at a node."""
+class _Attempt:
+    """An attempt that has been sent to a node."""
 
-    asking: Asking
-    place: int
-    request: int
-    attempt: int
+    request: PlannedRequest
+    position: int
+    request_number: int
+    attempt_number: int
     engine: bytes
     at: float
 
 
 @dataclass(eq=False)
 class VirtualNode:
-    """One node's machine, and who waits for what runs there."""
+    """One node with its machine and the attempts that run on it.
+
+    Attributes:
+        name: The id of the node.
+        shape: The capacity of its machine.
+        machine: The simulated machine.
+        attempts: The attempt of each query on the machine.
+        next_completion: The time at which the next query completes.
+        fails_queries: Whether every new query fails.
+        is_crashed: Whether connections to the node fail.
+    """
 
     name: bytes
     shape: EngineShape
     machine: Machine
-    out: dict[Run, _Out] = field(default_factory=dict)
-    due: float = math.inf
-    errs: bool = False
-    gone: bool = False
+    attempts: dict[Run, _Attempt] = field(default_factory=dict)
+    next_completion: float = math.inf
+    fails_queries: bool = False
+    is_crashed: bool = False
 
 
 class VirtualFleet:
-    """Plays one schedule. `chooser`: a plain policy in the place of the dispatchers; None: the real ones."""
+    """Runs one schedule.
 
-    def __init__(self, shape: FleetShape, schedule: Schedule, chooser: Chooser | None = None) -> None:
-        self.shape, self.schedule, self.chooser = shape, schedule, chooser
+    Args:
+        shape: The size and traffic of the fleet.
+        schedule: The faults of the run.
+        policy: A simple policy that replaces the dispatchers, or None for the real dispatchers.
+    """
+
+    def __init__(self, shape: FleetShape, schedule: Schedule, policy: PlacementPolicy | None = None) -> None:
+        self.shape, self.schedule, self.policy = shape, schedule, policy
         self.now, self.random = 0.0, Random(f"virtual {shape.seed}")
-        self.record, self.watch = Record(clock=lambda: self.now), Watch(shape.cores)
+        self.record, self.idle_monitor = Record(clock=lambda: self.now), IdleMonitor(shape.cores)
         self.nodes: dict[bytes, VirtualNode] = {}
-        self.deaf: set[int] = set()
-        self.drained: set[bytes] = set()
-        self.messages = 0
+        self.deaf_dispatchers: set[int] = set()
+        self.draining_nodes: set[bytes] = set()
+        self.message_count = 0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._sequence = 0
-        self._askings: dict[tuple[int, int], Asking] = {}
-        self._wakes = [math.inf] * shape.dispatchers
-        self._met: set[tuple[int, bytes]] = set()
-        count = range(0 if chooser else shape.dispatchers)
-        given = [params.Params.from_object(settings(shape, n)) for n in count]
-        read = map(params.read_settings, given)
-        self.cores = [dispatch.Dispatcher(one, shape.seed * 1000 + n) for n, one in enumerate(read)]
+        self._requests: dict[tuple[int, int], PlannedRequest] = {}
+        self._timer_deadlines = [math.inf] * shape.dispatchers
+        self._connections: set[tuple[int, bytes]] = set()
+        positions = range(0 if policy else shape.dispatchers)
+        parameters = [params.Params.from_object(dispatcher_settings(shape, n)) for n in positions]
+        gateway_settings = map(params.read_settings, parameters)
+        self.cores = [
+            dispatch.Dispatcher(settings, shape.seed * 1000 + n)
+            for n, settings in enumerate(gateway_settings)
+        ]
 
     # --- time ---
 
-    def at(self, time: float, what: Callable[[], None]) -> None:
+    def at(self, time: float, callback: Callable[[], None]) -> None:
+        """Schedules a callback."""
         self._sequence += 1
-        heapq.heappush(self._events, (time, self._sequence, what))
-
-    def play(self) -> Measures:
-        """The whole day, and what came of it."""
-        entries = [self._add(f"s-{n:05d}".encode(), cold=False) for n in range(self.shape.nodes)]
-        self.tell_list(entries, api.EndpointListMode.FULL)
-        for asking in draw_traffic(self.shape, self.schedule.seconds):
-            self.at(asking.at, lambda asking=asking: self._ask(asking))  # type: ignore[misc]
+        heapq.heappush(self._events, (time, self._sequence, callback))
+
+    def run(self) -> Measures:
+        """Runs the schedule and returns the measures."""
+        entries = [self._add_node(f"s-{n:05d}".encode(), cold=False) for n in range(self.shape.nodes)]
+        self.update_list(entries, api.EndpointListMode.FULL)
+        for request in draw_traffic(self.shape, self.schedule.seconds):
+            self.at(request.at, lambda request=request: self._submit(request))  # type: ignore[misc]
         for fault in self.schedule.faults:
-            self.at(fault.at, lambda fault=fault: self._strike(fault))  # type: ignore[misc]
-        self.at(LOOK, self._look)
+            self.at(fault.at, lambda fault=fault: self._inject(fault))  # type: ignore[misc]
+        self.at(SAMPLE_INTERVAL_S, self._sample_nodes)
         end = self.schedule.seconds + 30.0
         while self._events and self._events[0][0] <= end:
-            self.now, _, what = heapq.heappop(self._events)
-            what()
-        return measure(self.record, self.shape, self.watch, self.schedule, self.messages, len(self._met))
+            self.now, _, callback = heapq.heappop(self._events)
+            callback()
+        return measure(
+            self.record,
+            self.shape,
+            self.idle_monitor,
+            self.schedule,
+            self.message_count,
+            len(self._connections),
+        )
 
-    def _look(self) -> None:
+    def _sample_nodes(self) -> None:
         if self.now < self.schedule.seconds:
-            nodes = [sum(run.threads for run in node.machine.running) for node in self.ready()]
-            self.watch.look(nodes, sum(core.queued_count for core in self.cores))
-            self.at(self.now + LOOK, self._look)
+            nodes = [sum(run.threads for run in node.machine.running) for node in self.ready_nodes()]
+            self.idle_monitor.add_sample(nodes, sum(core.queued_count for core in self.cores))
+            self.at(self.now + SAMPLE_INTERVAL_S, self._sample_nodes)
 
     # --- dispatchers ---
 
-    def ready(self) -> list[VirtualNode]:
-        """Those that a list that is never late would call ready."""
-        return [n for n in self.nodes.values() if not n.gone and n.name not in self.drained]
+    def ready_nodes(self) -> list[VirtualNode]:
+        """Returns the nodes that are ready now, even if the endpoint list is not up to date."""
+        return [n for n in self.nodes.values() if not n.is_crashed and n.name not in self.draining_nodes]
 
-    def _step(self, place: int, *inputs: dispatch.Input) -> None:
-        core = self.cores[place]
+    def _step(self, position: int, *inputs: dispatch.Input) -> None:
+        core = self.cores[position]
         for effect in core.step(self.now, list(inputs)):
-            self._do(place, effect)
-        wake = core.next_timer
-        if wake < self._wakes[place]:
-            self._wakes[place] = wake
-            self.at(max(wake, self.now), lambda: self._wake(place, wake))
-
-    def _wake(self, place: int, due: float) -> None:
-        if self._wakes[place] == due:
-            self._wakes[place] = math.inf
-            self._step(place)
-
-    def _ask(self, asking: Asking) -> None:
-        self.record.askings[asking.rid] = asking
-        named = {"query": asking.rid, "gateway": f"d{asking.dispatcher}"}
-        limit = self.now + asking.sort.deadline
-        self.record.add("asked", **named, cls=asking.sort.name, key=asking.key, limit=limit, work=asking.work)
-        if self.chooser is not None:
-            engine = self.chooser.choose(self.now, asking, self.ready())
+            self._apply_effect(position, effect)
+        deadline = core.next_timer
+        if deadline < self._timer_deadlines[position]:
+            self._timer_deadlines[position] = deadline
+            self.at(max(deadline, self.now), lambda: self._on_timer(position, deadline))
+
+    def _on_timer(self, position: int, deadline: float) -> None:
+        if self._timer_deadlines[position] == deadline:
+            self._timer_deadlines[position] = math.inf
+            self._step(position)
+
+    def _submit(self, request: PlannedRequest) -> None:
+        self.record.planned_requests[request.request_id] = request
+        event_fields = {"query": request.request_id, "gateway": f"d{request.dispatcher}"}
+        limit = self.now + request.query_class.deadline
+        self.record.add(
+            "asked",
+            **event_fields,
+            cls=request.query_class.name,
+            key=request.key,
+            limit=limit,
+            work=request.work,
+        )
+        if self.policy is not None:
+            engine = self.policy.choose_node(self.now, request, self.ready_nodes())
             if engine is not None:
-                self._send(asking, asking.dispatcher, 0, 0, engine)
+                self._send(request, request.dispatcher, 0, 0, engine)
             return
-        core = self.cores[asking.dispatcher]
+        core = self.cores[request.dispatcher]
         number = core.new_request()
-        self._askings[asking.dispatcher, number] = asking
-        index = self.shape.sorts.index(asking.sort)
-        cost = asking.work * self.random.uniform(0.7, 1.4)
-        key = int(asking.key, 16) if asking.key else 0
+        self._requests[request.dispatcher, number] = request
+        class_index = self.shape.query_classes.index(request.query_class)
+        estimated_cost = request.work * self.random.uniform(0.7, 1.4)
+        ordering_key = int(request.key, 16) if request.key else 0
         self._step(
-            asking.dispatcher,
+            request.dispatcher,
             dispatch.Submit(
                 number,
-                index,
-                asking.sort.deadline,
-                ordering_key=key,
-                estimated_cost=cost,
+                class_index,
+                request.query_class.deadline,
+                ordering_key=ordering_key,
+                estimated_cost=estimated_cost,
                 estimated_memory_mb=1.0,
-                table_group=float(asking.tables),
+                table_group=float(request.table_group),
             ),
         )
 
-    def _do(self, place: int, effect: dispatch.Effect) -> None:
+    def _apply_effect(self, position: int, effect: dispatch.Effect) -> None:
         if isinstance(effect, dispatch.StartAttempt):
-            asking = self._askings[place, effect.request]
-            self._send(asking, place, effect.request, effect.attempt, effect.engine)
+            request = self._requests[position, effect.request]
+            self._send(request, position, effect.request, effect.attempt, effect.engine)
         elif isinstance(effect, (dispatch.CancelAttempt, dispatch.DiscardAttempt, dispatch.WithdrawAttempt)):
             for node in self.nodes.values():
-                for run, out in list(node.out.items()):
-                    if (out.place, out.request, out.attempt) == (place, effect.request, effect.attempt):
-                        self._end(node, run, api.Outcome.CANCELLED)
+                for run, out in list(node.attempts.items()):
+                    if (out.position, out.request_number, out.attempt_number) == (
+                        position,
+                        effect.request,
+                        effect.attempt,
+                    ):
+                        self._end_attempt(node, run, api.Outcome.CANCELLED)
         elif isinstance(effect, (dispatch.CompleteRequest, dispatch.RejectRequest, dispatch.FailRequest)):
             codes = {
                 dispatch.CompleteRequest: "OK",
                 dispatch.RejectRequest: "UNAVAILABLE",
                 dispatch.FailRequest: "ABORTED",
             }
-            self._answer(self._askings[place, effect.request], codes[type(effect)])
+            self._answer(self._requests[position, effect.request], codes[type(effect)])
         elif isinstance(effect, api.SendGossip):
-            for other in range(len(self.cores)):
-                if other != place and other not in self.deaf and self.random.random() > LOSS:
-                    self.messages += 1
-                    told = api.PeerMessage(place, effect.data)
-                    self.at(self.now + LATENCY, lambda o=other, t=told: self._step(o, t))  # type: ignore[misc]
-
-    def _answer(self, asking: Asking, code: str) -> None:
-        named = {"query": asking.rid, "gateway": f"d{asking.dispatcher}"}
-        self.record.add("answer", **named, code=code, promise=code == "UNAVAILABLE")
+            for receiver in range(len(self.cores)):
+                if (
+                    receiver != position
+                    and receiver not in self.deaf_dispatchers
+                    and self.random.random() > MESSAGE_LOSS_RATIO
+                ):
+                    self.message_count += 1
+                    message = api.PeerMessage(position, effect.data)
+                    self.at(
+                        self.now + MESSAGE_LATENCY_S,
+                        lambda receiver=receiver, message=message: self._step(receiver, message),  # type: ignore[misc]
+                    )
+
+    def _answer(self, request: PlannedRequest, code: str) -> None:
+        event_fields = {"query": request.request_id, "gateway": f"d{request.dispatcher}"}
+        self.record.add("answer", **event_fields, code=code, promise=code == "UNAVAILABLE")
 
     # --- nodes ---
 
-    def _add(self, name: bytes, cold: bool) -> api.EngineEntry:
+    def _add_node(self, name: bytes, cold: bool) -> api.EngineEntry:
         shape = EngineShape(
-            self.shape.cores, MEMORY_MB, 1.0, COLD_SHARE, COLD_TIME, FALL_MULTIPLE, FALL_WINDOW, KNEE, THRASH
+            self.shape.cores,
+            MEMORY_MB,
+            1.0,
+            INITIAL_CAPACITY_RATIO,
+            SLOW_START_S,
+            OVERLOAD_FACTOR,
+            OVERLOAD_WINDOW_S,
+            KNEE_THREADS_PER_CORE,
+            THRASH_FACTOR,
         )
         self.nodes[name] = VirtualNode(name, shape, Machine(shape, self.now if cold else -1e9))
         return api.EngineEntry(name, api.EngineState.READY, self.now if cold else 0.0)
 
-    def tell_list(
+    def update_list(
         self, entries: list[api.EngineEntry], mode: api.EndpointListMode = api.EndpointListMode.DELTA
     ) -> None:
-        for place in range(len(self.cores)):
-            self._step(place, api.EndpointListUpdate(mode, 1, tuple(entries)))
+        """Sends an endpoint list update to all dispatchers."""
+        for position in range(len(self.cores)):
+            self._step(position, api.EndpointListUpdate(mode, 1, tuple(entries)))
 
-    def _send(self, asking: Asking, place: int, request: int, attempt: int, engine: bytes) -> None:
+    def _send(
+        self, request: PlannedRequest, position: int, request_number: int, attempt_number: int, engine: bytes
+    ) -> None:
         node = self.nodes[engine]
-        self._met.add((place, engine))
-        self.record.sent(asking.rid, engine.decode(), 0)
-        out = _Out(asking, place, request, attempt, engine, self.now)
+        self._connections.add((position, engine))
+        self.record.add_attempt(request.request_id, engine.decode(), 0)
+        out = _Attempt(request, position, request_number, attempt_number, engine, self.now)
         node.machine.advance(self.now)
-        if node.gone:
-            self.at(self.now + 0.001, lambda: self._tell_end(out, api.Outcome.CONNECT_FAILED))
-        elif node.errs:
-            self.at(self.now + 0.001, lambda: self._tell_end(out, api.Outcome.ERROR))
-        elif len(node.machine.running) >= SLOTS * self.shape.cores:
-            self.at(self.now + 0.001, lambda: self._tell_end(out, api.Outcome.REJECTED))
+        if node.is_crashed:
+            self.at(self.now + 0.001, lambda: self._report_end(out, api.Outcome.CONNECT_FAILED))
+        elif node.fails_queries:
+            self.at(self.now + 0.001, lambda: self._report_end(out, api.Outcome.ERROR))
+        elif len(node.machine.running) >= QUERY_SLOTS_PER_CORE * self.shape.cores:
+            self.at(self.now + 0.001, lambda: self._report_end(out, api.Outcome.REJECTED))
         else:
-            run = Run(asking.work, float(asking.sort.threads), 1.0)
-            node.out[run] = out
+            run = Run(request.work, float(request.query_class.threads), 1.0)
+            node.attempts[run] = out
             if not node.machine.add(run, self.now):
                 self.record.add("fell", engine=engine.decode(), incarnation=0)
                 node.machine.hung = True
-            self._plan(node)
+            self._complete_and_reschedule(node)
 
-    def _plan(self, node: VirtualNode) -> None:
+    def _complete_and_reschedule(self, node: VirtualNode) -> None:
         node.machine.advance(self.now)
         for run in node.machine.collect():
-            self._end(node, run, api.Outcome.OK)
-        due = node.machine.next_end(self.now)
-        if due < 1e9:
-            node.due = max(due, self.now + 1e-6)
-            self.at(node.due, lambda when=node.due: self._due(node, when))  # type: ignore[misc]
-
-    def _due(self, node: VirtualNode, when: float) -> None:
-        if node.due == when:
-            self._plan(node)
-
-    def _end(self, node: VirtualNode, run: Run, outcome: api.Outcome) -> None:
-        out = node.out.pop(run, None)
+            self._end_attempt(node, run, api.Outcome.OK)
+        next_completion = node.machine.next_end(self.now)
+        if next_completion < 1e9:
+            node.next_completion = max(next_completion, self.now + 1e-6)
+            self.at(
+                node.next_completion,
+                lambda due_time=node.next_completion: self._on_completion_due(node, due_time),  # type: ignore[misc]
+            )
+
+    def _on_completion_due(self, node: VirtualNode, due_time: float) -> None:
+        if node.next_completion == due_time:
+            self._complete_and_reschedule(node)
+
+    def _end_attempt(self, node: VirtualNode, run: Run, outcome: api.Outcome) -> None:
+        out = node.attempts.pop(run, None)
         if out is None:
             return
         if outcome is not api.Outcome.OK:
             node.machine.remove(run, self.now)
-            self._plan(node)
-        self.at(self.now, lambda: self._tell_end(out, outcome))
+            self._complete_and_reschedule(node)
+        self.at(self.now, lambda: self._report_end(out, outcome))
 
-    def _tell_end(self, out: _Out, outcome: api.Outcome) -> None:
-        if self.chooser is not None:
-            self.chooser.ended(out.asking, out.engine, outcome)
-            self._answer(out.asking, "OK" if outcome is api.Outcome.OK else "ABORTED")
+    def _report_end(self, out: _Attempt, outcome: api.Outcome) -> None:
+        if self.policy is not None:
+            self.policy.on_attempt_end(out.request, out.engine, outcome)
+            self._answer(out.request, "OK" if outcome is api.Outcome.OK else "ABORTED")
             return
-        took, work = self.now - out.at, out.asking.work if outcome is api.Outcome.OK else 0.0
-        self._step(out.place, dispatch.AttemptDone(out.request, out.attempt, outcome, took, work, 1.0))
+        elapsed, work = self.now - out.at, out.request.work if outcome is api.Outcome.OK else 0.0
+        self._step(
+            out.position,
+            dispatch.AttemptDone(out.request_number, out.attempt_number, outcome, elapsed, work, 1.0),
+        )
 
     # --- faults ---
 
-    def _strike(self, fault: Fault) -> None:
-        """Those of the kinds that have a meaning here; the others are the processes' to show."""
-        names = [f"s-{n:05d}".encode() for n in fault.who]
-        struck = [self.nodes[name] for name in names if name in self.nodes] if "node" in fault.kind else []
-        end = self.now + fault.length
+    def _inject(self, fault: Fault) -> None:
+        """Injects a fault. Kinds that need real processes or connections are ignored."""
+        names = [f"s-{n:05d}".encode() for n in fault.targets]
+        targets = [self.nodes[name] for name in names if name in self.nodes] if "node" in fault.kind else []
+        end = self.now + fault.duration
         if fault.kind == "node slow":
-            for node in struck:
-                self._pace(node, 2.0 + 8.0 * fault.size)
-                self.at(end, lambda node=node: self._pace(node, 1.0))  # type: ignore[misc]
+            for node in targets:
+                self._set_slowdown(node, 2.0 + 8.0 * fault.severity)
+                self.at(end, lambda node=node: self._set_slowdown(node, 1.0))  # type: ignore[misc]
         elif fault.kind == "node hang":
-            for node in struck:
-                self._hang(node, True)
-                self.at(end, lambda node=node: self._hang(node, False))  # type: ignore[misc]
+            for node in targets:
+                self._set_hung(node, True)
+                self.at(end, lambda node=node: self._set_hung(node, False))  # type: ignore[misc]
         elif fault.kind == "node errors":
-            for node in struck:
-                node.errs = True
-                self.at(end, lambda node=node: setattr(node, "errs", False))  # type: ignore[misc]
+            for node in targets:
+                node.fails_queries = True
+                self.at(end, lambda node=node: setattr(node, "fails_queries", False))  # type: ignore[misc]
         elif fault.kind in ("node crash", "node late", "node replaced"):
-            self._lose(struck, end, fault.kind == "node replaced")
+            self._replace_nodes(targets, end, fault.kind == "node replaced")
         elif fault.kind == "peers deaf":
-            self.deaf |= set(fault.who)
-            self.at(end, self.deaf.clear)
+            self.deaf_dispatchers |= set(fault.targets)
+            self.at(end, self.deaf_dispatchers.clear)
 
-    def _pace(self, node: VirtualNode, slow: float) -> None:
+    def _set_slowdown(self, node: VirtualNode, slowdown: float) -> None:
         node.machine.advance(self.now)
-        node.machine.slow = slow
-        self._plan(node)
+        node.machine.slow = slowdown
+        self._complete_and_reschedule(node)
 
-    def _hang(self, node: VirtualNode, on: bool) -> None:
+    def _set_hung(self, node: VirtualNode, is_hung: bool) -> None:
         node.machine.advance(self.now)
-        node.machine.hung = on
-        self._plan(node)
-
-    def _lose(self, struck: list[VirtualNode], end: float, drained: bool) -> None:
-        """They go, and come back cold under ids that are new; drained: each as its successor comes."""
-        gone = [api.EngineEntry(node.name, api.EngineState.REMOVED) for node in struck]
-        if drained:
-            self.drained |= {node.name for node in struck}
-            self.tell_list([api.EngineEntry(n.name, api.EngineState.DRAINING) for n in struck])
+        node.machine.hung = is_hung
+        self._complete_and_reschedule(node)
+
+    def _replace_nodes(self, targets: list[VirtualNode], end: float, is_graceful: bool) -> None:
+        """Removes the nodes and adds cold ones with new ids.
+
+        A graceful replacement adds the new nodes at once. The old nodes drain and leave the list at `end`.
+        Otherwise the old nodes crash at once and the new ones are added at `end`.
+        """
+        removed_entries = [api.EngineEntry(node.name, api.EngineState.REMOVED) for node in targets]
+        if is_graceful:
+            self.draining_nodes |= {node.name for node in targets}
+            self.update_list([api.EngineEntry(n.name, api.EngineState.DRAINING) for n in targets])
         else:
-            self.at(self.now + LATE_LIST, lambda: self.tell_list(gone))
-        for node in struck:
-            if not drained:
-                self._break(node)
-            fresh = b"n-" + node.name
-            back = self.now if drained else end
-            self.at(back, lambda fresh=fresh: self.tell_list([self._add(fresh, cold=True)]))  # type: ignore[misc]
-        if drained:
-            self.at(end, lambda: self.tell_list(gone))
-        for node in struck if drained else ():
-            self.at(end + 1.0, lambda node=node: self._break(node))  # type: ignore[misc]
-
-    def _break(self, node: VirtualNode) -> None:
-        node.gone = True
-        for run in list(node.out):
-            self._end(node, run, api.Outcome.RESET)
+            self.at(self.now + LIST_DELAY_S, lambda: self.update_list(removed_entries))
+        for node in targets:
+            if not is_graceful:
+                self._crash(node)
+            new_name = b"n-" + node.name
+            return_time = self.now if is_graceful else end
+            self.at(
+                return_time,
+                lambda name=new_name: self.update_list([self._add_node(name, cold=True)]),  # type: ignore[misc]
+            )
+        if is_graceful:
+            self.at(end, lambda: self.update_list(removed_entries))
+        for node in targets if is_graceful else ():
+            self.at(end + 1.0, lambda node=node: self._crash(node))  # type: ignore[misc]
+
+    def _crash(self, node: VirtualNode) -> None:
+        node.is_crashed = True
+        for run in list(node.attempts):
+            self._end_attempt(node, run, api.Outcome.RESET)
--- a/tests/processes/test_disks.py
+++ b/tests/processes/test_disks.py
@@ -1,4 +1,4 @@
-"""`saffronlane serve` on a disk that fails or lies: it serves on, and what it left starts the next one."""
+"""`saffronlane serve` on a faulty disk keeps serving, and the next process starts from the files left."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from gateways import write_config
 
 from saffronlane.lab.fleet.disks import Disk, DiskFault
-from saffronlane.lab.fleet.launch import Child
+from saffronlane.lab.fleet.launch import ChildProcess
 from saffronlane.lab.up import write_list
 
 FAULTS = [
@@ -30,81 +30,89 @@
 ]
 
 
-def until(child: Child, event: str, runs: int = 1, seconds: float = 20.0) -> dict[str, object]:
-    """The line of the log with that event, of that run. Fails where the process ends before."""
-    limit = time.monotonic() + seconds
-    while time.monotonic() < limit:
-        found = [line for line in child.lines() if line.get("event") == event]
-        if len(found) >= runs:
-            return found[-1]
-        assert child.running, child.log.read_text("utf-8", "replace")[-600:]
+def wait_for_event(
+    process: ChildProcess, event: str, min_occurrences: int = 1, timeout_s: float = 20.0
+) -> dict[str, object]:
+    """Waits until the log has this event often enough; returns its last record. Fails if the process exits."""
+    deadline = time.monotonic() + timeout_s
+    while time.monotonic() < deadline:
+        records = [line for line in process.log_records() if line.get("event") == event]
+        if len(records) >= min_occurrences:
+            return records[-1]
+        assert process.is_running, process.log_path.read_text("utf-8", "replace")[-600:]
         time.sleep(0.02)
-    raise AssertionError(f"no {event!r} in {seconds} s: {child.log.read_text('utf-8', 'replace')[-600:]}")
+    raise AssertionError(
+        f"no {event!r} in {timeout_s} s: {process.log_path.read_text('utf-8', 'replace')[-600:]}"
+    )
 
 
 @pytest.fixture(scope="module")
 def engine(tmp_path_factory: pytest.TempPathFactory) -> Iterator[str]:
-    """A stand-in engine as a process; its address."""
+    """Starts a stand-in engine as a process and yields its address."""
     tmp_path = tmp_path_factory.mktemp("engine")
     (tmp_path / "engine.json").write_text(json.dumps({"id": "e0", "cores": 4}))
     command = [sys.executable, "-m", "saffronlane", "lab", "engine", str(tmp_path / "engine.json")]
-    child = Child("engine", command, {}, tmp_path)
-    child.start()
+    process = ChildProcess("engine", command, {}, tmp_path)
+    process.start()
     try:
-        limit = time.monotonic() + 20.0
-        while not (told := [line for line in child.lines() if "address" in line]):
-            assert child.running and time.monotonic() < limit
+        deadline = time.monotonic() + 20.0
+        while not (records := [line for line in process.log_records() if "address" in line]):
+            assert process.is_running and time.monotonic() < deadline
             time.sleep(0.02)
-        yield str(told[0]["address"])
+        yield str(records[0]["address"])
     finally:
-        child.kill()
+        process.kill()
 
 
-def met(child: Child, fault: DiskFault) -> bool:
-    """Whether the fault has shown, where it is one that the gateway can see and tell."""
-    told = any(line.get("level") == "error" for line in child.lines())
-    return told or fault.kind not in ("half", "eio", "enospc")
+def has_fault_shown(process: ChildProcess, fault: DiskFault) -> bool:
+    """Whether the gateway has logged the fault, or cannot detect faults of this kind."""
+    has_logged_error = any(line.get("level") == "error" for line in process.log_records())
+    return has_logged_error or fault.kind not in ("half", "eio", "enospc")
 
 
-@pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f"{f.kind}-{f.op}")
-def test_a_gateway_serves_on_whatever_its_disk_does_and_starts_from_what_that_left(
+@pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: f"{fault.kind}-{fault.op}")
+def test_gateway_keeps_serving_with_disk_faults_and_restarts_from_the_files_they_left(
     tmp_path: Path, engine: str, fault: DiskFault
 ) -> None:
-    """Guards against a disk that ends a gateway, holds queries, or leaves a folder nothing starts from."""
+    """Guards against disk faults that stop a gateway, block queries, or prevent the next start."""
     write_list(tmp_path / "engines.json", [{"id": "e0", "address": engine}], 1)
     config = write_config(tmp_path, knowledge={"folder": "kept"})
     (tmp_path / "faults.json").write_bytes(msgspec.json.encode([fault]))
-    entry = [sys.executable, "-m", "saffronlane.lab.fleet.disks", str(tmp_path / "faults.json")]
-    struck = Child("struck", [*entry, "serve", str(config)], {}, tmp_path)
-    well = Child("well", [sys.executable, "-m", "saffronlane", "serve", str(config)], {}, tmp_path)
+    faulty_command = [sys.executable, "-m", "saffronlane.lab.fleet.disks", str(tmp_path / "faults.json")]
+    faulty_gateway = ChildProcess("faulty", [*faulty_command, "serve", str(config)], {}, tmp_path)
+    healthy_gateway = ChildProcess(
+        "healthy", [sys.executable, "-m", "saffronlane", "serve", str(config)], {}, tmp_path
+    )
     try:
-        for child, query_count in ((struck, 12), (well, 3)):
+        for process, query_count in ((faulty_gateway, 12), (healthy_gateway, 3)):
             queries = query_count
-            child.start()
-            port = until(child, "listening")["port"]
+            process.start()
+            port = wait_for_event(process, "listening")["port"]
             with adbc.connect(f"grpc://127.0.0.1:{port}", autocommit=True) as connection:
-                limit = time.monotonic() + 20.0
-                # A commit gathers what came meanwhile: how many queries make one is the machine's pace, so
-                # that the queries go on until the fault is met and not for a count of them.
-                while queries > 0 or (child is struck and not met(struck, fault)):
-                    assert time.monotonic() < limit, "the disk's faults met nothing"
+                deadline = time.monotonic() + 20.0
+                # A commit batches the changes since the last one, so that the number of commits for a number of
+                # queries depends on the speed of the machine. Queries are therefore sent until the fault occurs.
+                while queries > 0 or (
+                    process is faulty_gateway and not has_fault_shown(faulty_gateway, fault)
+                ):
+                    assert time.monotonic() < deadline, "the disk fault did not occur"
                     with connection.cursor() as cursor:
                         cursor.execute("SELECT 1 /* lab work=0.01 rows=3 */")
                         assert len(cursor.fetchall()) == 3
                     queries -= 1
-                    time.sleep(0.05)  # several commits, not one; no verdict hangs on it
-            assert child.running
-            child.kill()
+                    time.sleep(0.05)  # spreads the queries over several commits; no assertion depends on it
+            assert process.is_running
+            process.kill()
     finally:
-        struck.kill()
-        well.kill()
+        faulty_gateway.kill()
+        healthy_gateway.kill()
 
 
-def test_a_disk_counts_operations_and_refuses_kinds_that_there_are_not() -> None:
+def test_disk_applies_faults_by_operation_count_and_rejects_unknown_kinds() -> None:
     disk = Disk([DiskFault("lie", "sync", after=1, count=2)])
-    assert [disk.meets("sync") for _ in range(4)] == ["", "lie", "lie", ""]
-    assert disk.meets("write") == ""
+    assert [disk.next_fault("sync") for _ in range(4)] == ["", "lie", "lie", ""]
+    assert disk.next_fault("write") == ""
     with pytest.raises(OSError, match="space"):
-        Disk([DiskFault("enospc", "write")]).meets("write")
+        Disk([DiskFault("enospc", "write")]).next_fault("write")
     with pytest.raises(ValueError, match="melts"):
         Disk([DiskFault("melts", "sync")])
--- a/tests/processes/test_fleet_days.py
+++ b/tests/processes/test_fleet_days.py
@@ -1,4 +1,4 @@
-"""Days of a fleet: several processes of the real program, faults between them, rules audited from outside."""
+"""Fleets of real processes under injected faults, audited by the traffic outside the dispatchers."""
 
 from __future__ import annotations
 
@@ -6,38 +6,42 @@
 
 import pytest
 
-from saffronlane.lab.fleet.play import Played, play
-from saffronlane.lab.fleet.schedule import Fault, Schedule, draw
+from saffronlane.lab.fleet.play import RunResult, run_fleet
+from saffronlane.lab.fleet.schedule import Fault, Schedule, draw_schedule
 from saffronlane.lab.fleet.shape import FleetShape
 
-SECONDS = 8.0
+DURATION_S = 8.0
 
 
-def day(faults: tuple[Fault, ...], dispatchers: int = 8, nodes: int = 6, seed: int = 1) -> Played:
+def run_with_faults(
+    faults: tuple[Fault, ...], dispatchers: int = 8, nodes: int = 6, seed: int = 1
+) -> RunResult:
     shape = FleetShape(dispatchers, nodes, seed=seed)
-    return asyncio.run(play(shape, Schedule(seed, SECONDS, faults)))
+    return asyncio.run(run_fleet(shape, Schedule(seed, DURATION_S, faults)))
 
 
-def assert_kept(played: Played) -> None:
-    """No rule broke and no process ended. Guards what every day must hold, whatever struck it."""
-    assert not played.findings, "\n".join(map(str, played.findings[:10])) + f"\n{played.schedule.json()!r}"
-    assert played.measures.asked > 100
+def assert_no_findings(result: RunResult) -> None:
+    """Asserts that no rule was violated and no process exited unexpectedly, whatever the faults."""
+    assert not result.findings, "\n".join(map(str, result.findings[:10])) + f"\n{result.schedule.to_json()!r}"
+    assert result.measures.request_count > 100
 
 
-def test_a_day_without_faults_is_served() -> None:
-    played = day(())
-    assert_kept(played)
-    assert played.measures.served > 0.98
-    assert played.measures.messages > 0  # the relay stands between them
+def test_fleet_without_faults_serves_nearly_all_requests() -> None:
+    result = run_with_faults(())
+    assert_no_findings(result)
+    assert result.measures.served > 0.98
+    assert result.measures.messages > 0  # forwarded by the relay
 
 
-def test_most_dispatchers_killed_at_once_while_nodes_come_back_cold() -> None:
-    played = day((Fault(2.0, 1.5, "node crash", (0, 1)), Fault(2.5, 1.0, "kill", (0, 1, 2, 3, 4))))
-    assert_kept(played)
-    assert sum(e["kind"] == "killed" for e in played.events) == 5
+def test_fleet_keeps_the_rules_when_most_dispatchers_are_killed_while_nodes_restart_cold() -> None:
+    result = run_with_faults(
+        (Fault(2.0, 1.5, "node crash", (0, 1)), Fault(2.5, 1.0, "kill", (0, 1, 2, 3, 4)))
+    )
+    assert_no_findings(result)
+    assert sum(event["kind"] == "killed" for event in result.events) == 5
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
-def test_a_drawn_day_of_faults_in_pairs_keeps_the_rules(seed: int) -> None:
+def test_fleet_keeps_the_rules_under_random_overlapping_faults(seed: int) -> None:
     shape = FleetShape(10, 6, seed=seed)
-    assert_kept(asyncio.run(play(shape, draw(seed, SECONDS, 10, 6))))
+    assert_no_findings(asyncio.run(run_fleet(shape, draw_schedule(seed, DURATION_S, 10, 6))))
--- a/tests/test_fleet_lab.py
+++ b/tests/test_fleet_lab.py
@@ -1,4 +1,4 @@
-"""The fleet's own tools: schedules, shrinking, measures, audit; each must find what it looks for."""
+"""Tests of the fleet tools: schedules, shrinking, traffic, measures, audit and relay."""
 
 from __future__ import annotations
 
@@ -10,79 +10,81 @@
 import pytest
 
 from saffronlane.lab.fleet.audit import audit
-from saffronlane.lab.fleet.measures import herd, imbalance, quantile, recoveries
+from saffronlane.lab.fleet.measures import herd_index, imbalance, quantile, recovery_times
 from saffronlane.lab.fleet.record import Record
-from saffronlane.lab.fleet.relays import Relay, Weather
-from saffronlane.lab.fleet.schedule import KINDS, Fault, Schedule, draw, shrink
-from saffronlane.lab.fleet.shape import SORTS, FleetShape, draw_traffic
+from saffronlane.lab.fleet.relays import NetworkConditions, Relay
+from saffronlane.lab.fleet.schedule import FAULT_KINDS, Fault, Schedule, draw_schedule, shrink
+from saffronlane.lab.fleet.shape import QUERY_CLASSES, FleetShape, draw_traffic
 
 
-def test_a_schedule_is_drawn_alike_and_comes_back_from_its_json() -> None:
+def test_schedule_is_reproducible_for_a_seed_and_survives_a_json_round_trip() -> None:
     for seed in range(60):
-        drawn = draw(seed, 10.0, 12, 8, count=6)
-        assert drawn == draw(seed, 10.0, 12, 8, count=6)
-        assert Schedule.read(drawn.json()) == drawn
-        assert len(drawn.faults) == 6
-        for fault in drawn.faults:
-            assert fault.at + fault.length < 10.0 and fault.kind in KINDS
-            assert all(0 <= n < 12 for n in fault.who)
-    assert {f.kind for s in range(60) for f in draw(s, 10.0, 12, 8).faults} == set(KINDS)
+        schedule = draw_schedule(seed, 10.0, 12, 8, count=6)
+        assert schedule == draw_schedule(seed, 10.0, 12, 8, count=6)
+        assert Schedule.from_json(schedule.to_json()) == schedule
+        assert len(schedule.faults) == 6
+        for fault in schedule.faults:
+            assert fault.at + fault.duration < 10.0 and fault.kind in FAULT_KINDS
+            assert all(0 <= number < 12 for number in fault.targets)
+    assert {fault.kind for seed in range(60) for fault in draw_schedule(seed, 10.0, 12, 8).faults} == set(
+        FAULT_KINDS
+    )
     with pytest.raises(msgspec.ValidationError, match="seconds"):
-        Schedule.read(b'{"seed": 1, "faults": []}')
+        Schedule.from_json(b'{"seed": 1, "faults": []}')
 
 
-def test_a_failing_day_is_shrunk_to_the_two_faults_that_it_needs() -> None:
-    schedule = draw(3, 10.0, 12, 8, count=9)
+def test_shrink_keeps_only_the_faults_that_cause_the_failure() -> None:
+    schedule = draw_schedule(3, 10.0, 12, 8, count=9)
     needed = {schedule.faults[2], schedule.faults[7]}
-    tries = 0
+    call_count = 0
 
-    async def fails(day: Schedule) -> bool:
-        nonlocal tries
-        tries += 1
-        return needed <= set(day.faults)
+    async def fails(candidate: Schedule) -> bool:
+        nonlocal call_count
+        call_count += 1
+        return needed <= set(candidate.faults)
 
     found = asyncio.run(shrink(schedule, fails))
-    assert set(found.faults) == needed and tries < 40
+    assert set(found.faults) == needed and call_count < 40
 
 
-def test_traffic_is_the_same_for_a_seed_and_meets_the_load() -> None:
+def test_traffic_is_reproducible_for_a_seed_and_matches_the_requested_load() -> None:
     shape = FleetShape(20, 10, load=0.5, seed=4)
     found = draw_traffic(shape, 60.0)
     assert found == draw_traffic(shape, 60.0)
-    assert sum(a.work for a in found) / 60.0 == pytest.approx(0.5 * 10 * shape.cores, rel=0.15)
-    assert len({a.rid for a in found}) == len(found)
+    assert sum(request.work for request in found) / 60.0 == pytest.approx(0.5 * 10 * shape.cores, rel=0.15)
+    assert len({request.request_id for request in found}) == len(found)
 
 
-def test_imbalance_and_herds_tell_even_from_uneven() -> None:
+def test_imbalance_and_herd_index_detect_uneven_load() -> None:
     random = Random(1)
 
-    def sends(herded: bool) -> list[dict[str, object]]:
+    def attempts(has_herd: bool) -> list[dict[str, object]]:
         found = []
         for _ in range(4000):
             at = random.uniform(0.0, 10.0)
-            engine = "s0" if herded and 5.0 < at < 5.25 else f"s{random.randrange(20)}"
+            engine = "s0" if has_herd and 5.0 < at < 5.25 else f"s{random.randrange(20)}"
             found.append({"at": at, "engine": engine, "gateway": f"d{random.randrange(200)}", "work": 0.1})
         return found
 
-    even, uneven = sends(False), sends(True)
-    assert herd(even, 20) < 1.5
-    assert herd(uneven, 20) > 3.0
-    assert imbalance(even, 20, 10.0)[0] < 2.2
-    assert imbalance(uneven, 20, 10.0)[1] > 3.0
+    balanced, unbalanced = attempts(False), attempts(True)
+    assert herd_index(balanced, 20) < 1.5
+    assert herd_index(unbalanced, 20) > 3.0
+    assert imbalance(balanced, 20, 10.0)[0] < 2.2
+    assert imbalance(unbalanced, 20, 10.0)[1] > 3.0
     assert quantile([], 0.5) == 0.0 and quantile([1.0, 2.0, 3.0], 0.99) == 3.0
 
 
-def test_recovery_is_counted_from_the_end_of_the_fault() -> None:
-    worths = [(n / 10.0, 1.0, 0.0 if 3.0 <= n / 10.0 < 7.0 else 1.0) for n in range(200)]
-    days = Schedule(1, 20.0, (Fault(3.0, 1.0, "node crash", (0,)),))
-    (seconds,) = recoveries(worths, days).values()
+def test_recovery_time_starts_at_the_end_of_the_fault() -> None:
+    outcomes = [(number / 10.0, 1.0, 0.0 if 3.0 <= number / 10.0 < 7.0 else 1.0) for number in range(200)]
+    schedule = Schedule(1, 20.0, (Fault(3.0, 1.0, "node crash", (0,)),))
+    (seconds,) = recovery_times(outcomes, schedule).values()
     assert 2.5 <= seconds <= 3.25
-    never = [(at, worth, 0.0 if at > 3.0 else got) for at, worth, got in worths]
-    assert recoveries(never, days) == {"0 node crash": math.inf}
+    never = [(at, weight, 0.0 if at > 3.0 else weight_in_time) for at, weight, weight_in_time in outcomes]
+    assert recovery_times(never, schedule) == {"0 node crash": math.inf}
 
 
-def book(shape: FleetShape) -> Record:
-    """A record with one request that was asked and answered as it should."""
+def record_with_one_answer(shape: FleetShape) -> Record:
+    """Returns a record with one request that was answered correctly."""
     record = Record()
     record.events = [
         {
@@ -90,7 +92,7 @@
             "kind": "asked",
             "query": "q",
             "gateway": "d0",
-            "cls": SORTS[0].name,
+            "cls": QUERY_CLASSES[0].name,
             "key": "",
             "limit": 4.0,
             "work": 0.1,
@@ -100,30 +102,33 @@
     return record
 
 
-def test_the_audit_finds_what_it_is_there_to_find() -> None:
+def test_audit_reports_wrong_answers_overloads_and_unexpected_exits() -> None:
     shape = FleetShape(2, 2)
-    assert not audit(book(shape), shape, [])
-    twice = book(shape)
-    twice.events.append(twice.events[1] | {"at": 0.3})
-    assert [f.rule for f in audit(twice, shape, [])] == [1]
-    dropped = book(shape)
+    assert not audit(record_with_one_answer(shape), shape, [])
+    answered_twice = record_with_one_answer(shape)
+    answered_twice.events.append(answered_twice.events[1] | {"at": 0.3})
+    assert [finding.rule for finding in audit(answered_twice, shape, [])] == [1]
+    dropped = record_with_one_answer(shape)
     dropped.events[1] |= {"kind": "unreachable"}
-    assert [f.rule for f in audit(dropped, shape, [])] == [1]
+    assert [finding.rule for finding in audit(dropped, shape, [])] == [1]
     dropped.events.insert(1, {"at": 0.1, "kind": "killed", "gateway": "d0"})
-    assert not audit(dropped, shape, [])  # what a killed process held is its client's to retry
-    lost = book(shape)
+    assert not audit(dropped, shape, [])  # a request in flight at a killed process is for its client to retry
+    lost = record_with_one_answer(shape)
     del lost.events[1]
-    assert [f.rule for f in audit(lost, shape, [])] == [1]
+    assert [finding.rule for finding in audit(lost, shape, [])] == [1]
     lost.events.append({"at": 9.0, "kind": "killed", "gateway": "d0"})
-    assert [f.rule for f in audit(lost, shape, [])] == [1]  # it had answered long before, or should have
-    fell = book(shape)
+    # The kill comes long after the answer was due, so that it does not excuse the missing answer.
+    assert [finding.rule for finding in audit(lost, shape, [])] == [1]
+    fell = record_with_one_answer(shape)
     fell.events.append({"at": 1.0, "kind": "fell", "engine": "s", "incarnation": 1})
-    assert [f.rule for f in audit(fell, shape, [])] == [4]
-    assert [f.rule for f in audit(book(shape), shape, ["d1 has ended with 1"])] == [0]
+    assert [finding.rule for finding in audit(fell, shape, [])] == [4]
+    assert [
+        finding.rule for finding in audit(record_with_one_answer(shape), shape, ["d1 has ended with 1"])
+    ] == [0]
 
 
-def test_the_audit_knows_clients_that_left_cold_sums_and_late_starts() -> None:
-    """Each is shown by a mutation of a good record, next to the one that chance explains."""
+def test_audit_reports_sends_after_cancellation_cold_overload_and_late_starts() -> None:
+    """Changes a valid record step by step: first up to the tolerated limit, then past it."""
     shape = FleetShape(2, 2)
 
     def sent(query: str, at: float) -> dict[str, object]:
@@ -139,69 +144,75 @@
             "work": 0.1,
         }
 
-    left = book(shape)
-    for n in range(4):
-        left.events += [
+    cancelled = record_with_one_answer(shape)
+    for number in range(4):
+        cancelled.events += [
             {
                 "at": 1.0,
                 "kind": "asked",
-                "query": f"l{n}",
+                "query": f"l{number}",
                 "gateway": "d0",
-                "cls": SORTS[0].name,
+                "cls": QUERY_CLASSES[0].name,
                 "key": "",
                 "limit": 5.0,
                 "work": 0.1,
             },
-            {"at": 1.2, "kind": "left", "query": f"l{n}", "gateway": "d0"},
+            {"at": 1.2, "kind": "left", "query": f"l{number}", "gateway": "d0"},
         ]
-    assert not audit(left, shape, [])  # they are owed no answer
-    left.events += [sent("l0", 1.25), sent("l1", 1.5), sent("l2", 1.5)]
-    assert not audit(left, shape, [])
-    left.events.append(sent("l3", 1.5))
-    assert [f.rule for f in audit(left, shape, [])] == [1]
-
-    cold = book(shape)
-    about = {"capacity": shape.cores, "share": 0.35, "warm_after": 8.0, "multiple": 4.0, "window": 3.0}
-    cold.events.append({"at": 0.5, "kind": "cold", "engine": "s", "incarnation": 1} | about)
-    calls = 4.0 * shape.cores * (0.35 + 0.65 * 3.0 / 8.0) * 3.0 / shape.mean_work
-    most = int(calls + 2.0 * calls**0.5 + 2.0)
+    assert not audit(cancelled, shape, [])  # a cancelled request needs no answer
+    cancelled.events += [sent("l0", 1.25), sent("l1", 1.5), sent("l2", 1.5)]
+    assert not audit(cancelled, shape, [])
+    cancelled.events.append(sent("l3", 1.5))
+    assert [finding.rule for finding in audit(cancelled, shape, [])] == [1]
+
+    cold = record_with_one_answer(shape)
+    slow_start = {"capacity": shape.cores, "share": 0.35, "warm_after": 8.0, "multiple": 4.0, "window": 3.0}
+    cold.events.append({"at": 0.5, "kind": "cold", "engine": "s", "incarnation": 1} | slow_start)
+    expected_calls = 4.0 * shape.cores * (0.35 + 0.65 * 3.0 / 8.0) * 3.0 / shape.mean_work
+    max_calls = int(expected_calls + 2.0 * expected_calls**0.5 + 2.0)
     asked = cold.events[0] | {"at": 0.4}
-    for n in range(most):
-        named = {"query": f"c{n}", "attempt": "0", "engine": "s", "gateway": "d0", "incarnation": 1}
-        cold.events += [asked | {"query": f"c{n}"}, sent(f"c{n}", 0.5) | {"work": 1e-3}]
-        cold.events.append({"at": 0.6, "kind": "answer", "code": "OK", "promise": False} | named)
-    assert not [f for f in audit(cold, shape, []) if f.rule == 4]
+    for number in range(max_calls):
+        event_fields = {
+            "query": f"c{number}",
+            "attempt": "0",
+            "engine": "s",
+            "gateway": "d0",
+            "incarnation": 1,
+        }
+        cold.events += [asked | {"query": f"c{number}"}, sent(f"c{number}", 0.5) | {"work": 1e-3}]
+        cold.events.append({"at": 0.6, "kind": "answer", "code": "OK", "promise": False} | event_fields)
+    assert not [finding for finding in audit(cold, shape, []) if finding.rule == 4]
     cold.events += [sent("c0", 0.5) | {"work": 1e-3, "attempt": "1"}]
-    assert [f.rule for f in audit(cold, shape, []) if "calls while cold" in f.text] == [4]
+    assert [finding.rule for finding in audit(cold, shape, []) if "calls while cold" in finding.text] == [4]
 
-    late = book(shape)
-    for n in range(10):
-        late.events.append({"at": 0.0, "kind": "started", "gateway": f"d{n}"})
-        late.events.append({"at": 10.5 if n < 1 else 1.0, "kind": "ready", "gateway": f"d{n}"})
+    late = record_with_one_answer(shape)
+    for number in range(10):
+        late.events.append({"at": 0.0, "kind": "started", "gateway": f"d{number}"})
+        late.events.append({"at": 10.5 if number < 1 else 1.0, "kind": "ready", "gateway": f"d{number}"})
     assert not audit(late, shape, [])
     late.events.append({"at": 0.0, "kind": "started", "gateway": "d10"})
-    assert [f.rule for f in audit(late, shape, [])] == [0]
+    assert [finding.rule for finding in audit(late, shape, [])] == [0]
 
 
-def test_the_relay_drops_delays_doubles_and_spoils_by_sender_and_receiver() -> None:
+def test_relay_drops_delays_duplicates_and_corrupts_by_sender_and_receiver() -> None:
     async def run() -> None:
         relay = Relay([], [("127.0.0.1", 1)] * 3, ("127.0.0.1", 2), Random(1))
-        written: list[tuple[int, int, bytes]] = []
-        relay.write = lambda s, r, d: written.append((s, r, d))  # type: ignore[method-assign]
-        relay.weather = [Weather(frozenset({0}), frozenset({1}), drop=1.0)]  # one way only
+        forwarded: list[tuple[int, int, bytes]] = []
+        relay.write = lambda sender, receiver, data: forwarded.append((sender, receiver, data))  # type: ignore[method-assign]
+        relay.conditions = [NetworkConditions(frozenset({0}), frozenset({1}), drop=1.0)]  # one direction only
         for sender, receiver in ((0, 1), (1, 0), (0, 2)):
-            relay._weigh(sender, receiver, b"news")
-        assert written == [(1, 0, b"news"), (0, 2, b"news")]
-        written.clear()
-        relay.weather = [Weather(duplicate=1.0), Weather(corrupt=1.0)]
-        relay._weigh(0, 1, b"news")
-        assert len(written) == 2 and all(data != b"news" and len(data) == 4 for _, _, data in written)
-        written.clear()
-        relay.weather = [Weather(delay=0.01)]
-        relay._weigh(0, 1, b"late")
-        assert not written
+            relay._apply_conditions(sender, receiver, b"news")
+        assert forwarded == [(1, 0, b"news"), (0, 2, b"news")]
+        forwarded.clear()
+        relay.conditions = [NetworkConditions(duplicate=1.0), NetworkConditions(corrupt=1.0)]
+        relay._apply_conditions(0, 1, b"news")
+        assert len(forwarded) == 2 and all(data != b"news" and len(data) == 4 for _, _, data in forwarded)
+        forwarded.clear()
+        relay.conditions = [NetworkConditions(delay=0.01)]
+        relay._apply_conditions(0, 1, b"late")
+        assert not forwarded
         async with asyncio.timeout(2.0):
-            while not written:
+            while not forwarded:
                 await asyncio.sleep(0.002)
 
     asyncio.run(run())
