--- a/saffronlane/lab/fleet/nodes.py
+++ b/saffronlane/lab/fleet/nodes.py
@@ -38,10 +38,10 @@
 @dataclass(eq=False, slots=True)
 class _Connection:
     writer: asyncio.StreamWriter
-    is_dead: bool = False  # half open: input is ignored and nothing is sent
+    is_unresponsive: bool = False  # input is ignored and nothing is sent
 
     def send(self, *words: bytes) -> None:
-        if not self.is_dead and not self.writer.is_closing():
+        if not self.is_unresponsive and not self.writer.is_closing():
             self.writer.write(encode_command(*words))
 
     def reset(self) -> None:
@@ -69,7 +69,7 @@
         self._cores = shape.cores
         self.incarnation = 0
         self.machine = Machine(self._shape, -1e9)
-        self.hung = self.fails_queries = self.stalls_results = False
+        self.is_hung = self.fails_queries = self.stalls_results = False
         self.connection_count = 0
         self.queries: dict[Run, _Query] = {}
         self.open_connections: set[_Connection] = set()
@@ -89,7 +89,7 @@
         now = self.record.now()
         self.incarnation += cold
         self.machine = Machine(self._shape, now if cold else -1e9)
-        self.hung = self.fails_queries = self.stalls_results = False
+        self.is_hung = self.fails_queries = self.stalls_results = False
         self._server = await asyncio.start_server(self._serve, *self.address, backlog=1024)
         if cold:
             slow_start = {
@@ -125,7 +125,7 @@
     def make_half_open(self) -> None:
         """Makes every open connection half open without notice. New connections work."""
         for connection in self.open_connections:
-            connection.is_dead = True
+            connection.is_unresponsive = True
 
     def set_slowdown(self, slowdown: float) -> None:
         """Divides the speed of the node by this factor."""
@@ -136,7 +136,7 @@
     def set_hung(self, is_hung: bool) -> None:
         """Suspends all progress and replies, or resumes them. Connections and requests are still accepted."""
         self.machine.advance(self.record.now())
-        self.hung = self.machine.hung = is_hung
+        self.is_hung = self.machine.hung = is_hung
         self._complete_and_reschedule()
 
     # --- connections ---
@@ -153,7 +153,7 @@
                 commands, error = parser.feed(data)
                 if error is not None:
                     break
-                for words in commands if not connection.is_dead else ():
+                for words in commands if not connection.is_unresponsive else ():
                     self._on_command(connection, words)
         except (ConnectionError, asyncio.CancelledError):
             pass
@@ -185,7 +185,7 @@
                     if query.connection is connection and query.request_id == words[1]
                 ],
             )
-        elif words[0] in (b"alive", b"stats") and not self.hung:
+        elif words[0] in (b"alive", b"stats") and not self.is_hung:
             connection.send(words[1], b"FIT", b"-", b"")
 
     def _fetch(self, connection: _Connection, request_id: bytes, fields: bytes) -> None:
@@ -237,14 +237,14 @@
 
     def _send_result(self, query: _Query) -> None:
         event_fields, connection = query.event_fields, query.connection
-        if connection.is_dead or connection.writer.is_closing():
+        if connection.is_unresponsive or connection.writer.is_closing():
             self.record.add("lost", **event_fields)
             return
         fields = b"sheets=1,toil=%d,room=1" % round(1e3 * query.run.work)
         if self.stalls_results:  # sends half of a result and then nothing more on this connection
             reply = encode_command(query.request_id, b"DONE", fields, ROWS)
             connection.writer.write(reply[: len(reply) // 2])
-            connection.is_dead = True
+            connection.is_unresponsive = True
             self.record.add("lost", **event_fields)
             return
         self.record.add("answered", **event_fields)
--- a/tests/processes/test_disks.py
+++ b/tests/processes/test_disks.py
@@ -33,7 +33,7 @@
 def wait_for_event(
     process: ChildProcess, event: str, min_occurrences: int = 1, timeout_s: float = 20.0
 ) -> dict[str, object]:
-    """Waits until the log has this event often enough; returns its last record. Fails if the process exits."""
+    """Waits until the log has enough records of this event; returns the last. Fails if the process exits."""
     deadline = time.monotonic() + timeout_s
     while time.monotonic() < deadline:
         records = [line for line in process.log_records() if line.get("event") == event]
@@ -90,8 +90,8 @@
             port = wait_for_event(process, "listening")["port"]
             with adbc.connect(f"grpc://127.0.0.1:{port}", autocommit=True) as connection:
                 deadline = time.monotonic() + 20.0
-                # A commit batches the changes since the last one, so that the number of commits for a number of
-                # queries depends on the speed of the machine. Queries are therefore sent until the fault occurs.
+                # A commit batches the changes since the last one, so that the number of queries per commit
+                # depends on the speed of the machine. Queries are therefore sent until the fault occurs.
                 while queries > 0 or (
                     process is faulty_gateway and not has_fault_shown(faulty_gateway, fault)
                 ):
