--- a/saffronlane/lab/audit.py
+++ b/saffronlane/lab/audit.py
@@ -1,16 +1,19 @@
 """Checks the guarantees of the gateways against recorded traffic.
 
-The audit uses only what engines and clients observed on their sockets, never a gateway's own account. It
-checks seven rules:
+The audit uses only what engines and clients observed on their sockets, never what a gateway reports about
+itself. It checks seven rules:
 
 1. Every query gets exactly one final answer within the client's time limit, and is not dispatched afterwards.
 2. A query that is not safe to repeat runs at most once. An unsafe query is retried only if it certainly did
    not run, and a keyed query only while its idempotency key is remembered. An unsafe query that ran is not
    rejected as safe to retry. Without hedged requests, attempts of one query never overlap.
-3. A gateway dispatches nothing to an engine that it was told is draining, apart from a short grace period.
-4. All gateways together send a cold engine less work than makes it crash from overload.
+3. Once the endpoint list has shown an engine as draining or removed, a gateway dispatches nothing more to it
+   after a short grace period.
+4. The work that all gateways together send to a cold engine stays below the amount at which the engine
+   crashes from overload.
 5. Queries with the same ordering key at one gateway run one at a time, in the order of their arrival.
-6. Queries of a class that is restricted to zones or machine types are dispatched only to these.
+6. Queries of a class that is restricted to zones or machine types are dispatched only to engines in these
+   zones and of these machine types.
 7. The retries of a gateway stay within its retry budget in every window.
 
 The record is a list of events, each with a time (`at`, in seconds on one clock) and a `kind`:
@@ -19,13 +22,16 @@
   `discarded` (a repeat of a keyed query that already ran), `ran` (it started to run, so its side effect
   counts), `stopped` (cancelled while it ran), `answered`, `lost` (it ran, but its answer was never sent),
   `cut` (the stream was reset in the middle of the result), `error` (it failed without having run). Each has
-  engine, incarnation, gateway, request, attempt, key, query and work.
-- Events from the clients: `asked` (a client submitted a query; the event has query, gateway, cls, key, and
-  limit, the time at which the client times out), `answer` (query, gateway, code, retry_after), `unreachable`
-  (the gateway was down).
-- Events from the scenario: `list` (a gateway was told the state of an engine), `cold` (an engine started
-  cold; the event has capacity, share, warm_after, multiple and window), `place` (zone and machine type of an
-  engine), `fell` (a cold engine crashed from overload), `killed` (a gateway process ended).
+  engine, incarnation, gateway, request, attempt, key (the idempotency key), query and work. In addition,
+  `fell` (a cold engine crashed from overload) has engine only.
+- Events from the clients: `asked` (a client submitted a query; the event has query, gateway, cls, key, work
+  and limit, where key is the ordering key and limit the time at which the client times out), `answer` (the
+  event has query, gateway, code, promise and retry_after, where promise is true if the status has a retry
+  delay, and retry_after is that delay), `unreachable` (the gateway was down).
+- Events from the scenario: `list` (the endpoint list showed a gateway the state of an engine), `cold` (an
+  engine started cold; the event has capacity, share, warm_after, multiple and window, which describe the
+  engine as in `model.EngineShape`), `place` (zone and machine type of an engine), `killed` (a gateway process
+  ended, by a kill or a regular stop).
 """
 
 from __future__ import annotations
@@ -90,7 +96,7 @@
 
 @dataclass(slots=True)
 class Report:
-    """The result of an audit: all violations in the order of time, and the results of each query class."""
+    """The result of an audit: all violations sorted by time, and the results of each query class."""
 
     violations: list[Violation]
     rows: list[ClassRow]
@@ -106,9 +112,9 @@
 
     Args:
         record: The events, in any order.
-        settings: Settings of the gateways, which differ only in their position.
-        state_persists: Whether gateways keep their learned state across restarts. If so, they are accountable
-            for what they did before a restart.
+        settings: Settings of any one gateway. The settings that the rules use are the same for all gateways.
+        state_persists: Whether gateways keep their learned state across restarts. If so, what a gateway did
+            before a restart counts in rules 5 and 7 as if it had not restarted.
     """
 
     def __init__(self, record: list[Event], settings: api.Settings, state_persists: bool = False) -> None:
@@ -145,7 +151,7 @@
                 self.refused_attempts.add((query, event["attempt"], event["engine"]))
 
     def run(self) -> Report:
-        """Check all rules. The report has the violations in the order of time and a row for each class."""
+        """Check all rules, and return the violations and the results of each query class."""
         for check in (
             self.check_single_answer,
             self.check_side_effects,
@@ -201,7 +207,7 @@
                 )
 
     def check_side_effects(self) -> None:
-        """Rule 2: no repeated side effects, no rejection of a query that ran, no overlapping attempts."""
+        """Rule 2: no repeated side effects, no retryable rejection after an unsafe query ran, no overlaps."""
         for query, submission in self.submissions.items():
             query_class, executions = self._class_settings(query), self.executions[query]
             if query_class is None:
@@ -261,7 +267,7 @@
                 self.add_violation(2, following["at"], text)
 
     def check_drains(self) -> None:
-        """Rule 3: no dispatch to an engine after the grace period of its drain has passed."""
+        """Rule 3: no dispatch to a draining or removed engine after the grace period."""
         grace = self.settings.guarantees.drain_grace_period + CLOCK_SLACK
         drain_times: dict[tuple[str, str], float] = {}  # by (gateway, engine)
         for event in self.record:
@@ -277,7 +283,7 @@
                     delay = event["at"] - drained_at
                     text = (
                         f"query {event['query']} was dispatched to engine {event['engine']} {delay:.3f} s"
-                        " after the gateway was told of its drain"
+                        " after the endpoint list showed the engine as draining or removed"
                     )
                     self.add_violation(3, event["at"], text)
 
@@ -306,8 +312,9 @@
                 sends[engine].append((event["at"], event["work"], was_told))
                 limit = start["multiple"] * start["capacity"] * share * start["window"]
                 total = sum(work for _, work, _ in sends[engine])
-                # A gateway that was not told of the cold start cannot limit its load. The rule counts as
-                # violated only if at least two thirds of the work came from gateways that were told.
+                # A gateway that was not told of the cold start cannot limit the work that it sends. The
+                # rule counts as violated only if at least two thirds of the work came from gateways that
+                # were told.
                 gateways_at_fault = (
                     sum(work for _, work, was_told in sends[engine] if was_told) >= total * 2.0 / 3.0
                 )
@@ -370,7 +377,9 @@
         for dispatch in dispatches:
             end = self.attempt_ends.get((earlier, dispatch["attempt"], dispatch["engine"]))
             if end is None or end["kind"] == "lost":
-                continue  # The gateway saw a timeout or a cancellation, which the answers show.
+                # The gateway ended this attempt by a timeout or a cancellation. Only the answers to the
+                # clients show when.
+                continue
             required_gap = cooldown if end["kind"] in UNCERTAIN_ENDS else 0.0
             if at < end["at"] + required_gap - CLOCK_SLACK:
                 text = (
@@ -415,13 +424,11 @@
             elif event["kind"] == "sent" and event.get("query") and int(event["attempt"] or 0) > 0:
                 retry_times[event["gateway"]].append(event["at"])
         for gateway, times in retry_times.items():
-            process_start = (
-                float("-inf") if self.state_persists else self.kill_times.get(gateway, float("-inf"))
-            )
+            last_kill = float("-inf") if self.state_persists else self.kill_times.get(gateway, float("-inf"))
             for at in times:
                 since = at - guarantees.retry_budget_window
-                if since < process_start < at:
-                    since = process_start  # A restarted process without its state counts from its start.
+                if since < last_kill < at:
+                    since = last_kill  # Without its learned state, a gateway counts only since its restart.
                 retries = sum(since < t <= at for t in times)
                 submissions = sum(
                     since - CLOCK_SLACK < t <= at + CLOCK_SLACK for t in submission_times[gateway]
--- a/saffronlane/lab/clients.py
+++ b/saffronlane/lab/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a scenario: the project's own client, which sees every status, and the ADBC driver."""
+"""Clients of a scenario: the project's own client, which records the exact status, and the ADBC driver."""
 
 from __future__ import annotations
 
@@ -112,7 +112,9 @@
                     self._channel.close()
                 channel = Channel("127.0.0.1", self._gateway.port)
                 await channel.connect(0.5)
-                for _ in range(50):  # The gateway's SETTINGS frame states the limit of concurrent calls.
+                # The channel becomes usable with the gateway's SETTINGS frame, which sets the limit of
+                # concurrent calls.
+                for _ in range(50):
                     if channel.usable:
                         break
                     await asyncio.sleep(0.01)
@@ -120,7 +122,7 @@
             return self._channel
 
     async def submit(self, query: Query) -> None:
-        """Submit a query, and retry it with the same idempotency key while its gateway is unreachable."""
+        """Submit a query. Retry it with the same idempotency key if its gateway is unreachable."""
         for _ in range(query.max_retries + 1):
             if await self._submit_once(query):
                 return
@@ -157,7 +159,7 @@
         status = await self._read_status(call, query.timeout)
         at = self._loop.time()
         if status is None:
-            return True  # The audit finds the missing answer.
+            return True  # No answer is recorded, which the audit reports as a violation.
         if call.ending is not None and call.ending.value in ("lost", "unprocessed", "reset"):
             self._record_unreachable(query, at)
             return False
@@ -224,6 +226,7 @@
             self._call_on_loop(self._record_answer, query, time.monotonic(), Status(Code.OK))
         except Error as error:
             text = str(error)
+            # The status code is read from the name that the driver puts into the text of its error.
             code = next(
                 (c for c in Code if c.name.replace("_", "") in text.upper().replace("_", "")), Code.UNKNOWN
             )
--- a/saffronlane/lab/day.py
+++ b/saffronlane/lab/day.py
@@ -1,8 +1,8 @@
 """Plays a scenario of load and faults (a "day") over real sockets.
 
-The engines and the clients run in this process, and each gateway runs in its own. All that engines and
-clients observe on their sockets is recorded, and `audit` checks the record against the guarantees of the
-gateways.
+The engines and the clients run in this process, and each gateway runs in a process of its own. All that
+engines and clients observe on their sockets is recorded, and `audit` checks the record against the
+guarantees of the gateways.
 """
 
 from __future__ import annotations
@@ -79,7 +79,9 @@
         pointer = f"/faults/{index}"
         if fault["fault"] in ("kill", "stop"):
             if not 0 <= fault.get("gateway", -1) < raw.get("gateways", 1):
-                problems.append(Problem(pointer, "kill and stop need `gateway`, an index that starts at 0"))
+                problems.append(
+                    Problem(pointer, "kill and stop need `gateway`, the index of a gateway (from 0)")
+                )
         elif fault["fault"] != "list-broken" and fault.get("engine") not in (*ids, "*"):
             problems.append(
                 Problem(
@@ -93,7 +95,7 @@
 
 
 def gateway_settings(raw: dict[str, Any], position: int) -> dict[str, Any]:
-    """Build the settings of the gateway at an index.
+    """Build the settings of one gateway.
 
     Args:
         raw: The content of the scenario file.
@@ -117,7 +119,7 @@
 
 
 def expand_engines(engines: list[dict[str, Any]]) -> list[tuple[str, dict[str, Any]]]:
-    """Return the id and the entry of each engine. An entry with a count stands for several engines."""
+    """Return the id and the entry of each engine. An entry with a `count` describes several engines."""
     expanded = []
     for entry in engines:
         count = entry.get("count", 1)
@@ -132,7 +134,7 @@
     Args:
         day: The scenario.
         folder: Directory of the endpoint list file.
-        record_event: Called with every event that the audit needs.
+        record_event: Called with every event of the engines and the endpoint list.
 
     Attributes:
         engines: The engines by id.
@@ -168,7 +170,7 @@
         self.publish()
 
     def publish(self) -> None:
-        """Write the endpoint list. The gateways have read it one poll interval later."""
+        """Write the endpoint list, and record its content as events for each gateway."""
         self._version += 1
         records = []
         for name, state in self.states.items():
@@ -185,8 +187,8 @@
         now = self._loop.time()
         for gateway in range(self._gateway_count):
             for name, state in self.states.items():
-                # A gateway reads the list at an unknown time within one poll interval. The record gives it
-                # the whole interval to learn that an engine is no longer ready.
+                # A gateway reads the list at an unknown time within one poll interval. For an engine that is
+                # no longer ready, the recorded time is the end of that interval, the latest possible one.
                 told_at = now if state == "ready" else now + LIST_POLL_INTERVAL
                 event = {
                     "at": told_at,
@@ -325,7 +327,7 @@
 
 
 def draw_queries(day: Day) -> list[tuple[float, Query]]:
-    """Generate all queries of a scenario with their arrival times, in order.
+    """Generate all queries of a scenario with their arrival times, sorted by arrival.
 
     The result depends only on the scenario and its seed.
     """
--- a/saffronlane/lab/engine.py
+++ b/saffronlane/lab/engine.py
@@ -3,6 +3,8 @@
 A comment in the query text sets the resources that the query uses and the size of its result:
 `/* lab work=0.2 threads=2 memory=100 rows=5 batches=1 */`. Work is in seconds of one thread, memory in MB.
 The result has `batches` record batches of `rows` rows each.
+
+The engine stores no statements: its tickets and statement handles are the query texts themselves.
 """
 
 from __future__ import annotations
@@ -44,7 +46,7 @@
         threads: Number of threads.
         memory: Memory in MB.
         rows: Rows of each record batch, or the record count of an update.
-        batches: Record batches of the result.
+        batches: Number of record batches in the result.
     """
 
     work: float = 0.002
@@ -55,7 +57,7 @@
 
     @classmethod
     def parse(cls, text: str) -> QueryOptions:
-        """Parse the options in a query text. Options that are missing have their defaults."""
+        """Parse the options in a query text. Missing options have their default values."""
         match = _OPTIONS_COMMENT.search(text)
         pairs = (part.split("=", 1) for part in (match.group(1).split() if match else ()) if "=" in part)
         return cls(**{k: float(v) for k, v in pairs if k in cls.__dataclass_fields__})
@@ -111,8 +113,8 @@
 
     Args:
         config: The engine's configuration.
-        record_event: Called with an event for the arrival, the start and the end of every query, as observed
-            on the engine's sockets.
+        record_event: Called with an event for the arrival, the start and the end of every query, and with one
+            event if the engine crashes from overload.
         keyed_results: Results of the idempotency keys that the engine remembers. Engines that share this
             dictionary recognize each other's keys.
     """
@@ -144,7 +146,7 @@
     # --- lifecycle ---
 
     def start(self, cold: bool = False) -> None:
-        """Start to listen. A cold engine has only a part of its capacity at first."""
+        """Start to listen. A cold engine starts with a part of its capacity and warms up."""
         import time
 
         self.incarnation += 1
@@ -270,6 +272,7 @@
         await call.write(flight.Result(body=packed_result.SerializeToString()).SerializeToString())
 
     async def _list_actions(self, call: ServerCall) -> None:
+        """Answer a probe request: an empty list of actions, and a load report in the trailers."""
         await self._block_while_half_open(call)
         call.trailers = ((orca.TRAILER, self._load_report(0.0, 0.0)),)
 
@@ -349,7 +352,8 @@
             ).SerializeToString()
         if self.faults.report != "stale" or self._last_reported_active is None:
             self._last_reported_active = float(len(machine.running) + len(machine.queue))
-        active = self._last_reported_active  # A stale report repeats the value from the start of the fault.
+        # A stale report repeats the value of the last report before the fault.
+        active = self._last_reported_active
         threads = sum(run.threads for run in machine.running)
         return OrcaLoadReport(
             cpu_utilization=min(1.0, threads / machine.shape.cores),
@@ -388,7 +392,7 @@
             call.write_now(orca.encode_progress_report(kind, amount))
 
     def _schedule(self) -> None:
-        """Complete the queries that have finished, and set the timer to the next end of a query."""
+        """Resolve the futures of the finished queries, and set the timer for the next query to finish."""
         for run in self.machine.collect():
             end = self._run_ends.get(id(run))
             if end is not None and not end.done():
--- a/saffronlane/lab/model.py
+++ b/saffronlane/lab/model.py
@@ -14,11 +14,12 @@
     Attributes:
         cores: Number of cores.
         memory_mb: Memory in MB.
-        speed: Work of one core per second, in seconds of one thread.
+        speed: Seconds of work that one core does per second.
         cold_share: Share of the capacity that is available right after a cold start.
         warm_after: Seconds from a cold start until the full capacity is available.
-        fall_multiple: A cold engine crashes from overload if it gets more work in `fall_window` than this
-            multiple of its capacity in that time; 0 if it never crashes.
+        fall_multiple: A cold engine crashes from overload if the work that arrives within `fall_window`
+            exceeds this multiple of the work that its current capacity can do in that time; 0 if it never
+            crashes.
         fall_window: Window of `fall_multiple`, in seconds.
         knee: Threads per core above which the total throughput drops.
         thrash: Loss of throughput above the knee: the throughput is divided by 1 plus this value times the
@@ -62,13 +63,15 @@
 
 @dataclass(slots=True, eq=False)
 class Machine:
-    """Processor sharing: threads share the cores evenly, and queries that exceed the memory wait in a queue.
+    """Processor sharing: threads share the cores evenly, and queries wait in a queue until memory is free.
+
+    A query that needs more memory than the engine has starts once no other query is running.
 
     Attributes:
         shape: Capacity of the engine.
         started: Start time of the engine.
         slowdown: Factor on all run times, set by fault injection.
-        hung: Whether all work stands still, set by fault injection.
+        hung: Whether no query makes progress, set by fault injection.
         has_crashed: Whether the engine has crashed from overload while cold.
         running: The running queries.
         queue: The queries that wait for memory.
@@ -106,7 +109,10 @@
         return 0.0 if self.hung or not threads else min(core_capacity, throughput / threads)
 
     def collect(self) -> list[Run]:
-        """Return the queries that have finished since the last call, whichever method advanced the time."""
+        """Return the queries that have finished since the last call of this method.
+
+        Every method that advances the time can finish queries, so they are collected here.
+        """
         finished, self.finished = self.finished, []
         return finished
 
@@ -167,7 +173,7 @@
         if rate <= 0.0 or not self.running:
             return math.inf
         shortest = min((run.work - run.done) / run.threads for run in self.running)
-        # The capacity grows while the engine is cold, so queries finish earlier than predicted: check again
-        # soon, so that no end is noticed late.
+        # The capacity grows while the engine is cold, so queries finish earlier than predicted here. The
+        # limit of 0.05 s bounds the delay until their end is noticed.
         delay = max(0.0, shortest / rate)
         return now + (min(delay, 0.05) if now - self.started < self.shape.warm_after else delay)
--- a/saffronlane/lab/up.py
+++ b/saffronlane/lab/up.py
@@ -40,7 +40,7 @@
         level: The gateway's log level.
         process: The child process; None before the first start.
         port: The port on which the gateway listens; 0 before the first start.
-        log_events: The first 20,000 lines of the gateway's log.
+        log_events: The first 20,000 lines of the gateway's log, decoded from JSON.
     """
 
     def __init__(self, config: Path, level: str = "info") -> None:
@@ -77,7 +77,9 @@
             if log_event.get("event") == "listening" and not listening_port.done():
                 listening_port.set_result(log_event["port"])
         if not listening_port.done():
-            listening_port.set_exception(RuntimeError(f"the gateway did not start: {last_line}"))
+            listening_port.set_exception(
+                RuntimeError(f"the gateway process ended before it listened; last log line: {last_line}")
+            )
 
     def send(self, signal_number: signal.Signals) -> None:
         """Send a signal to the process if it is running."""
@@ -109,7 +111,7 @@
 async def run_engine(config: EngineConfig) -> None:
     """Run one stand-in engine until SIGTERM or SIGINT.
 
-    The first line on standard output is JSON with its id, address and process id.
+    The first line on standard output is JSON with the engine's id, address and process id.
     """
     engine = StandInEngine(config)
     engine.start()
@@ -121,7 +123,8 @@
 async def run_up(engines: int, gateways: int) -> None:
     """Run stand-in engines and gateways until SIGTERM or SIGINT.
 
-    The first line on standard output is JSON with their addresses and process ids.
+    The first line on standard output is JSON with the addresses of all engines and gateways and the
+    ids of all processes.
     """
     with tempfile.TemporaryDirectory(prefix="saffronlane-") as name:
         folder = Path(name)
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -41,9 +41,9 @@
     return event | {"work": 0.1, "limit": at + timeout}
 
 
-def answer(query: str, at: float, code: str = "OK", promise: bool = False) -> Event:
+def answer(query: str, at: float, code: str = "OK", has_retry_delay: bool = False) -> Event:
     event = {"at": at, "kind": "answer", "query": query, "gateway": "0", "code": code}
-    return event | {"promise": promise, "retry_after": 0.5 if promise else None}
+    return event | {"promise": has_retry_delay, "retry_after": 0.5 if has_retry_delay else None}
 
 
 def engine_event(
@@ -69,7 +69,7 @@
 
 def test_correct_record_passes_and_its_queries_are_counted_by_result() -> None:
     record = [submission("a", 0.0), *execution("a", 0.1), answer("a", 0.3)]
-    record += [submission("b", 1.0), answer("b", 1.1, "UNAVAILABLE", promise=True)]
+    record += [submission("b", 1.0), answer("b", 1.1, "UNAVAILABLE", has_retry_delay=True)]
     record += [submission("c", 2.0), *execution("c", 2.0, 0.9), answer("c", 3.0)]
     report = Audit(record, SETTINGS).run()
     assert report.passed
@@ -130,7 +130,7 @@
     record = [
         submission("a", 0.0, "unsafe"),
         *execution("a", 0.1),
-        answer("a", 0.5, "UNAVAILABLE", promise=True),
+        answer("a", 0.5, "UNAVAILABLE", has_retry_delay=True),
     ]
     assert violated_rules(record) == [2]
     assert violated_rules([*record[:-1], answer("a", 0.5, "ABORTED")]) == []
@@ -179,7 +179,7 @@
         "incarnation": 1,
     }
     record: list[Event] = [cold_start(1.0), start_listed]
-    for n in range(3):  # 3 s of work; the engine tolerates 2 x 4 x 0.25 x 1 s
+    for n in range(3):  # 3 s of work; at the cold start, the limit is 2 x 4 x 0.25 x 1 s = 2 s
         sent = engine_event("sent", f"q{n}", 1.05 + n / 100, work=1.0)
         record += [submission(f"q{n}", 1.0), sent, answer(f"q{n}", 1.5)]
     assert violated_rules(record) == [4]
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -41,7 +41,7 @@
     processes = {}
     stateless = json.loads(shipped("restarts").read_text())
     del stateless["gateway"]["knowledge"]
-    stateless["gateway"]["rules"]["order_settle_s"] = 4.0  # longer than any restart in this scenario takes
+    stateless["gateway"]["rules"]["order_settle_s"] = 4.0  # cooldowns outlast every restart
     (folder / "stateless.json").write_text(json.dumps(stateless))
     for day in (*DAYS, str(folder / "stateless.json")):
         name = Path(day).stem
@@ -118,7 +118,9 @@
     assert lookup["refused"] / lookup["asked"] < report["refused"] / report["asked"]
 
 
-def test_stopped_gateway_exits_with_status_0(results: dict[str, Result]) -> None:
+def test_killed_gateway_ends_by_signal_9_and_stopped_gateway_exits_with_status_0(
+    results: dict[str, Result],
+) -> None:
     ended = [e for e in results["gateway-kill"][3] if e["kind"] == "ended"]
     assert {e["gateway"]: e["code"] for e in ended} == {"0": -9, "1": 0}
 
