--- a/saffronlane/groups/schedule.py
+++ b/saffronlane/groups/schedule.py
@@ -1,9 +1,9 @@
 """Schedules: time windows that change weights and limits, with cron starts, time zones, seasons and dates.
 
-Callers pass times as aware datetimes. Nothing here reads a clock. Starts follow cron's own rules on days on
-which the clocks change (see cronsim): a start within the skipped hour comes right after it, and a start
-within the repeated hour comes once. A window then lasts its number of seconds, whatever local time does
-meanwhile.
+Callers pass times as aware datetimes. Nothing here reads a clock. On days on which the clocks change, starts
+follow cron's own rules (see cronsim). If a start falls into the skipped hour, the window starts right after
+that hour. If it falls into the repeated hour, the window starts only once. A window always lasts for its
+duration in elapsed seconds, even if the clocks change in the meantime.
 """
 
 from __future__ import annotations
@@ -21,25 +21,29 @@
 GroupPath = tuple[str, ...]
 Changes = Mapping[GroupPath, Mapping[str, float]]
 CHANGEABLE_FIELDS = frozenset(f.name for f in fields(GroupSpec)) - {"name", "children", "each", "most"}
-# The maximum numbers of starts that are examined before and after a moment. A window that is longer than
-# MAX_PAST_STARTS of its periods is always active.
+# The maximum numbers of starts that are examined before and after a moment. If the season and the days
+# exclude all of the last MAX_PAST_STARTS starts, the window counts as inactive, even if an earlier start is
+# still in effect.
 MAX_PAST_STARTS = 1000
 MAX_FUTURE_STARTS = 100_000
 
 
 @dataclass(frozen=True, slots=True)
 class Window:
-    """One rule of a schedule. If two active windows change the same field, the later in the list applies.
+    """A rule of a schedule that changes fields of groups for some time after each start.
+
+    If two active windows change the same field of a group, the window that is later in the list applies.
 
     Attributes:
         name: A unique name, for display.
         cron: A cron expression of five fields that gives the starts of the window.
-        seconds: The duration of the window.
+        seconds: The duration of the window in seconds.
         zone: The time zone of the starts, the season and the days.
         season: The first and the last day of the year on which the window may start, as (month, day). A
             season may span the new year. If it is None, the window may start on any day of the year.
         days: The only dates on which the window may start. If it is empty, dates are not restricted.
-        changes: The `GroupSpec` fields that the window changes, with their values, by the path of the group.
+        changes: Pairs of the path of a group and the `GroupSpec` fields that the window changes there. Each
+            field is a pair of its name and its new value.
     """
 
     name: str
@@ -69,12 +73,13 @@
                     return
                 yield start
         except CronSimError:
-            return  # no start in the next decades
+            return  # the expression is invalid, or contains only dates that do not exist
 
     def active_until(self, when: datetime) -> datetime | None:
         """Returns the end of this window in UTC if the window is active at a moment, otherwise None."""
         duration = timedelta(seconds=self.seconds)
         when_utc = when.astimezone(UTC)
+        # A backward iteration excludes its own origin. One second later includes a start at `when` itself.
         for start in self._starts(when + timedelta(seconds=1), backward=True):
             start_utc = start.astimezone(UTC)
             if start_utc + duration <= when_utc:
@@ -99,10 +104,10 @@
     """A time interval within which the set of active windows does not change.
 
     Attributes:
-        begin: The begin of the interval in UTC.
+        begin: The start of the interval in UTC.
         end: The end of the interval in UTC.
         active_windows: The names of the active windows, in the order of the schedule.
-        conflicts: One text for each field that one active window overrides in another.
+        conflicts: One text for each change of an active window that a later active window overrides.
     """
 
     begin: datetime
@@ -115,7 +120,8 @@
     """Returns the tree with some fields of one group replaced.
 
     Raises:
-        KeyError: The tree has no group of this path. The argument of the error names the missing group.
+        KeyError: The tree has no group of this path. The argument of the error is the rest of the path, from
+            the missing group on.
     """
     if not path:
         return replace(spec, **values)  # type: ignore[arg-type]
@@ -136,7 +142,7 @@
 
 
 def next_change(windows: Sequence[Window], when: datetime, latest: datetime) -> datetime:
-    """Returns the next time after `when` at which the tree may change, or `latest` if that is earlier."""
+    """Returns the next time after `when` at which the tree may change, or `latest` if none is earlier."""
     times = [latest.astimezone(UTC)]
     for window in windows:
         end = window.active_until(when)
--- a/saffronlane/groups/select.py
+++ b/saffronlane/groups/select.py
@@ -1,7 +1,8 @@
 """Selection of the group of a query: the first selector that matches determines the group.
 
-A pattern of a selector may capture parts of the values that it matches, with named groups such as
-`(?P<team>...)`. The selector's group path may contain them as placeholders, such as `{team}`.
+A pattern of a selector may capture parts of the values that it matches, with named regular expression groups
+such as `(?P<team>...)`. The path of the selector's resource group may refer to a captured value with a
+placeholder such as `{team}`.
 """
 
 from __future__ import annotations
@@ -56,8 +57,8 @@
         cls: The required query class.
         kind: The required kind.
         tables: Tables of which the query must use at least one. If it is empty, tables are not restricted.
-        options: The name of an option and a pattern that its whole value must match, for any number of
-            options.
+        options: Pairs of the name of an option and a pattern that the whole value of the option must match.
+            The value of a missing option is the empty string.
     """
 
     group: str
@@ -145,7 +146,8 @@
     """Returns the path of a group with the captured values in place of the placeholders.
 
     A captured value cannot lead to another part of the tree, because characters that are not allowed in names
-    of groups, such as slashes, are replaced by `_`.
+    of groups, such as slashes, are replaced by `_`. A captured value that is empty or contains only dots
+    becomes `_` as a whole.
     """
 
     def substitute(placeholder: re.Match[str]) -> str:
@@ -198,7 +200,9 @@
             text = f"no pattern captures {', '.join(sorted(missing))}"
             problems.append(Problem(f"{pointer}/{index}/group", text))
         if not expand_path(selector.group, {}):
-            problems.append(Problem(f"{pointer}/{index}/group", "expected the path of a group, got no names"))
+            problems.append(
+                Problem(f"{pointer}/{index}/group", "expected the path of a group, got an empty path")
+            )
         for earlier_index, earlier in enumerate(selectors[:index]):
             if _conditions(earlier) <= _conditions(selector):
                 text = f"never chosen: selector {earlier_index} matches every query that this one matches"
@@ -211,7 +215,8 @@
     """Returns the conditions of a selector as a set.
 
     A selector with a subset of the conditions matches at least the same queries. Two patterns are the same
-    condition only if their text and flags are equal.
+    condition only if their text and flags are equal. A pattern `.*` for the user, the team, the source or the
+    text is not a condition.
     """
     conditions: set[tuple[str, object]] = set()
     for name in ("user", "team", "source", "text"):
--- a/saffronlane/groups/tree.py
+++ b/saffronlane/groups/tree.py
@@ -1,14 +1,15 @@
 """The order in which waiting queries run: hierarchical fair sharing of engine work, under limits.
 
-At each level of the tree, the group that has received the least work for its weight is served next. The
-algorithm is start-time fair queueing (Goyal, Vin and Cheng, 1996). Each group has a start tag. The group with
-the smallest tag is served, and its tag grows by work / weight. The tag of a group that becomes active after
-an idle period is raised to the virtual time of its parent, unless it is larger already. So a group gains no
-credit while it is idle, but work that it received beyond its share still counts. For any two siblings that
-always have waiting queries, the values of received work / weight differ by at most the sum of each one's
-largest query / weight.
-
-Within a group, queries run by deadline, which is the order that group EDF uses too.
+At each level of the tree, the group that has received the least work relative to its weight is served next.
+The algorithm is start-time fair queueing (Goyal, Vin and Cheng, 1996). Each group has a start tag. The group
+with the smallest tag is served, and its tag grows by work / weight. The tag of a group that becomes active
+after an idle period is raised to the virtual time of its parent, unless it is larger already. So a group
+gains no credit while it is idle, but work that it received beyond its share still counts. For any two
+siblings that always have waiting queries, the ratios of received work to weight differ by at most
+L1 / w1 + L2 / w2. Here w1 and w2 are the weights of the siblings, and L1 and L2 are the work of the largest
+query of each.
+
+Within a group, queries run in the order of their deadlines, as in group EDF.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
     """A query in the tree.
 
     Attributes:
-        id: A unique number.
+        id: A unique number. Queries of one group with equal deadlines run in the order of their ids.
         deadline: The deadline on the caller's clock. Queries of one group run in the order of their
             deadlines.
         work: The estimated work in thread seconds. `Tree.ended` is given the measured work.
@@ -60,26 +61,30 @@
     Attributes:
         spec: The settings of the group.
         parent: The group above this one. None for the root.
-        sequence_number: The order of creation. It decides between siblings that are equal otherwise.
+        sequence_number: The order of creation, which is the last criterion of the order among siblings.
         children: The groups below this one, by name.
-        start_tag: The start tag of fair queueing, in seconds of work per unit of weight.
-        virtual_time: The virtual time of the children.
+        start_tag: The start tag of fair queueing, in thread seconds of work per unit of weight.
+        virtual_time: The virtual time of fair queueing among the children.
         waiting: The number of waiting queries in this group and below it.
-        pending: The estimated work of the waiting queries, in thread seconds.
+        pending: The estimated work of the waiting queries in this group and below it, in thread seconds.
         threads: The threads of the running queries in this group and below it.
-        memory: The memory of these running queries, in MB.
-        running: The number of these running queries.
+        memory: The memory of the running queries in this group and below it, in MB.
+        running: The number of running queries in this group and below it.
         work: The total work that the group was charged with, in thread seconds.
         queue: The heap of waiting queries of a leaf, by deadline. It may contain queries that are gone.
-        ready_heap: The heap of children that may have a query to run. Entries of an old version are ignored.
-        entry_version: The version of this group's entry in the heap of the parent.
+        ready_heap: The heap of children that may have a query to run. An entry is ignored unless its
+            version equals the child's `entry_version`.
+        entry_version: The version of this group's current entry in the heap of the parent.
         blocked_children: Children whose next query does not fit into the limits of this group at present.
-        first: The child that was blocked first. None if there is none.
-        bypass_allowance: The work of other queries that may still run before the query of `first`.
+        first: The child that was blocked first, until it runs a query or has none waiting. None if there is
+            no such child.
+        bypass_allowance: The amount of work that other children may still run before the next query of
+            `first`.
         on_demand_count: The number of children that were created on demand.
         is_on_demand: Whether this group was created on demand.
-        is_parked: Whether the group is absent from the heap of the parent, because it has no waiting queries
-            or because a limit applies.
+        is_parked: Whether the group has no entry in the heap of the parent, because it has no waiting queries
+            or because a limit applies. If it is set when the group gets an entry again, the start tag is
+            raised to the parent's virtual time.
     """
 
     spec: GroupSpec
@@ -130,8 +135,8 @@
         self._sequence_numbers = itertools.count()
         self._entries = itertools.count()
         self.root = self._build(spec, None)
-        self._items: dict[int, Item] = {}  # waiting and running queries
-        self._queue_expirations: list[tuple[float, int, Item]] = []  # heap by time
+        self._items: dict[int, Item] = {}  # waiting and running queries, by id
+        self._queue_expirations: list[tuple[float, int, Item]] = []  # heap by expiration time
 
     def _build(self, spec: GroupSpec, parent: Node | None) -> Node:
         node = Node(spec, parent, next(self._sequence_numbers))
@@ -152,9 +157,9 @@
     def find_or_create_leaf(self, path: GroupPath) -> Node:
         """Returns the group in which a query with a given path waits, and creates it if necessary.
 
-        A missing group on the path is created if its parent has a template for groups created on demand.
-        Otherwise the search ends at the last existing group. A query whose search ends at a group with
-        children, or with a template, waits in the child `OTHER_GROUP` of that group.
+        A missing group on the path is created if its parent has a template for groups created on demand and
+        has not reached its limit on them. Otherwise the search ends at the last existing group. If that group
+        has children or a template, the query waits in its child `OTHER_GROUP`.
         """
         node = self.root
         for name in path:
@@ -188,7 +193,8 @@
     def _collect_idle(node: Node) -> None:
         """Removes idle groups that were created on demand, unless they received more than their share.
 
-        A new group of the same name would have the same state, so that the removal changes no shares.
+        A new group of the same name would get the same start tag on its first query, so the removal changes
+        no shares.
         """
         idle = [
             name
@@ -261,7 +267,8 @@
     def next(self) -> Item | None:
         """Returns the query to run next and charges its groups with its estimated work.
 
-        Returns None if no query waits, or if limits prevent all waiting queries from running.
+        Returns None if no waiting query may run at present. Limits may prevent this, or a blocked query that
+        other queries may not bypass any further.
         """
         leaf = self._peek_leaf(self.root)
         if leaf is None:
@@ -292,7 +299,7 @@
         Args:
             item: The query. Ignored unless it is running.
             work: The measured work in thread seconds, charged in place of the estimate. None if no engine ran
-                the query, so that it costs nothing.
+                the query, in which case nothing is charged.
         """
         if item.node is None or not item.running:
             return
@@ -301,26 +308,29 @@
         correction = (work if work is not None else 0.0) - item.work
         for node in item.node.line():
             node.running -= 1
-            # Limits are compared with these sums. Rounding errors would keep them from returning to exactly
-            # 0.
+            # Limits are compared with these sums. They are reset to exactly 0 when no query runs, because
+            # rounding errors could leave a remainder.
             node.threads = node.threads - item.threads if node.running else 0.0
             node.memory = node.memory - item.memory_mb if node.running else 0.0
             self._charge(node, correction)
         self._refresh_ancestors(item.node)
 
     def resize(self, capacity: float) -> None:
-        """Sets the capacity after a change of the fleet. Running queries count against the new limits."""
+        """Sets the capacity after a change of the fleet.
+
+        Running queries are not ended. They count against the new limits.
+        """
         self.capacity = capacity
         for node in self._all(self.root):
             self._unblock_children(node)
             self._update_in_parent(node)
 
     def replace_spec(self, spec: GroupSpec, path_of: Callable[[Item], GroupPath]) -> None:
-        """Replaces the settings of all groups. No query is ended, and the accounts of groups are kept.
+        """Replaces the settings of all groups. No query is ended, and groups keep the work charged to them.
 
         A running query counts in the group of its path, or in the nearest ancestor that still exists. A
         waiting query moves to the group that `path_of` returns, even if that exceeds the new limits on
-        waiting queries. The work that a group received beyond its share is kept, even if its weight changes.
+        waiting queries. Work that a group received beyond its share still counts, even if its weight changes.
 
         Args:
             spec: The settings of the new root.
@@ -357,9 +367,11 @@
         return node
 
     def _transfer_accounts(self, old: Node, new: Node) -> None:
-        """Copies accounts between groups of the same path.
+        """Copies the charged work, the virtual time and the start tag between groups of the same path.
 
-        Groups that were created on demand are created again if their parent still has a template.
+        The start tag is adapted to the new weight, so that the same amount of excess work still counts.
+        A group that was created on demand is created again if its new parent has a template. The child
+        `OTHER_GROUP` is created again if its new parent has other children or a template.
         """
         new.virtual_time, new.work = old.virtual_time, old.work
         for name, old_child in old.children.items():
@@ -377,7 +389,9 @@
             child.start_tag = max(child.start_tag, new.virtual_time)
 
     def drain_time(self, path: GroupPath, rate: float) -> float:
-        """Returns the seconds until the waiting queries of a group have run, at its present share by weight.
+        """Returns the estimated seconds until the waiting queries of a group have run.
+
+        At each level, the group's share is its weight relative to the siblings that now have queries.
 
         Args:
             path: The path of the group. If it does not exist, its nearest existing ancestor is used.
@@ -418,9 +432,9 @@
         return node.threads + item.threads <= max_threads and node.memory + item.memory_mb <= spec.memory_mb
 
     def _peek_leaf(self, node: Node) -> Node | None:
-        """Returns the leaf below a group whose first query is next. None if there is none.
+        """Returns the leaf in the subtree of a group that holds the next query to run, or None.
 
-        Children that cannot run a query at present are removed from the heap.
+        Children that cannot run a query at present are removed from the heap of the group.
         """
         if not node.children:
             if not node.queue or not self._fits(node, node.queue[0][2]):
@@ -443,10 +457,10 @@
 
     @staticmethod
     def _may_bypass(node: Node, item: Item) -> bool:
-        """Returns whether a query may run before the first query that is blocked in a group.
+        """Returns whether a query may run although another child of the group was blocked first.
 
-        Other queries may run before the blocked query until their work adds up to its own work. Then they
-        wait until the blocked query fits, so that it does not starve.
+        Other queries may bypass the blocked query until their work adds up to the work of the blocked query.
+        Then they wait until the blocked query fits, so that it does not starve.
         """
         return node.first is None or item.work <= node.bypass_allowance
 
@@ -462,8 +476,8 @@
             node.first = None
         unblocked_children, node.blocked_children = node.blocked_children, []
         for child in unblocked_children:
-            # Not parked, so that the child keeps its start tag: a limit of this group blocked it, not its
-            # own.
+            # A limit of this group blocked the child, not a limit of the child itself. So the child keeps its
+            # start tag.
             child.is_parked = False
             self._update_in_parent(child)
 
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -54,9 +54,10 @@
 
 @pytest.mark.parametrize("weights", [(1.0, 1.0), (1.0, 3.0, 6.0), (1.0, 10_000.0), (0.5, 2.0, 2.0, 100.0)])
 def test_backlogged_siblings_receive_work_by_weight_within_the_documented_bound(weights):
-    """|W/w - V/v| <= largest_w/w + largest_v/v at all times, for any sizes of queries.
+    """|W/w - V/v| <= L/w + M/v at all times, for any sizes of queries.
 
-    W and V are the work that two groups received, w and v their weights.
+    W and V are the work that two groups received, w and v are their weights, and L and M are the work of the
+    largest query of each.
     """
     names = [f"g{n}" for n in range(len(weights))]
     driver = TreeDriver(make_tree(*(GroupSpec(n, weight=w) for n, w in zip(names, weights, strict=True))))
@@ -90,7 +91,7 @@
 
 
 def test_unused_share_goes_to_siblings_and_idle_time_gives_no_credit():
-    """Guards against a group that receives the work of its idle period at once when it becomes active."""
+    """Guards against compensating a group for its idle period with a burst of work."""
     driver = TreeDriver(make_tree(GroupSpec("a"), GroupSpec("b")))
     for _ in range(1000):
         driver.join(("a",), 1.0)
@@ -200,12 +201,11 @@
             driver.join((name,), 1.0)
     order = [i.node.spec.name for i in driver.run_next(30, end=False) if i.node is not None]
     assert order[:10] == ["top"] * 10
-    assert (
-        order[10:12] == ["sure", "sure"] and order[12:22] == ["low"] * 10
-    )  # guaranteed are 2 of 100 threads
+    # 2 of the 100 threads are guaranteed to the group "sure".
+    assert order[10:12] == ["sure", "sure"] and order[12:22] == ["low"] * 10
 
 
-def test_smaller_capacity_counts_running_queries_and_ends_none():
+def test_running_queries_count_against_a_smaller_capacity_and_are_not_ended():
     driver = TreeDriver(make_tree(GroupSpec("a", largest=0.5), GroupSpec("b"), capacity=30.0))
     for _ in range(40):
         driver.join(("a",), 1.0)
@@ -234,9 +234,9 @@
         "p", queue_time=2.0, threads=1.0, children=(GroupSpec("x", queue_time=5.0), GroupSpec("y"))
     )
     driver = TreeDriver(make_tree(short_queue_time, GroupSpec("q")))
-    for at in (0.0, 1.0):
+    for enqueued_at in (0.0, 1.0):
         for path in (("p", "x"), ("p", "y"), ("q",)):
-            driver.join(path, 1.0, enqueued_at=at)
+            driver.join(path, 1.0, enqueued_at=enqueued_at)
     running = driver.run_next(3, end=False)
     assert [i.node.path[0] for i in running if i.node is not None] == ["p", "q", "q"]
     assert [i.enqueued_at for i in driver.tree.remove_overdue(2.5)] == [0.0]
@@ -303,7 +303,7 @@
     driver = TreeDriver(make_tree(teams))
     for name in "abc":
         driver.join(("teams", name), 1.0)
-    driver.join(("teams", "d"), 1.0)  # the three possible groups are in use
+    driver.join(("teams", "d"), 1.0)  # all three groups that `most` allows are in use
     node = driver.tree.find(("teams",))
     assert set(node.children) == {"a", "b", "c", "(other)"} and node.children["a"].spec.weight == 2.0
     driver.run_next(20)
@@ -340,7 +340,8 @@
     node = driver.tree.find(("a",))
     assert (node.running, node.threads, driver.tree.root.running) == (10, 10.0, 11)
     assert node.start_tag - driver.tree.root.virtual_time == pytest.approx(excess_work / 4.0)
-    assert orphan.node is driver.tree.root  # its group no longer exists, so it counts in the parent
+    # The group of this query no longer exists, so the query counts in the parent.
+    assert orphan.node is driver.tree.root
     for item in running:
         driver.tree.ended(item, 1.0)
     assert driver.tree.root.running == 0 and driver.tree.root.threads == 0.0
--- a/tests/test_selectors.py
+++ b/tests/test_selectors.py
@@ -1,4 +1,4 @@
-"""Tests of selectors and schedules: choice and its explanation, windows, and changes of the clocks."""
+"""Tests of selectors and schedules: choices and their explanations, windows, and daylight saving time."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
     assert "/" not in path[1] and path[1].strip(".")
 
 
-def test_unreachable_selectors_are_warned_of_and_problems_have_json_pointers():
+def test_unreachable_selectors_cause_warnings_and_problems_have_json_pointers():
     problems, warnings = check_selectors(
         [
             Selector("a", cls="x"),
@@ -127,10 +127,10 @@
         night_window(),
         night_window(name="gala", cron="0 20 4 12 *", changes=((("museums", "night"), (("weight", 20.0),)),)),
     ]
-    at = local_time("2026-12-04T21:00:00")
-    assert effective_spec(TREE, windows, at).children[0].children[0].weight == 20.0
-    assert effective_spec(TREE, windows, at).children[1].threads == 4.0
-    assert effective_spec(TREE, windows[::-1], at).children[0].children[0].weight == 8.0
+    moment = local_time("2026-12-04T21:00:00")
+    assert effective_spec(TREE, windows, moment).children[0].children[0].weight == 20.0
+    assert effective_spec(TREE, windows, moment).children[1].threads == 4.0
+    assert effective_spec(TREE, windows[::-1], moment).children[0].children[0].weight == 8.0
     intervals = list(plan(windows, local_time("2026-12-04T12:00:00"), days=1.0))
     assert [interval.active_windows for interval in intervals] == [
         (),
@@ -140,8 +140,8 @@
         (),
     ]
     assert intervals[2].conflicts == ("weight of museums/night: gala overrides night",)
-    for before, after in itertools.pairwise(intervals):
-        assert before.end == after.begin
+    for interval, next_interval in itertools.pairwise(intervals):
+        assert interval.end == next_interval.begin
 
 
 def test_season_may_span_the_new_year_and_days_restrict_starts_to_dates():
@@ -176,7 +176,7 @@
         if interval.active_windows
     ]
     assert len(autumn) == 1 and autumn[0].end - autumn[0].begin == timedelta(hours=1)
-    # A window over the repeated hour lasts its number of seconds, independent of local time.
+    # A window that contains the repeated hour lasts for its duration in elapsed seconds, not in local time.
     over_repeated_hour = night_window(cron="0 1 * * *", seconds=3 * 3600.0)
     (long_interval,) = [
         interval
@@ -197,14 +197,15 @@
     intervals = list(plan(windows, start, days=6.0))
     assert intervals[0].begin == start and intervals[-1].end == start + timedelta(days=6)
     for interval in intervals:
-        for at in (
+        for moment in (
             interval.begin,
             interval.begin + (interval.end - interval.begin) / 2,
             interval.end - timedelta(seconds=1),
         ):
             assert (
-                tuple(w.name for w in windows if w.active_until(at) is not None) == interval.active_windows
-            ), at
+                tuple(w.name for w in windows if w.active_until(moment) is not None)
+                == interval.active_windows
+            ), moment
     assert next_change(windows, start, start + timedelta(days=6)) == intervals[0].end
 
 
