--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -1,12 +1,13 @@
-"""Measures what a flood of idle connections costs a platform node, and how it affects regular clients.
+"""Measures the CPU cost of a flood of idle connections on a platform node, and its effect on regular clients.
 
     python benchmarks/flood.py [--flood 3000] [--silent 0.0] [--usual 20] [--sockets 256]
 
 The node runs in its own process. The connections of the flood are opened as fast as the node accepts them.
-Each of them sends one request and stays open, or sends nothing. Meanwhile, regular clients send two requests
-per second on connections of their own, and reconnect if the node closes a connection. Prints one line: the
-processor time for each connection of the flood, the number of answered requests of the regular clients, the
-number of their reconnections, and the latency of their requests.
+Each of them sends one request and stays open, or sends nothing. `--silent` is the share that sends nothing.
+Meanwhile, `--usual` regular clients send two requests per second on connections of their own, and reconnect
+if the node closes a connection. Prints one line: the CPU time for each connection of the flood, the number of
+answered requests of the regular clients, the number of their reconnections, and the latency of their
+requests.
 """
 
 from __future__ import annotations
@@ -22,11 +23,11 @@
 import time
 from pathlib import Path
 
-from node import ROOT, process_cpu  # importing node also puts tests/ on the path
+from node import ROOT, process_cpu  # importing node also adds tests/ to sys.path
 from platform_world import Client, ComputeNode, FeedServer, dispatcher_config
 
-# Seconds between two requests of a regular client. The node may close a connection that is idle for a shorter
-# time.
+# Seconds between two requests of a regular client. The node may already close an idle connection after a
+# shorter time, in which case the client reconnects.
 REQUEST_INTERVAL = 0.5
 
 
@@ -77,14 +78,14 @@
     parser.add_argument("--usual", type=int, default=20)
     parser.add_argument("--sockets", type=int, default=256)
     options = parser.parse_args()
-    compute, feed = ComputeNode(), FeedServer()
-    await compute.start()
+    compute_node, feed = ComputeNode(), FeedServer()
+    await compute_node.start()
     await feed.start()
     with socket.socket() as port_probe:
         port_probe.bind(("127.0.0.1", 0))
         port = port_probe.getsockname()[1]
     limits = {"cores": 1.0, "memory_mb": 96, "sockets": options.sockets}
-    config = dispatcher_config([compute], feed.port, listen=f"127.0.0.1:{port}", limits=limits)
+    config = dispatcher_config([compute_node], feed.port, listen=f"127.0.0.1:{port}", limits=limits)
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
         path.write_text(json.dumps(config))
@@ -112,7 +113,7 @@
         finally:
             process.kill()
             await process.wait()
-            compute.close()
+            compute_node.close()
             feed.close()
     latencies = sorted(latency for client in regular_clients for latency in client.latencies)
     print(
--- a/benchmarks/groups.py
+++ b/benchmarks/groups.py
@@ -46,16 +46,16 @@
         started_at = time.perf_counter()
         tree.join(item, path)
         joined_at = time.perf_counter()
-        chosen = tree.next()
+        next_item = tree.next()
         decided_at = time.perf_counter()
         durations[0].append(joined_at - started_at)
         durations[1].append(decided_at - joined_at)
-        if chosen is not None:
-            running.append(chosen)
+        if next_item is not None:
+            running.append(next_item)
         if len(running) > 150:
-            ended = running.pop(random.randrange(len(running)))
+            finished_item = running.pop(random.randrange(len(running)))
             started_at = time.perf_counter()
-            tree.ended(ended, ended.work * random.choice([0.1, 1.0, 5.0]))
+            tree.ended(finished_item, finished_item.work * random.choice([0.1, 1.0, 5.0]))
             durations[2].append(time.perf_counter() - started_at)
     return tuple(float(np.median(samples)) * 1e6 for samples in durations)  # type: ignore[return-value]
 
--- a/benchmarks/keeping.py
+++ b/benchmarks/keeping.py
@@ -55,23 +55,25 @@
     return len(latencies) / seconds, float(p50), float(p99), len(latencies) / max(1, commit_count)
 
 
-def flood(folder: Path, megabytes: float, seconds: float) -> tuple[float, float, float, float]:
-    """Makes changes of 50,000 keys at a rate in MB/s without waiting for commits, and one caller that waits.
+def flood(folder: Path, rate_mb_per_s: float, seconds: float) -> tuple[float, float, float, float]:
+    """Writes changes of 50,000 keys at a constant rate without waiting for their commits.
+
+    Meanwhile, one caller makes single changes and waits for the commit of each.
 
     Returns:
-        The MB of all changes, the maximum size on disk in MB, and the 50th and 99th percentile of the waiting
-        caller's latency in ms.
+        The size of all changes of the 50,000 keys in MB, the maximum size on disk in MB, and the 50th and
+        99th percentile of the waiting caller's latency in ms.
     """
     store = Store(RealFiles(folder))
     writer = Writer(store, print)
     writer.start()
-    random, written, max_size = Random(1), 0, 0
+    random, written_bytes, max_size = Random(1), 0, 0
     latencies: list[float] = []
     started_at = time.monotonic()
     while (now := time.monotonic()) < started_at + seconds:
-        while written < megabytes * 1e6 * (now - started_at):
+        while written_bytes < rate_mb_per_s * 1e6 * (now - started_at):
             writer.put([Change(b"k%d" % random.randrange(50_000), Entry(1, random.randbytes(1000)))])
-            written += 1000
+            written_bytes += 1000
         done = threading.Event()
         sent_at = time.monotonic()
         writer.put([Change(b"asked", Entry(1, bytes(100)))], lambda _, done=done: done.set())
@@ -80,7 +82,7 @@
         max_size = max(max_size, sum(p.stat().st_size for p in folder.iterdir()))
     writer.stop(30.0)
     p50, p99 = np.percentile(latencies, [50, 99]) * 1e3
-    return written / 1e6, max_size / 1e6, float(p50), float(p99)
+    return written_bytes / 1e6, max_size / 1e6, float(p50), float(p99)
 
 
 def recovery(folder: Path, megabytes: int) -> tuple[float, float]:
@@ -114,18 +116,18 @@
     gateway_with, port_with = gateway(folder / "on", engines, 1, is_persistent=True)
     print(f"{'class':>8}{'threads':>8}{'state':>8}{'per s':>9}{'p50 ms':>9}{'p99 ms':>9}{'to off':>8}")
     for cls in ("lookup", "change"):
-        for count in (1, threads):
+        for thread_count in (1, threads):
             results: dict[str, list[dict[str, float]]] = {"off": [], "on": []}
-            for number in range(rounds):  # alternates which variant comes first
+            for round_number in range(rounds):  # alternates which variant comes first
                 variants = [("off", port_without), ("on", port_with)]
-                for variant, port in variants if number % 2 else variants[::-1]:
-                    results[variant].append(measure(port, count, seconds, cls))
-            for variant, measured in results.items():
-                medians = {key: float(np.median([m[key] for m in measured])) for key in measured[0]}
-                pairs = zip(measured, results["off"], strict=True)
+                for variant, port in variants if round_number % 2 else variants[::-1]:
+                    results[variant].append(measure(port, thread_count, seconds, cls))
+            for variant, measurements in results.items():
+                medians = {key: float(np.median([m[key] for m in measurements])) for key in measurements[0]}
+                pairs = zip(measurements, results["off"], strict=True)
                 ratio = float(np.median([run["per_s"] / baseline["per_s"] for run, baseline in pairs]))
                 print(
-                    f"{cls:>8}{count:8}{variant:>8}{medians['per_s']:9.0f}{medians['p50_ms']:9.2f}"
+                    f"{cls:>8}{thread_count:8}{variant:>8}{medians['per_s']:9.0f}{medians['p50_ms']:9.2f}"
                     f"{medians['p99_ms']:9.2f}{ratio:8.3f}",
                     flush=True,
                 )
@@ -149,9 +151,11 @@
             per_s, p50, p99, per_commit = commits(folder / f"commits-{callers}", callers, options.seconds)
             latency = f"p50 {p50:.2f} ms, p99 {p99:.2f} ms"
             print(f"{callers:3} callers: {per_s:7.0f} changes/s, {latency}, {per_commit:.1f} per commit")
-        written, max_size, p50, p99 = flood(folder / "flood", 10.0, 2.0 * options.seconds)
+        written_mb, max_size_mb, p50, p99 = flood(folder / "flood", 10.0, 2.0 * options.seconds)
         latency = f"p50 {p50:.2f} ms, p99 {p99:.2f} ms"
-        print(f"overload of {written:.0f} MB: at most {max_size:.0f} MB on disk; waiting caller {latency}")
+        print(
+            f"overload of {written_mb:.0f} MB: at most {max_size_mb:.0f} MB on disk; waiting caller {latency}"
+        )
         for size in (1, 100):
             load_s, begin_s = recovery(folder / f"size-{size}", size)
             print(f"{size:4} MB: read in {load_s:.3f} s, first snapshot written in {begin_s:.3f} s")
--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -61,17 +61,17 @@
     parsed = parse_config(data)
     table = EndpointTable(parsed.settings, time.monotonic, time.time)
     core = dispatch.Dispatcher(parsed.settings, parsed.seed)
-    for members in parsed.known_events:
-        core.step(0.0, [table.apply(members)[0]])
+    for known_list in parsed.known_events:
+        core.step(0.0, [table.apply(known_list)[0]])
     start_cost = time.process_time() - started_at
 
     now, rounds = 1.0, 50
     started_at = time.process_time()
     for n in range(rounds):
         now += 0.01
-        phase = ("draining", "up")[n % 2]
-        engine = f"s-{n // 2 % nodes:08x}"
-        listed_engine = ListedEngine(engine, "10.1.0.1:4100", machine_type="std", state=phase)
+        engine_state = ("draining", "up")[n % 2]
+        engine_id = f"s-{n // 2 % nodes:08x}"
+        listed_engine = ListedEngine(engine_id, "10.1.0.1:4100", machine_type="std", state=engine_state)
         endpoint_list = EndpointList([listed_engine])
         core.step(now, [table.apply(endpoint_list)[0]])
     update_cost = (time.process_time() - started_at) / rounds
@@ -93,10 +93,10 @@
         return (time.process_time() - started_at) / count
 
     new_group_cost, known_group_cost = query_cost(200, 200), query_cost(2000, 50)
-    engine = messages.engine_digest(b"s-00000001")
+    engine_digest = messages.engine_digest(b"s-00000001")
     started_at = time.process_time()
     for n in range(4000):
-        message = messages.GossipMessage(n % 256, 3, False, 7, 2.0, 0.01, engine)
+        message = messages.GossipMessage(n % 256, 3, False, 7, 2.0, 0.01, engine_digest)
         core.step(now, [api.PeerMessage(n % 900 + 10, messages.encode(message))])
     message_cost = (time.process_time() - started_at) / 4000
     growth_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0 - base_mb
--- a/benchmarks/node.py
+++ b/benchmarks/node.py
@@ -52,17 +52,17 @@
 
 
 async def run(rate: float, seconds: float, pages: int) -> None:
-    computes = [ComputeNode(answer_script(pages)) for _ in range(COMPUTE_NODES)]
+    compute_nodes = [ComputeNode(answer_script(pages)) for _ in range(COMPUTE_NODES)]
     feed = FeedServer()
     await feed.start()
-    for compute in computes:
-        await compute.start()
+    for compute_node in compute_nodes:
+        await compute_node.start()
     with socket.socket() as port_probe:
         port_probe.bind(("127.0.0.1", 0))
         port = port_probe.getsockname()[1]
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
-        path.write_text(json.dumps(dispatcher_config(computes, feed.port, listen=f"127.0.0.1:{port}")))
+        path.write_text(json.dumps(dispatcher_config(compute_nodes, feed.port, listen=f"127.0.0.1:{port}")))
         command = [sys.executable, "-m", "saffronlane.platform"]
         environment = os.environ | {"BALANCER_CONFIG": str(path)}
         process = subprocess.Popen(  # noqa: ASYNC220 - nothing else runs on the loop yet
@@ -73,8 +73,8 @@
         finally:
             process.terminate()
             process.wait(10)
-            for compute in computes:
-                compute.close()
+            for compute_node in compute_nodes:
+                compute_node.close()
             feed.close()
 
 
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -1,4 +1,4 @@
-"""Measures the value of learned state after a restart, with and without it.
+"""Measures how much restored learned state improves the service of a fleet after a restart.
 
 The measure is the priority weight of served requests relative to that of all submitted requests, in the first
 5, 15 and 30 s after the restart. A late response counts with the late priority weight of its class.
@@ -6,9 +6,9 @@
 the simulated engines of the lab. All gateways of a fleet are killed at the same time, during low load, during
 an overload and during a rolling deployment. They restart without state, with the state that they stored, with
 the same state at an age of an hour, a day or a month, and with wrong state: exec times ten times too long or
-too short, and half of the engines ejected. The condition `- classes` and similar conditions leave out one
-kind of record. The condition `no kill` is the same fleet without a restart. All runs of one seed have the
-same queries and the same engines, and differences to `none` are computed per seed.
+too short, and half of the engines ejected. Conditions such as `- classes` leave out one kind
+of record. The condition `no kill` is the same fleet without a restart. All runs of one seed have the same
+queries and the same engines, and differences to `none` are computed per seed.
 
     python benchmarks/restart.py [--seeds 6] [--jobs 8] [--json FILE]
 """
@@ -35,7 +35,7 @@
 from saffronlane.storage import Entry
 
 GATEWAYS, ENGINES, CORES = 3, 8, 4.0
-# Seconds before the kill, without gateways, and measured after the restart.
+# In seconds: the time before the kill, the time without gateways, and the measured time after the restart.
 KILL_AT, DOWNTIME, MEASURED_TIME = 25.0, 0.8, 30.0
 PROGRESS_INTERVAL = 0.3  # seconds between two progress reports of an engine
 MEASURED_SPANS = (5.0, 15.0, 30.0)
@@ -363,7 +363,7 @@
 
 
 def measure_served_ratios(situation: str, condition: str, seed: int) -> list[float]:
-    """Returns the served relative to the submitted priority weight for each span after the restart."""
+    """Returns, for each span after the restart, the ratio of served to submitted priority weight."""
     fleet = Fleet(situation, seed)
     for number in range(GATEWAYS):
         fleet.start_gateway(number, {}, 1e9)
--- a/benchmarks/step.py
+++ b/benchmarks/step.py
@@ -44,9 +44,9 @@
         effects = core.step(now, [submit])
         in_flight += [effect for effect in effects if isinstance(effect, dispatch.StartAttempt)]
         if len(in_flight) > 20:
-            finished = in_flight.pop(0)
+            finished_attempt = in_flight.pop(0)
             end = dispatch.AttemptDone(
-                finished.request, finished.attempt, api.Outcome.OK, 0.05, 0.05, 10.0, (3.0,)
+                finished_attempt.request, finished_attempt.attempt, api.Outcome.OK, 0.05, 0.05, 10.0, (3.0,)
             )
             in_flight += [
                 effect for effect in core.step(now, [end]) if isinstance(effect, dispatch.StartAttempt)
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -1,4 +1,4 @@
-"""Measures queries per second and latency, direct to the engine, through a proxy and through the gateway.
+"""Measures queries per second and latency: directly to an engine, through a proxy and through the gateway.
 
 All variants run side by side. The engines are pyarrow (C++) Flight servers, each in its own process. The
 clients are pyarrow clients in separate processes. Each query is a GetFlightInfo and a DoGet with a small
@@ -97,8 +97,8 @@
     latencies: list[float] = []
     errors = [0]
     key_numbers = itertools.count()
-    warmed_up_at = time.monotonic() + 0.7
-    end = warmed_up_at + seconds
+    warm_up_end = time.monotonic() + 0.7
+    end = warm_up_end + seconds
 
     def run_queries() -> None:
         with paf.FlightClient(f"grpc://127.0.0.1:{port}") as flight_client:
@@ -113,7 +113,7 @@
                 except paf.FlightError:
                     errors[0] += 1
                     continue
-                if started_at >= warmed_up_at:
+                if started_at >= warm_up_end:
                     latencies.append(time.monotonic() - started_at)
 
     workers = [threading.Thread(target=run_queries) for _ in range(threads)]
@@ -192,8 +192,8 @@
     time.sleep(3.0)
     with tempfile.TemporaryDirectory() as temporary_folder:
         folder = Path(temporary_folder)
-        single, single_port = gateway(folder / "one", engines, 1)
-        multi, multi_port = gateway(folder / "many", engines, options.workers)
+        single_process, single_port = gateway(folder / "one", engines, 1)
+        multi_process, multi_port = gateway(folder / "many", engines, options.workers)
         variant_ports = {
             "direct": engines[0],
             "grpcio.aio proxy": proxy_port,
@@ -205,12 +205,12 @@
         )
         for threads in (1, 4, options.threads):
             rounds: dict[str, list[dict[str, float]]] = {variant: [] for variant in variant_ports}
-            for _ in range(options.rounds):  # alternates, so that disturbances affect all variants alike
+            for _ in range(options.rounds):  # interleaves the variants, so that a disturbance affects all
                 for variant, port in variant_ports.items():
                     rounds[variant].append(measure(port, threads, options.seconds))
-            for variant, measured in rounds.items():
-                medians = {k: float(np.median([m[k] for m in measured])) for k in measured[0]}
-                pairs = zip(measured, rounds["grpcio.aio proxy"], strict=True)
+            for variant, measurements in rounds.items():
+                medians = {k: float(np.median([m[k] for m in measurements])) for k in measurements[0]}
+                pairs = zip(measurements, rounds["grpcio.aio proxy"], strict=True)
                 ratio = float(np.median([run["per_s"] / baseline["per_s"] for run, baseline in pairs]))
                 print(
                     f"{variant:28}{threads:8}{medians['per_s']:9.0f}"
@@ -218,7 +218,7 @@
                     f"{medians['errors']:8.0f}{ratio:10.2f}",
                     flush=True,
                 )
-        for process in (single, multi):
+        for process in (single_process, multi_process):
             process.terminate()
             process.wait(10)
     for child in children:
