--- a/tests/node/support.py
+++ b/tests/node/support.py
@@ -53,27 +53,28 @@
     asyncio.run(run())
 
 
-def on_first_request(first: Script, then: Script = answer_fetches) -> Script:
-    """Return a script that handles the first request with `first` and all other requests with `then`.
+def on_first_request(first_script: Script, default_script: Script = answer_fetches) -> Script:
+    """Return a script that runs `first_script` for the first request and `default_script` for all others.
 
-    Compute nodes may share the returned script; only one request among all of them is then the first. Its
-    later commands are handled by `first` as well, but a second fetch of it, which is a retry, by `then`.
+    Compute nodes may share the returned script; the first request is then the one that arrives first at any
+    of them. Its commands other than fetch are also handled by `first_script`, but a second fetch of it is a
+    retry and is handled by `default_script`.
     """
     first_request_ids: list[bytes] = []
 
     async def script(connection: ComputeNodeConnection, command: list[bytes]) -> None:
         if command[0] == b"fetch" and not first_request_ids:
             first_request_ids.append(command[1])
-            await first(connection, command)
+            await first_script(connection, command)
         elif (
             command[0] != b"fetch"
             and first_request_ids
             and command[1:2] == first_request_ids[:1]
-            and first is not answer_fetches
+            and first_script is not answer_fetches
         ):
-            await first(connection, command)
+            await first_script(connection, command)
         else:
-            await then(connection, command)
+            await default_script(connection, command)
 
     return script
 
@@ -166,7 +167,7 @@
 
 
 def assume_default_open_descriptors(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Make the server assume the open descriptors of a separate process, without those of the tests."""
+    """Make the server ignore the open descriptors of the test process and assume the default number."""
     monkeypatch.setattr(
         descriptors_module, "_open_descriptor_count", lambda: descriptors_module.DEFAULT_OPEN_DESCRIPTORS
     )
@@ -186,7 +187,7 @@
 
 @dataclass
 class ServerProcess:
-    """A server in a process of its own that is listening."""
+    """A server that is listening in a process of its own."""
 
     process: asyncio.subprocess.Process
     config_path: Path
@@ -210,7 +211,7 @@
 async def server_process(
     tmp_path: Path, *scripts: Script, descriptor_limit: int = 0, **config_changes: Any
 ) -> AsyncIterator[ServerProcess]:
-    """Start a server as the `run` script does, and kill its process when the test ends, even if it fails."""
+    """Start a server as the `run` script does, and kill its process when the test has passed or failed."""
 
     def set_descriptor_limit() -> None:
         if descriptor_limit:
@@ -253,7 +254,7 @@
 async def slow_client(
     harness: Harness, request_count: int
 ) -> AsyncIterator[tuple[socket.socket, ClientConnection]]:
-    """Yield a client that has sent requests and read no answer, and its connection at the server.
+    """Yield a client that has sent requests and read no answer, and the server's side of its connection.
 
     All requests have been answered, and both sides have small buffers.
     """
--- a/tests/node/test_answers.py
+++ b/tests/node/test_answers.py
@@ -12,8 +12,8 @@
 from .support import hold_fetches, on_first_request, record_outcomes, request_id, run_with_harness
 
 
-def trickling(interval: float) -> object:
-    """An engine that sends its result byte by byte, for longer than any client waits."""
+def trickle_result(interval: float) -> object:
+    """Return a script that sends a result byte by byte, for longer than any client waits."""
 
     async def script(node_connection: ComputeNodeConnection, command: list[bytes]) -> None:
         if command[0] != b"fetch":
@@ -32,11 +32,14 @@
 
 
 def test_requests_behind_a_trickling_result_are_retried_elsewhere() -> None:
-    """Guards against a stall timeout that each byte restarts: all requests on the connection timed out."""
-    script = on_first_request(trickling(0.05))  # type: ignore[arg-type]
+    """Guards against a stall timeout that each received byte restarts.
+
+    With it, all requests on the connection timed out.
+    """
+    script = on_first_request(trickle_result(0.05))  # type: ignore[arg-type]
 
     async def scenario(harness: Harness) -> None:
-        recorded = record_outcomes(harness)
+        outcomes = record_outcomes(harness)
         loop = asyncio.get_running_loop()
         client = await harness.client()
         started_at = loop.time()
@@ -44,23 +47,23 @@
         for message_id in message_ids:
             assert await client.read_answer(message_id) == (None, [ROWS, {}])
         assert loop.time() < started_at + 2.0
-        assert Outcome.TIMEOUT not in recorded
+        assert Outcome.TIMEOUT not in outcomes
 
     run_with_harness(scenario, script, script)
 
 
 def test_an_unsafe_request_with_a_trickling_result_fails_before_its_timeout() -> None:
-    """The request may have been executed and is not retried, so waiting for its timeout gains nothing."""
+    """The request may have been executed and is not retried, so it fails when the stall is detected."""
 
     async def scenario(harness: Harness) -> None:
-        recorded = record_outcomes(harness)
+        outcomes = record_outcomes(harness)
         loop = asyncio.get_running_loop()
         client = await harness.client()
         started_at = loop.time()
         error, _ = await client.read_answer(client.call("frail", request_id(1), budget="3900"))
-        assert error[0] == "Fault" and recorded == [Outcome.RESET] and loop.time() < started_at + 2.0
+        assert error[0] == "Fault" and outcomes == [Outcome.RESET] and loop.time() < started_at + 2.0
 
-    run_with_harness(scenario, trickling(0.05))  # type: ignore[arg-type]
+    run_with_harness(scenario, trickle_result(0.05))  # type: ignore[arg-type]
 
 
 def test_a_request_whose_pages_stop_arriving_fails_at_its_timeout() -> None:
@@ -118,12 +121,12 @@
     run_with_harness(scenario, script)
 
 
-def test_a_result_whose_rest_is_waiting_to_be_read_has_not_stalled() -> None:
-    """The process was suspended for a second (by its machine or SIGSTOP): timeout checks precede the read."""
+def test_a_result_has_not_stalled_if_its_rest_has_arrived_but_is_unread() -> None:
+    """After the process was suspended (by its machine or SIGSTOP), timeouts are checked before the read."""
     held_fetches: list[tuple[ComputeNodeConnection, bytes]] = []
 
     async def scenario(harness: Harness) -> None:
-        recorded = record_outcomes(harness)
+        outcomes = record_outcomes(harness)
         client = await harness.client()
         message_id = client.call("frail", request_id(1))
         await harness.wait_until(lambda: held_fetches)
@@ -135,7 +138,7 @@
         node_connection.send_raw(data[20:])  # sent at once, in this turn of the event loop
         connection.check_timeouts(connection.loop.time() + 1.5, 30.0)
         assert await client.read_answer(message_id) == (None, [ROWS, {}])
-        assert recorded == [Outcome.OK]
+        assert outcomes == [Outcome.OK]
         connection._reader._parser.feed(b"*4")  # the rest of this result has not arrived, so it has stalled
         connection.check_timeouts(connection.loop.time() + 1.5, 30.0)
         assert connection.lifecycle.is_closed
--- a/tests/node/test_attempt_ends.py
+++ b/tests/node/test_attempt_ends.py
@@ -199,7 +199,7 @@
 
     async def scenario(harness: Harness) -> None:
         client = await harness.client()
-        # The response to another attempt in between keeps the connection in use.
+        # Another attempt is answered before the cancellation, so the connection stays in use.
         first = client.call("ask", request_id(1))
         await harness.wait_until(lambda: first_fetches)
         second = client.call("ask", request_id(2))
@@ -208,7 +208,7 @@
         await harness.wait_until(lambda: harness.compute_nodes[0].commands(b"abort"))
         third = client.call("ask", request_id(3))
         assert await client.read_answer(third) == (None, [ROWS, {}])
-        # A retry of the cancelled request is not sent where the late response may arrive.
+        # The retry of the cancelled request is sent on a connection other than that of the late response.
         retry = client.call("ask", request_id(1))
         assert await client.read_answer(retry) == (None, [ROWS, {}])
         assert first not in client.answers
@@ -289,9 +289,9 @@
 
 
 def test_request_succeeds_if_the_connection_broke_before_the_reader_noticed() -> None:
-    """Guards against use of a connection between its break and the next run of its reader task.
+    """Guards against the use of a broken connection before its reader task runs again.
 
-    The stream is closed already, so the effect that starts the attempt failed.
+    Its stream is already closed, so starting an attempt on it failed.
     """
 
     async def scenario(harness: Harness) -> None:
@@ -358,7 +358,7 @@
     run_with_harness(scenario)
 
 
-def test_compute_node_with_changed_address_is_reached_only_at_the_new_one() -> None:
+def test_compute_node_whose_address_changed_is_reached_only_at_the_new_address() -> None:
     """Guards against untracked connections.
 
     The pool's entry was removed with the last connection to the old address, although new connections were
--- a/tests/node/test_bad_clients.py
+++ b/tests/node/test_bad_clients.py
@@ -142,13 +142,13 @@
     run_with_harness(scenario)
 
 
-def test_connections_with_a_partial_message_or_none_are_closed() -> None:
+def test_connections_with_a_partial_message_or_no_message_are_closed() -> None:
     async def scenario(harness: Harness) -> None:
         partial_client, silent_client = await harness.client(), await harness.client()
         partial_client.send_raw(encode_call(1)[:20])
         assert await partial_client.wait_closed(3.0)
         assert await silent_client.wait_closed(3.0)
-        # The clients do not close their side.
+        # The server closes its connections although the clients keep theirs open.
         await harness.wait_until(lambda: not harness.server.downstream.clients, 1.0)
 
     run_with_harness(scenario)
@@ -169,26 +169,26 @@
 def test_a_flood_of_connections_does_not_evict_a_client_with_an_open_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a lack of file descriptors. Silent connections are evicted first, then idle ones, and
-    never one with an open request."""
-    waiting: list[tuple[ComputeNodeConnection, bytes]] = []
+    """Guards against running out of file descriptors. Silent connections are evicted first, then idle ones.
+    A connection with an open request is never evicted."""
+    held_fetches: list[tuple[ComputeNodeConnection, bytes]] = []
 
     async def script(node_connection: ComputeNodeConnection, command: list[bytes]) -> None:
         if command[1] == request_id(1).encode():
-            waiting.append((node_connection, command[1]))
+            held_fetches.append((node_connection, command[1]))
         elif command[0] == b"fetch":
             node_connection.send_result(command[1])
 
     async def scenario(harness: Harness) -> None:
         client = await harness.client()
         message_id = client.call("ask", request_id(1))
-        await harness.wait_until(lambda: waiting)
+        await harness.wait_until(lambda: held_fetches)
         max_clients = harness.server.downstream.max_clients
         for _ in range(max_clients + 60):
             await harness.client()
         late_client = await harness.client()
         assert (await late_client.read_answer(late_client.call("ask", request_id(2))))[0] is None
-        waiting[0][0].send_result(waiting[0][1])
+        held_fetches[0][0].send_result(held_fetches[0][1])
         assert (await client.read_answer(message_id))[0] is None
         assert len(harness.server.downstream.clients) <= max_clients
 
@@ -209,7 +209,7 @@
         assert downstream.evict_now() and idle.lifecycle.is_closed and downstream.evicted_count == 1
         client = await harness.client()
         assert (await client.read_answer(client.call("ask", request_id(2))))[0] is None
-        assert not downstream.evict_now()  # it was in use a moment ago
+        assert not downstream.evict_now()  # the connection was in use a moment ago
 
     run_with_harness(scenario)
 
@@ -230,11 +230,11 @@
 def test_an_eviction_does_not_search_all_connections(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a search through all connections for each new one. With 640 idle connections, it took
     2.4 ms of CPU time per new connection, and regular clients waited three seconds in the accept queue."""
-    checked: list[ClientConnection] = []
+    checked_connections: list[ClientConnection] = []
     real_is_idle = ClientConnection.is_idle
 
     def recording_is_idle(client: ClientConnection) -> bool:
-        checked.append(client)
+        checked_connections.append(client)
         assert real_is_idle.fget is not None
         return bool(real_is_idle.fget(client))
 
@@ -246,9 +246,9 @@
             lambda: downstream.eviction.graceful_candidate(harness.server._loop.time()) is not None
         )
         monkeypatch.setattr(ClientConnection, "is_idle", property(recording_is_idle))
-        evicted_before, checked[:] = downstream.evicted_count, []
+        evicted_before, checked_connections[:] = downstream.evicted_count, []
         flood += [await connect_and_request(harness, number) for number in range(60, 90)]
-        assert downstream.evicted_count >= evicted_before + 25 and len(checked) <= 30 * 4
+        assert downstream.evicted_count >= evicted_before + 25 and len(checked_connections) <= 30 * 4
         for client in flood:
             client.close()
 
@@ -259,8 +259,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against evicting the regular clients because their connections have been idle longest. Their
-    next requests then waited for seconds behind the flood: twelve were accepted in five seconds, and one
-    request was lost in a one-day run."""
+    next requests then waited for seconds behind the flood: only twelve were accepted in five seconds, in a
+    one-day run that lost one request."""
 
     async def scenario(harness: Harness) -> None:
         downstream, now = harness.server.downstream, harness.server._loop.time
@@ -281,7 +281,7 @@
 
 
 def test_reused_connections_are_evicted_first_if_they_are_the_majority() -> None:
-    """Otherwise a new connection would wait for the few connections that were used once."""
+    """Otherwise a new connection would wait until one of the few connections used once may be evicted."""
 
     class IdleConnection(SimpleNamespace):
         __hash__, __eq__ = object.__hash__, object.__eq__  # compared by identity, as connections are
@@ -303,7 +303,7 @@
     eviction.remove(reused[0])
     assert eviction.graceful_candidate(120.0) is used_once[0]
     eviction.remove(used_once[0])
-    # The other one was in use a moment ago and is protected.
+    # The other connection that was used once was in use a moment ago and is protected.
     assert eviction.graceful_candidate(110.05) is None
     assert eviction.graceful_candidate(120.0) is used_once[1]
     eviction.remove(used_once[1])
--- a/tests/node/test_certainty.py
+++ b/tests/node/test_certainty.py
@@ -1,4 +1,4 @@
-"""Outcomes show whether an attempt may have run; an unsafe request is retried only if it did not."""
+"""Outcomes show whether an attempt may have run. An unsafe request is retried only if none can have run."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
 ) -> None:
     """The kernel accepted no byte, so the request did not run.
 
-    Guards against counting it as one that may have run.
+    Guards against counting it as a request that may have run.
     """
 
     async def scenario(harness: Harness) -> None:
@@ -127,7 +127,7 @@
 
 
 def test_attempt_queued_for_a_compute_node_that_does_not_read_can_be_withdrawn() -> None:
-    """A stream with unwritten bytes is handed no command, since the command's client may still disconnect."""
+    """No command is passed to a stream with unwritten bytes, since the command's client may disconnect."""
 
     async def scenario(harness: Harness) -> None:
         node = SyncComputeNode(receive_buffer_bytes=4096)
@@ -203,15 +203,15 @@
 
         flush = UpstreamConnection.flush
 
-        def reset_before_flush(flushed: UpstreamConnection) -> None:
-            if flushed is connection and connection.has_queued_output:
+        def reset_before_flush(flushed_connection: UpstreamConnection) -> None:
+            if flushed_connection is connection and connection.has_queued_output:
                 response = encode_command(request_id(1).encode(), b"DONE", b"sheets=1,toil=5,room=7", ROWS)
                 assert node.connection is not None
                 node.connection.sendall(response)
                 node.reset()
                 node.listener.close()
                 harness.feed.send_event(3, [member("node-0", harness.compute_nodes[0].port)])
-            flush(flushed)
+            flush(flushed_connection)
 
         monkeypatch.setattr(UpstreamConnection, "flush", reset_before_flush)
         second = client.call("frail", request_id(2))
@@ -228,33 +228,37 @@
 ) -> None:
     """The end of stream has arrived when the command is about to be sent, and the event loop has not read it.
 
-    Guards against sending the command nevertheless: it counted as one that may have run, so an unsafe request
-    failed, and the failure was attributed to its compute node.
+    Guards against sending the command nevertheless. The attempt then counted as one that may have run, so an
+    unsafe request failed, and the failure was attributed to its compute node.
     """
 
     async def scenario(harness: Harness) -> None:
-        outcomes, flush, closed_before_flush = record_outcomes(harness), UpstreamConnection.flush, []
+        outcomes, flush, closed_connections = record_outcomes(harness), UpstreamConnection.flush, []
         client = await harness.client()
         assert (await client.read_answer(client.call("ask", request_id(1))))[0] is None
         (connection,) = harness.server.upstream.pool.connections_by_engine[b"node-0"]
 
-        def close_before_flush(flushed: UpstreamConnection) -> None:
-            if flushed is connection and flushed.has_queued_output and not closed_before_flush:
-                closed_before_flush.append(flushed)
+        def close_before_flush(flushed_connection: UpstreamConnection) -> None:
+            if (
+                flushed_connection is connection
+                and flushed_connection.has_queued_output
+                and not closed_connections
+            ):
+                closed_connections.append(flushed_connection)
                 node_connection = harness.compute_nodes[0].connections[0]
                 node_connection.writer.transport.get_extra_info("socket").shutdown(socket.SHUT_WR)
-            flush(flushed)
+            flush(flushed_connection)
 
         monkeypatch.setattr(UpstreamConnection, "flush", close_before_flush)
         assert await client.read_answer(client.call("frail", request_id(2))) == (None, [ROWS, {}])
-        assert closed_before_flush and outcomes == [Outcome.OK, Outcome.OK]
+        assert closed_connections and outcomes == [Outcome.OK, Outcome.OK]
         assert not harness.server.dispatcher.gateway.engine_registry.engines[b"node-0"].failure_ratio
 
     run_with_harness(scenario)
 
 
 def test_connection_drains_if_its_stream_closed_before_the_reader_noticed() -> None:
-    """The compute node is removed at that moment.
+    """The compute node is removed after the stream has closed and before the reader task runs.
 
     Guards against a failure of the half-close, which needs an open stream.
     """
@@ -278,7 +282,7 @@
 
 
 def test_command_queued_when_the_server_aborts_the_connection_is_not_sent() -> None:
-    """Guards against a flush just before the close, which made the attempt one that may have run."""
+    """Guards against a flush just before the close, after which the attempt counted as possibly run."""
 
     async def scenario(harness: Harness) -> None:
         outcomes = record_outcomes(harness)
@@ -305,7 +309,7 @@
 
 
 def test_second_response_to_an_attempt_is_not_used_for_the_next_attempt() -> None:
-    """A compute node rejects a request and sends rows with the same id later, when the retry is in flight."""
+    """A compute node rejects a request, and sends rows with its id later, when the retry is in flight."""
     fetch_connections: list[ComputeNodeConnection] = []
 
     async def script(connection: ComputeNodeConnection, command: list[bytes]) -> None:
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -39,12 +39,12 @@
     ],
     "tenants": [{"name": "acme", "allowancePerS": 1000.0, "share": 1.0}],
 }
-# What a stand-in compute node does with a command that arrives on one of its connections.
+# Handles a command that has arrived on a connection of a stand-in compute node.
 Script = Callable[["ComputeNodeConnection", list[bytes]], Awaitable[None]]
 
 
 class ComputeNodeConnection:
-    """One connection, as a stand-in compute node sees it."""
+    """The compute node's side of one connection."""
 
     def __init__(self, compute_node: ComputeNode, writer: asyncio.StreamWriter) -> None:
         self.compute_node, self.writer = compute_node, writer
@@ -185,7 +185,7 @@
             while message_id not in self.answers:
                 data = await self.reader.read(65_536)
                 if not data:
-                    raise ConnectionResetError("closed")
+                    raise ConnectionResetError("the server closed the connection before it sent the answer")
                 self._buffer += data
                 self._parse_answers()
         return self.answers[message_id]
@@ -198,7 +198,7 @@
         for message in messages:
             del self._buffer[: len(message)]
             kind, message_id, fault, result = msgspec.msgpack.decode(message)
-            assert kind == 1 and message_id not in self.answers, "a second answer"
+            assert kind == 1 and message_id not in self.answers, "a message id was answered twice"
             self.answers[message_id] = (fault, result)
 
     async def wait_closed(self, timeout: float = 5.0) -> bool:
