--- a/tests/node/test_closing.py
+++ b/tests/node/test_closing.py
@@ -47,7 +47,7 @@
 
         async def script(node_connection: ComputeNodeConnection, command: list[bytes]) -> None:
             if command[0] == b"fetch":
-                # The invalid input and more of it arrive before the reply is sent.
+                # The invalid input has been read, and more of it is sent, before the reply.
                 await harness.wait_until(
                     lambda: not any(c.lifecycle.accepts_work for c in downstream.clients)
                 )
@@ -109,7 +109,7 @@
 
 
 def test_a_request_that_has_already_arrived_prevents_an_idle_close(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against an idle close when a request has already arrived and only the event loop is late."""
+    """Guards against an idle close when a request has arrived that the event loop has not read yet."""
 
     async def scenario(harness: Harness) -> None:
         downstream = harness.server.downstream
@@ -172,7 +172,7 @@
     run_with_harness(scenario, paged_results(page, 8))
 
 
-def test_unread_replies_of_all_clients_are_limited_by_the_memory() -> None:
+def test_unread_replies_of_all_clients_together_are_limited() -> None:
     async def scenario(harness: Harness) -> None:
         downstream = harness.server.downstream
         clients = [await harness.client() for _ in range(3)]
@@ -264,12 +264,14 @@
     return SETTINGS | {"limits": SETTINGS["limits"] | {"cancel": can_cancel, "connectTimeout": 2.0}}
 
 
-async def check_nothing_dispatched(harness: Harness, release: asyncio.Event, timeout: float = 0.1) -> None:
+async def check_nothing_dispatched(
+    harness: Harness, may_connect: asyncio.Event, timeout: float = 0.1
+) -> None:
     """Check that no state of the requests remains after the timeout, and that none of them is dispatched."""
     await harness.wait_until(lambda: not any(harness.table_sizes().values()), timeout)
-    release.set()
-    probe = await harness.client()
-    assert (await probe.read_answer(probe.call("ask", "f" * 16)))[0] is None
+    may_connect.set()
+    probe_client = await harness.client()
+    assert (await probe_client.read_answer(probe_client.call("ask", "f" * 16)))[0] is None
     fetched_ids = [
         command[1] for compute_node in harness.compute_nodes for command in compute_node.commands(b"fetch")
     ]
@@ -281,10 +283,10 @@
 def test_a_request_waiting_for_a_connection_is_dropped_when_its_client_disconnects(
     ending: str, can_cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against dispatching the request when its connection is established, if cancels are forbidden."""
+    """Guards against dispatching the request on the established connection if cancels are forbidden."""
 
     async def scenario(harness: Harness) -> None:
-        release = delay_connections(monkeypatch)
+        may_connect = delay_connections(monkeypatch)
         client = SyncClient(harness.server.downstream.port)
         client.send(encode_call(1))
         await harness.wait_until(lambda: harness.table_sizes()["connection_attempts"])
@@ -292,7 +294,7 @@
             client.send(msgspec.msgpack.encode([2, "forget", [1]]))
         else:
             client.reset() if ending == "reset" else client.close()
-        await check_nothing_dispatched(harness, release)
+        await check_nothing_dispatched(harness, may_connect)
 
     run_with_harness(scenario, settings=settings_with_cancel(can_cancel))
 
@@ -302,10 +304,10 @@
 def test_a_disconnection_after_an_invalid_message_is_detected_at_once(
     ending: str, can_cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a pause of 0.25 s in reading after an invalid message, in which requests were sent."""
+    """Guards against a read pause of 0.25 s after an invalid message. Requests were dispatched during it."""
 
     async def scenario(harness: Harness) -> None:
-        release = delay_connections(monkeypatch)
+        may_connect = delay_connections(monkeypatch)
         client = SyncClient(harness.server.downstream.port)
         client.send(encode_call(1) + encode_call(2, "nothing", rid=request_id(2)))
         await harness.wait_until(
@@ -315,7 +317,7 @@
             )
         )
         client.send(msgspec.msgpack.encode([2, "forget", [1]])) if ending == "forget" else client.close()
-        await check_nothing_dispatched(harness, release)
+        await check_nothing_dispatched(harness, may_connect)
 
     run_with_harness(scenario, settings=settings_with_cancel(can_cancel))
 
@@ -325,7 +327,7 @@
     can_cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario(harness: Harness) -> None:
-        release = delay_connections(monkeypatch)
+        may_connect = delay_connections(monkeypatch)
         downstream = harness.server.downstream
         clients = []
         for number in range(1000):
@@ -336,7 +338,7 @@
         await harness.wait_until(lambda: harness.table_sizes()["connection_attempts"])
         for client in clients:
             client.close()
-        await check_nothing_dispatched(harness, release, 5.0)
+        await check_nothing_dispatched(harness, may_connect, 5.0)
 
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 4096}
     run_with_harness(scenario, settings=settings_with_cancel(can_cancel), limits=limits)
@@ -381,28 +383,28 @@
 @pytest.mark.parametrize(
     "ending", ["close", "reset", "forget", "forget, read", "forget, told", "close, late"]
 )
-def test_a_cancellation_during_a_late_turn_prevents_the_dispatch(
+def test_a_cancellation_just_before_the_flush_prevents_the_dispatch(
     ending: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The client disconnects or cancels while the dispatcher decides: no attempt may start after that.
+    """The client disconnects or cancels after its attempt was queued and before the attempt is sent.
 
-    Guards against an event loop that reads this only after it has written the decided attempts, however late
-    it runs.
+    Guards against sending queued attempts before the input of their clients is read. If the event loop was
+    late, attempts of clients that had disconnected long before were then sent.
     """
 
     async def scenario(harness: Harness) -> None:
-        flush, flushed = UpstreamConnection.flush, []
+        flush, flushed_connections = UpstreamConnection.flush, []
         client = SyncClient(harness.server.downstream.port)
         if ending.startswith("forget"):
             client.send(encode_call(9, rid=request_id(9)))
             await harness.wait_until(lambda: harness.compute_nodes[0].commands(b"fetch"))
 
         def end_and_flush(upstream_connection: UpstreamConnection) -> None:
-            if request_id(1).encode() in upstream_connection.attempts and not flushed:
-                flushed.append(upstream_connection)
+            if request_id(1).encode() in upstream_connection.attempts and not flushed_connections:
+                flushed_connections.append(upstream_connection)
                 if ending == "close":
                     client.close()
-                elif ending == "close, late":  # in the turns in which the earlier input is read
+                elif ending == "close, late":  # a few turns later, while the input sent above is being read
                     client.send(encode_call(2, rid=request_id(3))[:20])
                     event_loop = asyncio.get_running_loop()
                     event_loop.call_soon(event_loop.call_soon, event_loop.call_soon, client.close)
@@ -411,7 +413,7 @@
                 elif ending != "forget, told":
                     client.send(msgspec.msgpack.encode([2, "forget", [1]]))
                 (connection,) = harness.server.downstream.clients
-                if "told" in ending:  # processed, and the dispatcher is stepped later in this turn
+                if "told" in ending:  # already processed; the dispatcher runs later in this turn
                     connection.receive(msgspec.msgpack.encode([2, "forget", [1]]))
                 if "read" in ending:  # read from the socket, but not processed yet
                     connection.stream._handle_events(connection.stream.fileno(), IOLoop.READ)
@@ -419,7 +421,9 @@
 
         monkeypatch.setattr(UpstreamConnection, "flush", end_and_flush)
         client.send(encode_call(1, rid=request_id(1)))
-        await harness.wait_until(lambda: flushed and not harness.table_sizes()["connection_attempts"])
+        await harness.wait_until(
+            lambda: flushed_connections and not harness.table_sizes()["connection_attempts"]
+        )
         other_client = await harness.client()
         assert (await other_client.read_answer(other_client.call("ask", request_id(2))))[0] is None
         assert request_id(1).encode() not in [
@@ -533,7 +537,7 @@
 
 
 def test_an_exception_in_one_timeout_check_does_not_end_the_checks(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The check of a client and of an engine connection fails; the other connections are still closed."""
+    """The checks of one client and one engine connection fail. The other connections are still closed."""
 
     async def scenario(harness: Harness) -> None:
         monkeypatch.setattr(client_connection, "RECEIVE_TIMEOUT", 0.3)
@@ -548,12 +552,12 @@
             (client_connection.ClientConnection, "check_timeouts"),
             (UpstreamConnection, "check_timeouts"),
         ):
-            real = getattr(connection_type, method)
+            real_check = getattr(connection_type, method)
 
-            def check_or_fail(connection: Any, *arguments: Any, real: Any = real) -> None:
+            def check_or_fail(connection: Any, *arguments: Any, real_check: Any = real_check) -> None:
                 if connection in failing:
                     raise RuntimeError("injected failure")
-                real(connection, *arguments)
+                real_check(connection, *arguments)
 
             monkeypatch.setattr(connection_type, method, check_or_fail)
         second = SyncClient(downstream.port)
@@ -611,7 +615,7 @@
 
 
 def test_a_client_that_sends_continuously_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Output that is delayed until the client's input is read is sent even if there is always more input."""
+    """A command waits until its client's input has been read, but is sent even if more always arrives."""
 
     async def scenario(harness: Harness) -> None:
         client, sent_ids = SyncClient(harness.server.downstream.port), [1]
@@ -658,12 +662,12 @@
             monkeypatch.setattr(type(connection), "receive", receive_and_resend)
             input_counts: list[int] = []
 
-            def count_turn() -> None:
+            def record_input_count() -> None:
                 input_counts.append(len(inputs))
                 if len(inputs) < 200:
-                    asyncio.get_running_loop().call_soon(count_turn)
+                    asyncio.get_running_loop().call_soon(record_input_count)
 
-            count_turn()
+            record_input_count()
             flood.send(data)
             await harness.wait_until(lambda: len(inputs) > 200)
             assert max(later - earlier for earlier, later in itertools.pairwise(input_counts)) <= 3
--- a/tests/node/test_feed.py
+++ b/tests/node/test_feed.py
@@ -59,17 +59,20 @@
         feed.send_line(b'{"n":2,"members":{"members":[{"id":7}]}}\n')
         feed.send_event(3, [member("x", 9, "asleep"), member("y", 9)])
         await harness.wait_until(lambda: len(harness.server.endpoints) == 2)
-        feed.send_event(9, [member("z", 9)])  # events are missing
+        feed.send_event(9, [member("z", 9)])  # events 4 to 8 are missing
         await harness.wait_until(lambda: len(feed.subscribed_sequences) == 3)
         assert feed.subscribed_sequences[-1] == 3
-        feed.send_line(b"5\n")  # a heartbeat that is ahead: events are missing, too
+        feed.send_line(b"5\n")  # a heartbeat with the number 5: events 4 and 5 are missing
         await harness.wait_until(lambda: len(feed.subscribed_sequences) == 4)
 
     run_with_harness(scenario)
 
 
 def test_a_complete_list_replaces_events_that_the_feed_no_longer_has() -> None:
-    """The feed retains only its newest list. Guards against requesting lost events with an outdated list."""
+    """The feed retains only its newest list.
+
+    Guards against requesting events that the feed no longer has, while the endpoint list stays outdated.
+    """
 
     async def scenario(harness: Harness) -> None:
         feed, server = harness.feed, harness.server
@@ -130,7 +133,7 @@
 
 
 def write_repeatedly(harness: Harness, line: bytes, interval: float) -> None:
-    """Write only this line, repeatedly, on the feed connection that is open now."""
+    """Write this line repeatedly on the feed connection that is open now."""
     event_loop, writer = asyncio.get_running_loop(), harness.feed.writers[-1]
 
     def write_line() -> None:
@@ -165,7 +168,7 @@
     ],
 )
 def test_the_watch_reconnects_when_the_feed_sends_no_current_line(line: bytes, interval: float) -> None:
-    """Guards against following forever a feed that sends only old numbers or old events."""
+    """Guards against staying connected to a feed that sends only old numbers or old events."""
 
     async def scenario(harness: Harness) -> None:
         await harness.wait_until(lambda: harness.feed.writers)
@@ -324,7 +327,7 @@
 
 
 def test_the_configuration_of_another_gateway_is_not_applied(tmp_path: Path) -> None:
-    """Guards against another customer's file at this path, whose feed would list or drain a foreign fleet."""
+    """Guards against another customer's file at this path, whose feed lists and drains other engines."""
 
     async def scenario(harness: Harness) -> None:
         await harness.wait_until(lambda: harness.feed.writers)
--- a/tests/node/test_interleavings.py
+++ b/tests/node/test_interleavings.py
@@ -116,7 +116,7 @@
 
 
 async def change_endpoints(harness: Harness, random: Random) -> None:
-    """Drain, remove and list engines again, and break the feed connection, at random times."""
+    """Drain engines, remove them, list them as up, and break the feed connection, at random times."""
     await harness.wait_until(lambda: harness.feed.writers)
     for sequence in range(2, 8):
         await asyncio.sleep(random.uniform(0.05, 0.25))
@@ -132,7 +132,10 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_random_interleavings_keep_the_invariants(seed: int) -> None:
-    """One reply each, no attempt after a disconnection, no unsafe request run twice, and no state left."""
+    """Each request gets one reply, no attempt follows a disconnection, and no state is left.
+
+    Unsafe requests are not executed twice.
+    """
     random = Random(f"interleavings {seed}")
     engines = RandomEngines(random)
     exceptions: list[Any] = []
@@ -163,7 +166,7 @@
             await asyncio.sleep(0)
         assert not exceptions and not [entry for entry in logs if entry["log_level"] in ("error", "critical")]
         assert not any(harness.table_sizes().values()) and not harness.server.downstream.clients
-        for attempt in attempts:  # the time of sending, because the stand-in engine may read late
+        for attempt in attempts:  # compares the time of sending, because the stand-in engine may read late
             assert (
                 attempt.sent_at
                 <= clients.ended_at.get(attempt.statement.request_id, math.inf) + MAX_SEND_DELAY
--- a/tests/node/test_ordinary.py
+++ b/tests/node/test_ordinary.py
@@ -51,7 +51,7 @@
 
 
 def test_a_lost_page_is_requested_again_without_a_second_execution() -> None:
-    """Guards against one lost page on an open connection: the request timed out or was executed again."""
+    """Guards against a request that times out or runs again because one page was lost."""
     lost_pages: list[bytes] = []
 
     async def script(node_connection: ComputeNodeConnection, command: list[bytes]) -> None:
@@ -63,23 +63,23 @@
             node_connection.send(command[1], b"MORE", b"sheet=" + command[2], ROWS)
 
     async def scenario(harness: Harness) -> None:
-        recorded = record_outcomes(harness)
+        outcomes = record_outcomes(harness)
         client = await harness.client()
         assert await client.read_answer(client.call("ask", REQUEST_ID)) == (None, [ROWS * 4, {}])
-        assert recorded == [Outcome.OK] and len(lost_pages) == 2
+        assert outcomes == [Outcome.OK] and len(lost_pages) == 2
         assert len(harness.compute_nodes[0].commands(b"fetch")) == 1
 
     run_with_harness(scenario, script)
 
 
 def test_results_may_arrive_in_any_order_and_keys_are_forwarded() -> None:
-    waiting: list[tuple[ComputeNodeConnection, bytes]] = []
+    held_fetches: list[tuple[ComputeNodeConnection, bytes]] = []
 
     async def script(node_connection: ComputeNodeConnection, command: list[bytes]) -> None:
-        waiting.append((node_connection, command[1]))
-        if len(waiting) == 3:
-            for waiting_peer, fetched_id in reversed(waiting):
-                waiting_peer.send_result(fetched_id, fetched_id + b"\t\t\n")
+        held_fetches.append((node_connection, command[1]))
+        if len(held_fetches) == 3:
+            for held_connection, fetched_id in reversed(held_fetches):
+                held_connection.send_result(fetched_id, fetched_id + b"\t\t\n")
 
     async def scenario(harness: Harness) -> None:
         client = await harness.client()
@@ -98,30 +98,30 @@
 
 
 def test_requests_with_one_ordering_key_run_sequentially_over_two_connections() -> None:
-    running: list[bytes] = []
-    order: list[bytes] = []
+    running_ids: list[bytes] = []
+    started_ids: list[bytes] = []
 
     async def script(node_connection: ComputeNodeConnection, command: list[bytes]) -> None:
-        assert not running, "two requests are running"
-        running.append(command[1])
-        order.append(command[1])
+        assert not running_ids, "two requests with one ordering key are running"
+        running_ids.append(command[1])
+        started_ids.append(command[1])
         await asyncio.sleep(0.02)
-        running.clear()
+        running_ids.clear()
         node_connection.send_result(command[1])
 
     async def scenario(harness: Harness) -> None:
         first, second = await harness.client(), await harness.client()
         key = {"token": "5c0f6e1a2b3d4c59", "obj": "7f3a9c21e0b4d655"}
-        sent = []
+        calls = []
         for number in range(4):
             client = (first, second)[number % 2]
-            sent.append((client, client.call("load", request_id(number), **key)))
+            calls.append((client, client.call("load", request_id(number), **key)))
             await harness.wait_until(
                 lambda number=number: harness.server.downstream.request_count == number + 1
             )  # type: ignore[misc]
-        for client, message_id in sent:
+        for client, message_id in calls:
             assert (await client.read_answer(message_id))[0] is None
-        assert order == [request_id(number).encode() for number in range(4)]
+        assert started_ids == [request_id(number).encode() for number in range(4)]
 
     run_with_harness(scenario, script)
 
--- a/tests/node/test_sigterm.py
+++ b/tests/node/test_sigterm.py
@@ -39,27 +39,28 @@
         await harness.server.run()
 
 
-def stop_with_race(harness: Harness, monkeypatch: pytest.MonkeyPatch, race: Callable[[], None]) -> None:
-    """Request the shutdown, and call `race` right before the check that ends the draining phase.
+def stop_with_race(
+    harness: Harness, monkeypatch: pytest.MonkeyPatch, racing_action: Callable[[], None]
+) -> None:
+    """Request the shutdown, and call `racing_action` right before the check that ends the draining phase.
 
-    Until then, the state machine is passed times before the end of the phase, and at that check a time after
-    it. Without this, a check between the server's and the test's reading of the clock could end the phase
-    before `race` is called.
+    The state machine is passed times before the end of the phase until `racing_action` has been called, and
+    times after it from then on. With the real time, a check could end the phase before the call.
     """
-    process, loop, race_calls = harness.server.process, asyncio.get_running_loop(), []
+    process, loop, action_calls = harness.server.process, asyncio.get_running_loop(), []
     real_sleep, real_advance = asyncio.sleep, process.advance
 
-    async def sleep_then_race(seconds: float) -> None:
+    async def sleep_and_run_action(seconds: float) -> None:
         await real_sleep(seconds)
-        if seconds == shutdown.CHECK_INTERVAL and not race_calls:
-            race_calls.append(True)
-            race()
+        if seconds == shutdown.CHECK_INTERVAL and not action_calls:
+            action_calls.append(True)
+            racing_action()
 
     def advance(now: float, outstanding: OutstandingWork) -> Phase:
-        time = max(now, after + NEW_REQUEST_WINDOW) if race_calls else min(now, before + 0.5)
+        time = max(now, after + NEW_REQUEST_WINDOW) if action_calls else min(now, before + 0.5)
         return real_advance(time, outstanding)
 
-    monkeypatch.setattr(shutdown.asyncio, "sleep", sleep_then_race)
+    monkeypatch.setattr(shutdown.asyncio, "sleep", sleep_and_run_action)
     monkeypatch.setattr(process, "advance", advance)
     before = loop.time()
     harness.server.stop()
@@ -349,11 +350,11 @@
     """The connections are in different states when the server is closed."""
 
     async def scenario(harness: Harness) -> None:
-        started: list[managed_connection.ManagedConnection] = []
+        started_connections: list[managed_connection.ManagedConnection] = []
         real_start = managed_connection.ManagedConnection.start
 
         def record_and_start(connection: managed_connection.ManagedConnection) -> None:
-            started.append(connection)
+            started_connections.append(connection)
             real_start(connection)
 
         managed_connection.ManagedConnection.start = record_and_start  # type: ignore[method-assign]
@@ -366,8 +367,9 @@
             harness.server.close()
         finally:
             managed_connection.ManagedConnection.start = real_start  # type: ignore[method-assign]
-        assert started and all(
-            connection.lifecycle.is_closed and not connection.has_pending_work for connection in started
+        assert started_connections and all(
+            connection.lifecycle.is_closed and not connection.has_pending_work
+            for connection in started_connections
         )
 
     run_with_harness(scenario, never_answer)
