--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -53,7 +53,7 @@
 def instance_start(
     instance: int = 3, settings_lines: str = SETTINGS_LINES, mode: int = 3
 ) -> tuple[list[bytes], bytes]:
-    """The records that start an instance with one ready engine, and their tail."""
+    """Return the records that start an instance with one ready engine, and the tail they refer to."""
     entry = struct.pack(">dBHH6sfB", 0.0, 0, 0, 0, ENGINE, 1.0, 1)
     text = settings_lines.encode()
     return [
@@ -204,7 +204,8 @@
     assert reply == ([], b"")
 
 
-def test_endpoint_table_numbers_are_resolved_in_the_order_of_records() -> None:
+def test_endpoints_record_uses_the_endpoint_table_sent_before_it() -> None:
+    """A later table with the same number does not change the earlier record."""
     records, tail = instance_start(3)
     removed_entry = struct.pack(">dBHH6sfB", 0.0, 0, 0, 0, ENGINE, 1.0, 0)
     replacement = record(">HHII", 1060, 0, len(tail), 1)
--- a/tests/test_msgpackrpc.py
+++ b/tests/test_msgpackrpc.py
@@ -14,24 +14,24 @@
 MAX_BYTES, MAX_ITEMS = 4096, 64
 
 
-def scanner() -> rpc.Scanner:
+def new_scanner() -> rpc.Scanner:
     return rpc.Scanner(MAX_BYTES, MAX_ITEMS)
 
 
-def call(message_id: int = 7, body: bytes = b"SELECT 1", **fields: str) -> bytes:
+def encode_call(message_id: int = 7, body: bytes = b"SELECT 1", **fields: str) -> bytes:
     return msgspec.msgpack.encode([0, message_id, "report", [fields, body]])
 
 
 def test_messages_are_found_at_every_split() -> None:
-    first = call(rid="9b1f03aa5c7e2d41", budget="1500", text="x" * 300)
+    first = encode_call(rid="9b1f03aa5c7e2d41", budget="1500", text="x" * 300)
     second = msgspec.msgpack.encode([2, "forget", [7]])
     whole = first + second
     for split_at in range(len(whole) + 1):
-        message_scanner = scanner()
-        before, error = message_scanner.feed(whole[:split_at])
-        after, later_error = message_scanner.feed(whole[split_at:])
+        scanner = new_scanner()
+        before, error = scanner.feed(whole[:split_at])
+        after, later_error = scanner.feed(whole[split_at:])
         assert before + after == [first, second] and error is None and later_error is None
-        assert message_scanner.pending_bytes == 0
+        assert scanner.pending_bytes == 0
 
 
 def test_every_kind_of_value_is_scanned() -> None:
@@ -54,7 +54,7 @@
     values += [[1] * 20, {"a": 1}, msgspec.msgpack.Ext(5, b"x"), msgspec.msgpack.Ext(5, b"x" * 20)]
     for value in values:
         message = msgspec.msgpack.encode([0, 1, "m", value])
-        assert scanner().feed(message + b"\x94") == ([message], None)
+        assert new_scanner().feed(message + b"\x94") == ([message], None)
 
 
 @pytest.mark.parametrize(
@@ -72,30 +72,30 @@
     ],
 )
 def test_input_that_cannot_be_a_message_is_an_error_at_once(data: bytes) -> None:
-    messages, error = scanner().feed(data)
+    messages, error = new_scanner().feed(data)
     assert not messages and error is not None
 
 
 def test_valid_messages_before_invalid_input_are_returned() -> None:
-    messages, error = scanner().feed(call() + b"\xc1")
-    assert messages == [call()] and error is not None
+    messages, error = new_scanner().feed(encode_call() + b"\xc1")
+    assert messages == [encode_call()] and error is not None
 
 
 def test_a_long_message_in_small_pieces_is_scanned_once() -> None:
-    """Guards against quadratic time, in which each piece causes a scan of all earlier pieces."""
-    message_scanner = rpc.Scanner(1_000_000, 64)
+    """Guards against a scan of all earlier pieces for each new piece, which takes quadratic time."""
+    scanner = rpc.Scanner(1_000_000, 64)
     scanned_positions: list[int] = []
-    scan_item = message_scanner._scan_item
-    message_scanner._scan_item = lambda position: scanned_positions.append(position) or scan_item(position)  # type: ignore[func-returns-value,method-assign]
-    message = call(body=b"x" * 100_000)
+    scan_item = scanner._scan_item
+    scanner._scan_item = lambda position: scanned_positions.append(position) or scan_item(position)  # type: ignore[func-returns-value,method-assign]
+    message = encode_call(body=b"x" * 100_000)
     for offset in range(0, len(message), 100):
-        messages, _ = message_scanner.feed(message[offset : offset + 100])
+        messages, _ = scanner.feed(message[offset : offset + 100])
     assert messages == [message]
     assert len(scanned_positions) < len(message) / 100 + 20
 
 
 def test_calls_and_notifications_are_decoded() -> None:
-    assert rpc.decode_message(call(rid="a")) == rpc.Call(7, "report", {"rid": "a"}, b"SELECT 1")
+    assert rpc.decode_message(encode_call(rid="a")) == rpc.Call(7, "report", {"rid": "a"}, b"SELECT 1")
     assert rpc.decode_message(msgspec.msgpack.encode([0, 8, "isWell", [{}]])) == rpc.Call(
         8, "isWell", {}, None
     )
@@ -123,7 +123,7 @@
         ([0, "forget", [7]], None),
     ],
 )
-def test_a_message_that_is_no_valid_call_or_notification_is_an_error(
+def test_a_message_that_is_neither_a_valid_call_nor_a_notification_is_an_error(
     value: object, message_id: int | None
 ) -> None:
     with pytest.raises(rpc.InvalidMessageError) as raised:
@@ -153,10 +153,10 @@
 
 @given(st.lists(st.binary(max_size=200), max_size=20))
 def test_any_bytes_are_messages_or_an_error(parts: list[bytes]) -> None:
-    message_scanner = scanner()
+    scanner = new_scanner()
     for part in parts:
-        messages, error = message_scanner.feed(part)
-        assert message_scanner.pending_bytes <= MAX_BYTES
+        messages, error = scanner.feed(part)
+        assert scanner.pending_bytes <= MAX_BYTES
         for message in messages:
             with contextlib.suppress(rpc.InvalidMessageError):
                 rpc.decode_message(message)
@@ -166,8 +166,8 @@
 
 @given(st.binary(max_size=60), st.integers(0, 200), st.integers(0, 255))
 def test_a_call_with_a_changed_byte_is_decoded_or_rejected(body: bytes, index: int, value: int) -> None:
-    data = bytearray(call(body=body, rid="9b1f03aa5c7e2d41", budget="1500"))
+    data = bytearray(encode_call(body=body, rid="9b1f03aa5c7e2d41", budget="1500"))
     data[index % len(data)] = value
-    for message in scanner().feed(bytes(data))[0]:
+    for message in new_scanner().feed(bytes(data))[0]:
         with contextlib.suppress(rpc.InvalidMessageError):
             rpc.decode_message(message)
--- a/tests/test_platform_parts.py
+++ b/tests/test_platform_parts.py
@@ -16,8 +16,8 @@
 from saffronlane.simulator import settings as simulator_settings
 
 
-def nested(lines: str) -> dict[str, Any]:
-    """Convert path=value lines to the nested form that the platform uses."""
+def nested_settings(lines: str) -> dict[str, Any]:
+    """Convert the simulator's `path=value` settings to the nested form that the platform uses."""
     root: dict[str, Any] = {}
     for line in lines.splitlines():
         path, value = line.split("=", 1)
@@ -25,7 +25,7 @@
         mapping = root
         for parent in parents:
             mapping = mapping.setdefault(parent, {})
-        mapping[name] = _typed(value)
+        mapping[name] = _parse_value(value)
     for name in ("services", "tenants"):
         if name in root:
             count = root[name].pop("count")
@@ -33,9 +33,9 @@
     return root
 
 
-def _typed(value: str) -> Any:
+def _parse_value(value: str) -> Any:
     if "," in value:
-        return [_typed(part) for part in value.split(",")]
+        return [_parse_value(part) for part in value.split(",")]
     if value in ("true", "false"):
         return value == "true"
     try:
@@ -45,17 +45,19 @@
 
 
 def test_both_forms_of_the_settings_give_equal_settings() -> None:
-    by_lines = simulator_settings.read_settings(simulator_settings.Params.from_lines(SETTINGS_LINES))
-    by_object = simulator_settings.read_settings(
-        simulator_settings.Params.from_object(nested(SETTINGS_LINES))
+    settings_from_lines = simulator_settings.read_settings(
+        simulator_settings.Params.from_lines(SETTINGS_LINES)
     )
-    assert by_lines == by_object
-    assert by_lines.classes[1].idempotency is api.Idempotency.KEYED
+    settings_from_object = simulator_settings.read_settings(
+        simulator_settings.Params.from_object(nested_settings(SETTINGS_LINES))
+    )
+    assert settings_from_lines == settings_from_object
+    assert settings_from_lines.classes[1].idempotency is api.Idempotency.KEYED
 
 
 def test_each_nested_key_has_the_value_of_its_line() -> None:
     lines = simulator_settings.Params.from_lines(SETTINGS_LINES)._values
-    flat = simulator_settings.Params.from_object(nested(SETTINGS_LINES))._values
+    flat = simulator_settings.Params.from_object(nested_settings(SETTINGS_LINES))._values
     for path, value in lines.items():
         try:
             assert float(flat[path]) == float(value), path
@@ -107,12 +109,12 @@
         assert time.process_time() - started_at < 2.0, pattern
 
 
-def raw(**changes: Any) -> bytes:
+def config_json(**changes: Any) -> bytes:
     return json.dumps(dispatcher_config([], 9, **changes)).encode()
 
 
 def test_a_valid_configuration_is_parsed() -> None:
-    config = parse_config(raw(peers=["10.0.0.1:1", "10.0.0.2:2"], peers_all="10.0.0.255:3"))
+    config = parse_config(config_json(peers=["10.0.0.1:1", "10.0.0.2:2"], peers_all="10.0.0.255:3"))
     assert (
         config.last_sequence == 1
         and config.peers[1] == ("10.0.0.2", 2)
@@ -129,20 +131,20 @@
     [
         (b"{", "/"),
         (b"\xff", "/"),
-        (raw(listen=5), "/listen"),
-        (raw(listen="nowhere"), "/listen"),
-        (raw(feed="a:99999"), "/feed"),
-        (raw(limits={"sockets": "many"}), "/limits/sockets"),
-        (raw(limits={"sockets": 5}), "/limits/sockets"),
-        (raw(peers=["a:1", "b"]), "/peers/1"),
-        (raw(seed="xyz"), "/seed"),
+        (config_json(listen=5), "/listen"),
+        (config_json(listen="nowhere"), "/listen"),
+        (config_json(feed="a:99999"), "/feed"),
+        (config_json(limits={"sockets": "many"}), "/limits/sockets"),
+        (config_json(limits={"sockets": 5}), "/limits/sockets"),
+        (config_json(peers=["a:1", "b"]), "/peers/1"),
+        (config_json(seed="xyz"), "/seed"),
         (
-            raw(known={"n": 1, "events": [{"members": {"members": [{}]}}]}),
+            config_json(known={"n": 1, "events": [{"members": {"members": [{}]}}]}),
             "/known/events/0/members/members/0",
         ),
-        (raw(settings={k: v for k, v in SETTINGS.items() if k != "kinds"}), "/settings/kinds"),
-        (raw(settings=SETTINGS | {"services": [{"name": "x"}]}), "/settings/services/0/aim"),
-        (raw(settings=SETTINGS | {"fleetSize": 0}), "/settings"),
+        (config_json(settings={k: v for k, v in SETTINGS.items() if k != "kinds"}), "/settings/kinds"),
+        (config_json(settings=SETTINGS | {"services": [{"name": "x"}]}), "/settings/services/0/aim"),
+        (config_json(settings=SETTINGS | {"fleetSize": 0}), "/settings"),
     ],
 )
 def test_an_invalid_configuration_is_reported_in_one_line_with_its_pointer(data: bytes, pointer: str) -> None:
