--- a/tests/node/test_closing.py
+++ b/tests/node/test_closing.py
@@ -388,8 +388,8 @@
 ) -> None:
     """The client disconnects or cancels after its attempt was queued and before the attempt is sent.
 
-    Guards against sending queued attempts before the input of their clients is read. If the event loop was
-    late, attempts of clients that had disconnected long before were then sent.
+    Guards against an event loop that sends queued attempts before it reads the input of their clients, even
+    if this input arrived long before because the loop runs late.
     """
 
     async def scenario(harness: Harness) -> None:
