--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -12,7 +12,10 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Expect the tests of KNOWN-RED.txt to fail; one that passes is an error: its entry must go."""
+    """Mark the tests listed in KNOWN-RED.txt as expected failures.
+
+    A listed test that passes is reported as a failure, so that its entry is removed.
+    """
     listed = read_known_red()
     for item in items:
         if is_listed(item.nodeid, listed):
@@ -37,6 +40,7 @@
 
 
 def one_class(**changes: object) -> tuple[api.ClassSettings, ...]:
+    """Return a tuple that contains only the short class with the given changes."""
     return (replace(SHORT_CLASS, **changes),)
 
 
@@ -50,7 +54,7 @@
     Attributes:
         now: Time of the last step in seconds.
         actions: Actions of all steps, in order.
-        last_request: Number of the last request.
+        last_request: Number of the most recently created request.
         timers: Time and token of each timer that has not fired.
     """
 
@@ -93,13 +97,14 @@
     def end_attempt(
         self, request: int, outcome: api.Outcome, attempt: int = 0, **fields: object
     ) -> list[api.Action]:
+        """Report the outcome of an attempt to the gateway and return the resulting actions."""
         engine = self.dispatches(request)[attempt].engine
         elapsed = fields.pop("elapsed", 0.1)
         is_final = fields.pop("is_final", outcome is api.Outcome.OK)
         return self.step(api.AttemptEnded(request, attempt, engine, outcome, elapsed, is_final, **fields))
 
     def run_until(self, until: float) -> list[api.Action]:
-        """Fire the timers that are due up to a time, in order, and return the actions."""
+        """Fire all timers that are due by `until`, in order, and return the resulting actions."""
         previous_count = len(self.actions)
         while self.timers and min(self.timers)[0] <= until:
             due_at, token = min(self.timers)
--- a/tests/test_many_gateways.py
+++ b/tests/test_many_gateways.py
@@ -1,4 +1,4 @@
-"""The policy with one and with many gateways; bounds must hold for the sum over all gateways."""
+"""Tests of the policy with one and with many gateways. Bounds must hold for the sum over all gateways."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 def make_drivers(
     driver_count: int = GATEWAY_COUNT, engine_count: int = ENGINE_COUNT, **changes: object
 ) -> list[Driver]:
-    """Return drivers of all gateways of a deployment, whose estimates are 0.3 s of work and latency."""
+    """Return one driver per gateway, each with learned estimates of 0.3 s for work and latency."""
     drivers = []
     for gateway_index in range(driver_count):
         settings = make_settings(**{"gateway_count": driver_count, "gateway_index": gateway_index, **changes})
@@ -95,7 +95,7 @@
 
 
 def test_hot_table_group_spreads_over_engines_although_nothing_is_in_flight() -> None:
-    """One of many gateways rarely has attempts in flight; its recently dispatched work must count as load."""
+    """One of many gateways rarely has attempts in flight. Its recently dispatched work must count as load."""
     driver = make_drivers(1)[0]
     engines = []
     for i in range(200):
@@ -107,7 +107,7 @@
     assert max(hot.count(engine) for engine in set(hot)) < 0.7 * len(hot)
 
 
-def test_gateway_with_a_share_below_one_request_still_queues_under_congestion() -> None:
+def test_gateway_queues_under_congestion_even_if_its_concurrency_share_is_below_one_request() -> None:
     driver = make_drivers(1, gateway_count=GATEWAY_COUNT, classes=one_class(late_priority_weight=0.5))[0]
     for _ in range(60):
         driver.end_attempt(driver.submit(), Outcome.OK, work=WORK, elapsed=3.0)
@@ -172,14 +172,14 @@
         )
     assert (
         0 < probe_request_count <= 30
-    )  # a fifth of all dispatches, retries included, and the initial credit
+    )  # a fifth of all dispatches (including retries) plus the initial credit
 
 
 # --- Gossip between gateways ---
 
 
 def gossip_driver(gateway_index: int, has_bulk_loads: bool = True, **changes: object) -> Driver:
-    """Return a driver with gossip; its class 1 is heavy and, by default, consists of bulk loads."""
+    """Return a driver with gossip enabled. Its class 1 is heavy and, by default, a class of bulk loads."""
     classes = (SHORT_CLASS, replace(LONG_CLASS, is_bulk_load=has_bulk_loads))
     defaults = {
         "gateway_count": 3,
@@ -226,8 +226,11 @@
     assert receiver.gateway.load_gossip.peer_load.threads == 0.0
 
 
-def test_heavy_request_is_reported_while_peers_have_many_but_the_lightest_is_not() -> None:
-    """Guards against a fixed limit on reported attempts: a large deployment at full load reported nothing."""
+def test_heavy_request_is_reported_despite_many_reports_of_peers_unless_it_is_the_lightest() -> None:
+    """Guards against a fixed limit on reported attempts.
+
+    A large deployment at full load reached the limit and reported no further attempts.
+    """
     driver = gossip_driver(1, has_bulk_loads=False, gateway_count=230)
     engines = list(driver.gateway.engine_registry.engines)
     for sender in range(2, 232):
@@ -251,7 +254,7 @@
 
 
 def test_request_for_all_memory_of_an_engine_is_dispatched_while_half_is_free() -> None:
-    """Guards against a class that never runs, as its grant exceeds the memory for known grants."""
+    """Guards against a class that never runs because its grant exceeds the memory ratio for known grants."""
     driver = gossip_driver(1, has_bulk_loads=False, memory_grants_enabled=True)
     engines = list(driver.gateway.engine_registry.engines)
 
@@ -270,8 +273,8 @@
     assert not driver.dispatches(driver.submit(class_index=1, estimated_memory_mb=16384.0))
 
 
-def test_peers_avoid_an_engine_reported_full_for_different_times() -> None:
-    """Guards against a rejection at each gateway, and against all of them returning at the same time."""
+def test_each_peer_avoids_an_engine_reported_as_full_for_a_different_time() -> None:
+    """Guards against one rejection per gateway, and against all gateways using the engine again at once."""
     drivers = [gossip_driver(index) for index in range(3)]
     first = drivers[0].submit(table_group=4.0)
     full_engine = drivers[0].dispatches(first)[0].engine
@@ -399,7 +402,7 @@
 @pytest.mark.parametrize("gateway_count", [2, 54, 200])
 @pytest.mark.parametrize("idle_time", [0.0, 5.0, 9.0])
 def test_idle_gateways_do_not_accumulate_slow_start_turns(gateway_count: int, idle_time: float) -> None:
-    """Turns that 54 idle gateways accumulate would allow twice the work that the engine survives."""
+    """Accumulated turns of 54 idle gateways would allow twice the work that the engine can handle."""
     drivers = make_drivers(gateway_count, engine_count=1, guarantees=NARROW_SLOW_START)
     for driver in drivers:
         driver.now = 130.0
@@ -437,8 +440,8 @@
     assert max(sum(start <= time < start + 1.0 for time in times) for start in times) * WORK <= NARROW_BUDGET
 
 
-def test_engine_in_slow_start_is_preferred_for_small_requests_in_the_gateways_turn() -> None:
-    """Turns are short. In plain rendezvous order most would pass unused, and the engine would stay idle."""
+def test_gateway_prefers_an_engine_in_slow_start_for_small_requests_during_its_turn() -> None:
+    """Turns are short. In plain rendezvous order most turns would be unused, leaving the engine idle."""
     dispatch_count = 0
     for driver in make_drivers(54, engine_count=20, guarantees=NARROW_SLOW_START):
         driver.now = 130.0
@@ -456,7 +459,7 @@
 
 
 def test_interrupted_attempts_do_not_lower_the_work_estimate() -> None:
-    """Guards against estimates from completed attempts only, which overload an engine in slow start."""
+    """Guards against estimates that use completed attempts only, and so overload an engine in slow start."""
     driver = Driver(make_settings(guarantees=NARROW_SLOW_START))
     for _ in range(60):
         driver.end_attempt(driver.submit(), Outcome.OK, elapsed=0.2)
--- a/tests/test_missing_signals.py
+++ b/tests/test_missing_signals.py
@@ -1,4 +1,4 @@
-"""Deployments that lack signals (reported work, cost, retry delays); load reports, zones and tenants."""
+"""Tests of missing signals (reported work, cost, retry delays), and of load reports, zones and tenants."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     driver.end_attempt(driver.submit(), Outcome.OK, elapsed=elapsed, load_report=(1.0, active), **fields)
 
 
-def test_load_reports_reveal_congestion_that_lasts_from_the_first_response() -> None:
+def test_load_reports_reveal_congestion_that_began_before_the_first_response() -> None:
     """Without a response from before the congestion there is no baseline latency to compare with."""
     driver = Driver(make_settings(**WITH_LOAD_REPORTS), engines=2)
     for _ in range(40):
@@ -62,7 +62,7 @@
         )
 
 
-def test_rejection_has_no_retry_after_if_clients_do_not_receive_it() -> None:
+def test_rejection_has_a_retry_after_only_if_the_gateway_sends_it_to_clients() -> None:
     limits = api.Limits(can_cancel=True, max_attempts=4, max_retry_after=2.0, sends_retry_after=False)
     driver = Driver(make_settings(limits=limits), engines=0)
     request = driver.submit(timeout=0.5)
@@ -75,7 +75,7 @@
 
 
 def test_one_step_does_not_try_every_retry_of_a_long_queue(monkeypatch) -> None:
-    """Guards against steps that take too long: under congestion, each release tried every queued retry."""
+    """Guards against slow steps: under congestion, each release of capacity tried every queued retry."""
     driver = Driver(make_settings(), engines=4)
     requests = [driver.submit() for _ in range(60)]
     for request in requests:
@@ -109,7 +109,7 @@
 
 
 def test_engine_that_reports_high_load_is_avoided_until_the_report_is_old() -> None:
-    """One of many gateways can't infer from its own attempts that the others fill an engine."""
+    """One of many gateways can't infer from its own attempts that other gateways load an engine."""
     driver = Driver(make_settings(gateway_count=100, **WITH_LOAD_REPORTS), engines=3)
     for index in range(3):
         engine = driver.gateway.engine_registry.engines[engine_id(index)]
@@ -194,7 +194,7 @@
 # --- Zones and tenants ---
 
 
-def test_home_engines_of_the_own_zone_come_first_if_crossing_zones_is_costly() -> None:
+def test_home_engines_in_the_zone_of_the_gateway_come_first_if_crossing_zones_is_costly() -> None:
     crossing_counts = {}
     for price in (0.0, 0.04):
         driver = Driver(make_settings(zones=("a", "b", "c"), zone=1, cross_zone_price=price), engines=0)
--- a/tests/test_rules_kept.py
+++ b/tests/test_rules_kept.py
@@ -1,4 +1,4 @@
-"""The seven rules of every decision. Each test fails if the code that enforces its rule is removed."""
+"""Tests of the seven rules of the policy. Each test fails if the code that enforces its rule is removed."""
 
 from __future__ import annotations
 
@@ -111,7 +111,10 @@
 def test_retry_is_dispatched_only_if_it_arrives_before_its_key_expires(
     connect_timeout: float, attempt_count: int
 ) -> None:
-    """Guards against a constant margin: with a long connect timeout, retries arrived too late."""
+    """Guards against a constant margin before the expiry of the key.
+
+    With a long connect timeout, retries arrived at the engine after the key had expired.
+    """
     settings = make_settings(
         classes=one_class(idempotency=Idempotency.KEYED, idempotency_ttl=2.0, late_priority_weight=0.5)
     )
@@ -124,7 +127,7 @@
 
 
 def test_queued_retry_is_not_dispatched_if_its_key_expires_between_expiry_checks() -> None:
-    """The retry waits for an engine; one is ready 20 ms later, when the key is about to expire."""
+    """The retry waits for a ready engine. One becomes ready 20 ms later, when the key is about to expire."""
     classes = one_class(idempotency=Idempotency.KEYED, idempotency_ttl=2.0, late_priority_weight=0.5)
     driver = Driver(make_settings(classes=classes), engines=1)
     request = driver.submit()
@@ -179,7 +182,7 @@
 )
 SLOW_START_BUDGET = (
     3.0 * 0.35 * 8.0 * 1.5
-)  # thread seconds of all gateways in any window that the engine survives
+)  # thread seconds that all gateways together may dispatch in any window without overloading the engine
 
 
 def dispatch_burst(driver: Driver, count: int) -> float:
@@ -269,13 +272,13 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED])
-def test_unsafe_ordered_bulk_load_fails_and_blocks_its_ordering_key_until_its_outcome(
+def test_unsafe_ordered_bulk_load_blocks_its_ordering_key_until_it_ends_and_then_fails(
     outcome: Outcome,
 ) -> None:
     """Guards against a second effect of a bulk load that may still run.
 
-    It is neither retried nor rejected, since a rejection tells the client that a retry is safe, and its
-    ordering key stays blocked until the attempt has ended.
+    The bulk load is neither retried nor rejected, because a rejection means that the client may safely retry.
+    Its ordering key stays blocked until the attempt has ended.
     """
     classes = one_class(
         idempotency=Idempotency.UNSAFE, is_ordered=True, is_bulk_load=True, late_priority_weight=0.5
@@ -290,7 +293,7 @@
     assert len(driver.dispatches(second)) == 1
 
 
-def test_unsafe_request_is_never_a_probe_request_to_an_ejected_engine() -> None:
+def test_unsafe_request_is_never_used_as_a_probe_request_to_an_ejected_engine() -> None:
     classes = (SHORT_CLASS, replace(SHORT_CLASS, idempotency=Idempotency.UNSAFE))
     driver = Driver(make_settings(classes=classes), engines=3)
     driver.gateway.outlier_detector.eject(driver.gateway.engine_registry.engines[engine_id(0)], "failing")
@@ -341,7 +344,7 @@
 
 
 def test_restarted_gateway_has_no_base_retry_budget_for_one_window() -> None:
-    """Guards against a killed gateway that uses the base both before and after its restart in one window."""
+    """Guards against a gateway that uses its base budget both before and after a crash in the same window."""
     guarantees = api.Guarantees(retry_budget_base=3.0, retry_budget_ratio=0.2, retry_budget_window=10.0)
     driver = Driver(make_settings(guarantees=guarantees), engines=6)
     for elapsed, retry_count in ((1.0, 0), (10.0, 3)):
@@ -356,8 +359,8 @@
 def test_retry_budget_holds_in_every_window_despite_failing_clients(seed: int) -> None:
     """The rule compares the retries that arrive at engines with the requests of regular clients.
 
-    Guards against requests of faulty clients, which parse but fail on every engine. They were counted as
-    served and so increased the budget that their own retries used.
+    Guards against requests of faulty clients, which are syntactically valid but fail on every engine. They
+    were counted as served, and so increased the budget that their own retries used.
     """
     random, connect_timeout = Random(seed), 0.25
     guarantees = api.Guarantees(retry_budget_base=3.0, retry_budget_ratio=0.2, retry_budget_window=10.0)
@@ -367,7 +370,7 @@
     driver = Driver(make_settings(guarantees=guarantees, limits=limits), engines=12, seed=seed)
     regular_arrivals: list[float] = []
     retry_arrivals: list[float] = []
-    # End, request, attempt, and whether the client is faulty.
+    # End time, request, attempt, and whether the client is faulty.
     running: list[tuple[float, int, int, bool]] = []
     faulty_requests: set[int] = set()
     attempt_indices: dict[int, int] = {}
@@ -401,9 +404,11 @@
             if attempt:
                 retry_arrivals.append(arrives_at)
     assert len(retry_arrivals) > 30
-    for now in retry_arrivals:
-        retry_count = sum(now - 10.0 < retry <= now for retry in retry_arrivals)
-        assert retry_count <= 3 + 0.2 * sum(now - 10.0 < arrival <= now for arrival in regular_arrivals)
+    for window_end in retry_arrivals:
+        retry_count = sum(window_end - 10.0 < retry <= window_end for retry in retry_arrivals)
+        assert retry_count <= 3 + 0.2 * sum(
+            window_end - 10.0 < arrival <= window_end for arrival in regular_arrivals
+        )
 
 
 # --- Invalid settings ---
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -56,7 +56,7 @@
         self.history: list[MapContent] = [{}]  # map after each attempted commit
         self.checked_states = 0
         self.violations: list[str] = []
-        files.watch = self.check_crash_states
+        files.on_operation = self.check_crash_states
 
     def check_crash_states(self, operation: str) -> None:
         for mode in ("all", "least", *["mixed"] * self.mixed_crashes):
@@ -65,7 +65,7 @@
             self.checked_states += 1
             if recovered not in self.history[self.acknowledged_index :]:
                 self.violations.append(
-                    f"after {operation} {self.files.operations} ({mode}): {sorted(recovered)}"
+                    f"after {operation} {self.files.operation_count} ({mode}): {sorted(recovered)}"
                 )
 
     def random_change(self) -> Change:
@@ -118,7 +118,7 @@
         for run_number in range(4):
             checker = CrashChecker(files, seed * 10 + run_number)
             checker.history, checker.acknowledged_index = history, acknowledged_index
-            stop_at = files.operations + rng.randrange(1, 60)
+            stop_at = files.operation_count + rng.randrange(1, 60)
 
             class StopRun(Exception):
                 pass
@@ -130,17 +130,17 @@
                 stop_run: type = StopRun,
             ) -> None:
                 checker.check_crash_states(operation)
-                if checker.files.operations >= stop_at:
+                if checker.files.operation_count >= stop_at:
                     raise stop_run
 
-            files.watch = watch
+            files.on_operation = watch
             with contextlib.suppress(StopRun):
                 checker.run(20)
             assert not checker.violations, f"seed {seed}, run {run_number}: {checker.violations[:3]}"
             checked_states += checker.checked_states
             mode = rng.choice(["all", "least", "mixed"])
             if mode == "all":  # The process was killed: unsynced data is readable but may still be lost.
-                files.watch = lambda operation: None
+                files.on_operation = lambda operation: None
                 history, acknowledged_index = checker.history, checker.acknowledged_index
                 recovered = as_dict(recover(files).state)
             else:
@@ -170,7 +170,7 @@
     violation_count = 0
     for seed in range(6):
         files = ModelFiles()
-        files.skip = MUTATIONS[mutation]
+        files.should_skip = MUTATIONS[mutation]
         checker = CrashChecker(files, seed, mixed_crashes=6)
         checker.run()
         violation_count += len(checker.violations)
@@ -245,7 +245,7 @@
                 if calls > successful_calls:
                     raise OSError(errno.EIO, "input/output error")
 
-        files.fail = fail
+        files.before_operation = fail
         has_failed = False
         for _ in range(20):
             try:
@@ -259,7 +259,7 @@
             break
         with pytest.raises(StoreFailedError):
             checker.commit(store)
-        files.fail = lambda called_operation, name: None
+        files.before_operation = lambda called_operation, name: None
         store.repair()
         checker.acknowledged_index = len(checker.history) - 1
         checker.check_crash_states("repair")
@@ -273,7 +273,7 @@
 def test_damaged_or_truncated_file_never_recovers_to_a_map_that_was_not_committed():
     files = ModelFiles()
     checker = CrashChecker(files, 5)
-    files.watch = lambda operation: None
+    files.on_operation = lambda operation: None
     store = Store(files, SMALL_LIMITS)
     store.begin()
     for _ in range(12):
@@ -385,7 +385,7 @@
     for _ in range(1500):
         store.commit([Change(b"k%d" % rng.randrange(50), Entry(1, rng.randbytes(400)))])
         store.compact_step()
-        max_bytes = max(max_bytes, sum(len(inode.content()) for inode in files.now.values()))
+        max_bytes = max(max_bytes, sum(len(inode.content()) for inode in files.visible_files.values()))
     assert max_bytes < 6 * 50_000, max_bytes
     assert store.bytes == sum(len(files.read(name)) for name in files.names() if not name.endswith("new"))
 
@@ -432,7 +432,7 @@
         super().__init__()
         self.gate = threading.Event()
         self.gate.set()
-        self.fail = lambda operation, name: (
+        self.before_operation = lambda operation, name: (
             self.gate.wait(20.0) if operation == "sync" and name.startswith("log") else None
         )
 
@@ -472,13 +472,13 @@
     )
     writer.start()
     wait_until(lambda: writer.status.is_working)
-    files.fail = failing_operations("write sync create")
+    files.before_operation = failing_operations("write sync create")
     results: list[bool] = []
     writer.put([Change(b"a", Entry(1, b"1"))], results.append)
     wait_until(lambda: results == [False])
     assert not writer.status.is_working and "input/output" in writer.status.failure_reason
     writer.put([Change(b"b", Entry(1, b"2"))])
-    files.fail = lambda operation, name: None
+    files.before_operation = lambda operation, name: None
     wait_until(lambda: writer.status.is_working)
     writer.put([Change(b"c", Entry(1, b"3"))], results.append)
     wait_until(lambda: results == [False, True])
