--- a/tests/model_files.py
+++ b/tests/model_files.py
@@ -34,12 +34,13 @@
         durable_files: Files by name, as of the last sync of the folder.
         unsynced_operations: Directory operations (link, rename, remove) since the last sync of the folder:
             operation, name and inode.
-        on_operation: Called with the operation after each operation. A test may simulate a crash there.
+        on_operation: Called after each operation except `names` and `read`, with the name of the operation. A
+            test may simulate a crash there.
         before_operation: Called with the operation and the file name before each operation. It may block, or
             raise an OSError.
         should_skip: Called with the operation and the file name before each rename and sync. If it returns
             True, the operation has no effect.
-        operation_count: Number of operations so far.
+        operation_count: Number of operations so far, except `names` and `read`.
     """
 
     def __init__(self, files: dict[str, bytes] | None = None) -> None:
@@ -97,7 +98,7 @@
 
     # --- crashes ---
 
-    def crash(self, rng: random.Random, mode: str) -> dict[str, bytes]:
+    def state_after_crash(self, rng: random.Random, mode: str) -> dict[str, bytes]:
         """Return the content of the files in one state that a crash at this point may leave.
 
         Args:
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -26,7 +26,7 @@
         self.dispatcher = dispatch.Dispatcher(settings or make_settings(), seed)
         self.now = 10.0
         self.effects: list[dispatch.Effect] = []
-        self.list_engines(dict.fromkeys(range(engine_count), EngineState.READY))
+        self.update_endpoints(dict.fromkeys(range(engine_count), EngineState.READY))
 
     def step(self, *inputs: dispatch.Input, after: float = 0.0) -> list[dispatch.Effect]:
         self.now += after
@@ -34,7 +34,7 @@
         self.effects += effects
         return effects
 
-    def list_engines(self, states: dict[int, EngineState]) -> list[dispatch.Effect]:
+    def update_endpoints(self, states: dict[int, EngineState]) -> list[dispatch.Effect]:
         entries = tuple(api.EngineEntry(engine_id(index), state) for index, state in states.items())
         return self.step(api.EndpointListUpdate(api.EndpointListMode.FULL, 1, entries))
 
@@ -54,7 +54,7 @@
             self.step()
         self.now = max(self.now, time)
 
-    def effects_of(
+    def effects_of_type(
         self, effect_type: type | tuple[type, ...], request: int | None = None
     ) -> list[dispatch.Effect]:
         effects = [e for e in self.effects if isinstance(e, effect_type)]
@@ -75,14 +75,14 @@
 def test_duplicate_attempt_end_does_not_answer_request_again() -> None:
     harness = Harness()
     request = harness.submit()
-    (start,) = harness.effects_of(dispatch.StartAttempt)
+    (start,) = harness.effects_of_type(dispatch.StartAttempt)
     assert (start.request, start.attempt) == (request, 0)
     harness.end_attempt(request, Outcome.OK)
-    assert harness.effects_of(ANSWER_TYPES) == [dispatch.CompleteRequest(request, 0)]
+    assert harness.effects_of_type(ANSWER_TYPES) == [dispatch.CompleteRequest(request, 0)]
     harness.end_attempt(request, Outcome.OK)  # a duplicate report
     harness.advance_to(60.0)
     assert (
-        len(harness.effects_of(ANSWER_TYPES)) == 1
+        len(harness.effects_of_type(ANSWER_TYPES)) == 1
         and harness.dispatcher.pending_count == 0
         and harness.dispatcher.in_flight_count == 0
     )
@@ -92,10 +92,10 @@
     harness = Harness()
     request = harness.submit()
     harness.end_attempt(request, Outcome.CONNECT_FAILED)
-    first, second = harness.effects_of(dispatch.StartAttempt, request)
+    first, second = harness.effects_of_type(dispatch.StartAttempt, request)
     assert first.engine != second.engine and second.attempt == 1
     harness.end_attempt(request, Outcome.OK, attempt=1)
-    assert harness.effects_of(ANSWER_TYPES) == [dispatch.CompleteRequest(request, 1)]
+    assert harness.effects_of_type(ANSWER_TYPES) == [dispatch.CompleteRequest(request, 1)]
 
 
 def test_result_of_cancelled_attempt_is_not_used() -> None:
@@ -103,35 +103,37 @@
     harness = Harness(make_settings(progress_interval=1.0))
     request = harness.submit()
     harness.advance_to(harness.now + 4.0)  # no progress report arrives, so the attempt is cancelled
-    assert harness.effects_of(dispatch.CancelAttempt) == [dispatch.CancelAttempt(request, 0)]
+    assert harness.effects_of_type(dispatch.CancelAttempt) == [dispatch.CancelAttempt(request, 0)]
     # Concurrent attempts are not allowed, so the first one has to end before a retry.
-    assert len(harness.effects_of(dispatch.StartAttempt, request)) == 1
+    assert len(harness.effects_of_type(dispatch.StartAttempt, request)) == 1
     harness.step(dispatch.ResultReady(request, 0))
-    assert not harness.effects_of(dispatch.Commit)
+    assert not harness.effects_of_type(dispatch.Commit)
     harness.end_attempt(request, Outcome.OK)
-    assert not harness.effects_of(dispatch.CompleteRequest)
-    assert [s.attempt for s in harness.effects_of(dispatch.StartAttempt, request)] == [0, 1]
+    assert not harness.effects_of_type(dispatch.CompleteRequest)
+    assert [s.attempt for s in harness.effects_of_type(dispatch.StartAttempt, request)] == [0, 1]
     harness.end_attempt(request, Outcome.OK, attempt=1)
-    assert harness.effects_of(ANSWER_TYPES) == [dispatch.CompleteRequest(request, 1)]
+    assert harness.effects_of_type(ANSWER_TYPES) == [dispatch.CompleteRequest(request, 1)]
 
 
 def test_result_in_same_step_as_timeout_is_used() -> None:
     harness = Harness()
     request = harness.submit(timeout=1.0)
     harness.step(dispatch.AttemptDone(request, 0, Outcome.OK, 1.0), after=2.0)  # the timeout is due as well
-    assert harness.effects_of(ANSWER_TYPES) == [dispatch.CompleteRequest(request, 0)]
+    assert harness.effects_of_type(ANSWER_TYPES) == [dispatch.CompleteRequest(request, 0)]
 
 
 def test_request_is_answered_before_deadline_if_engine_does_not_respond() -> None:
     harness = Harness(make_settings(classes=one_class(idempotency=Idempotency.UNSAFE)))
     request = harness.submit(timeout=2.0)
     harness.advance_to(11.99)
-    (answer,) = harness.effects_of(ANSWER_TYPES)
-    assert isinstance(answer, dispatch.FailRequest)  # it may have run, so the client is not asked to retry
-    assert harness.effects_of(dispatch.CancelAttempt) == [dispatch.CancelAttempt(request, 0)]
+    (answer,) = harness.effects_of_type(ANSWER_TYPES)
+    assert isinstance(
+        answer, dispatch.FailRequest
+    )  # the attempt may have run, so the client is not asked to retry
+    assert harness.effects_of_type(dispatch.CancelAttempt) == [dispatch.CancelAttempt(request, 0)]
     assert harness.dispatcher.in_flight_count == 1
     harness.end_attempt(request, Outcome.CANCELLED)
-    assert harness.dispatcher.in_flight_count == 0 and len(harness.effects_of(ANSWER_TYPES)) == 1
+    assert harness.dispatcher.in_flight_count == 0 and len(harness.effects_of_type(ANSWER_TYPES)) == 1
 
 
 def test_commit_cancels_hedged_request_and_ignores_its_result() -> None:
@@ -139,15 +141,15 @@
     harness = Harness(make_settings(limits=limits, classes=one_class(latency_objective=0.2)))
     request = harness.submit()
     harness.advance_to(harness.now + 2.0)
-    starts = harness.effects_of(dispatch.StartAttempt, request)
+    starts = harness.effects_of_type(dispatch.StartAttempt, request)
     assert len(starts) == 2, "expected a hedged request"
     harness.step(dispatch.ResultReady(request, 0), dispatch.ResultReady(request, 1))
-    assert harness.effects_of(dispatch.Commit) == [dispatch.Commit(request, 0)]
+    assert harness.effects_of_type(dispatch.Commit) == [dispatch.Commit(request, 0)]
     assert dispatch.CancelAttempt(request, 1) in harness.effects
     harness.end_attempt(request, Outcome.OK, attempt=1)  # its result crossed the cancel
-    assert not harness.effects_of(ANSWER_TYPES)
+    assert not harness.effects_of_type(ANSWER_TYPES)
     harness.end_attempt(request, Outcome.OK, attempt=0)
-    assert harness.effects_of(ANSWER_TYPES) == [dispatch.CompleteRequest(request, 0)]
+    assert harness.effects_of_type(ANSWER_TYPES) == [dispatch.CompleteRequest(request, 0)]
 
 
 def test_committed_request_is_not_retried_after_reset() -> None:
@@ -155,8 +157,10 @@
     request = harness.submit()
     harness.step(dispatch.ResultReady(request, 0))
     harness.end_attempt(request, Outcome.RESET)
-    assert len(harness.effects_of(ANSWER_TYPES)) == 1 and not harness.effects_of(dispatch.CompleteRequest)
-    assert len(harness.effects_of(dispatch.StartAttempt, request)) == 1
+    assert len(harness.effects_of_type(ANSWER_TYPES)) == 1 and not harness.effects_of_type(
+        dispatch.CompleteRequest
+    )
+    assert len(harness.effects_of_type(dispatch.StartAttempt, request)) == 1
 
 
 def test_query_fault_returns_engine_error_and_does_not_eject_engine() -> None:
@@ -164,21 +168,21 @@
     for _ in range(10):
         request = harness.submit()
         harness.end_attempt(request, Outcome.ERROR, is_query_fault=True)
-        assert harness.effects_of(ANSWER_TYPES, request) == [
+        assert harness.effects_of_type(ANSWER_TYPES, request) == [
             dispatch.CompleteRequest(request, 0, is_query_fault=True)
         ]
-    assert not [e for e in harness.effects_of(api.Log) if "failing" in e.text]
+    assert not [e for e in harness.effects_of_type(api.Log) if "failing" in e.text]
 
 
 def test_unsent_attempt_at_draining_engine_is_withdrawn_and_retried_elsewhere() -> None:
     harness = Harness(engine_count=2)
     request = harness.submit()
-    (start,) = harness.effects_of(dispatch.StartAttempt)
+    (start,) = harness.effects_of_type(dispatch.StartAttempt)
     index = [engine_id(n) for n in range(2)].index(start.engine)
-    effects = harness.list_engines({index: EngineState.DRAINING, 1 - index: EngineState.READY})
+    effects = harness.update_endpoints({index: EngineState.DRAINING, 1 - index: EngineState.READY})
     assert dispatch.WithdrawAttempt(request, 0) in effects
     harness.end_attempt(request, Outcome.NOT_SENT)
-    second = harness.effects_of(dispatch.StartAttempt, request)[1]
+    second = harness.effects_of_type(dispatch.StartAttempt, request)[1]
     assert second.engine == engine_id(1 - index)
 
 
@@ -186,7 +190,7 @@
     harness = Harness()
     request = harness.dispatcher.new_request()
     harness.step(dispatch.Submit(request, 0, 5.0), dispatch.ClientDisconnected(request))
-    assert not harness.effects_of(dispatch.StartAttempt) and not harness.effects_of(ANSWER_TYPES)
+    assert not harness.effects_of_type(dispatch.StartAttempt) and not harness.effects_of_type(ANSWER_TYPES)
     assert harness.dispatcher.pending_count == 0 and harness.dispatcher.in_flight_count == 0
 
 
@@ -194,9 +198,9 @@
     harness = Harness()
     request = harness.submit()
     harness.step(dispatch.ClientDisconnected(request))
-    assert harness.effects_of(dispatch.CancelAttempt) == [dispatch.CancelAttempt(request, 0)]
+    assert harness.effects_of_type(dispatch.CancelAttempt) == [dispatch.CancelAttempt(request, 0)]
     harness.end_attempt(request, Outcome.CANCELLED)
-    assert not harness.effects_of(ANSWER_TYPES) and not harness.dispatcher._requests
+    assert not harness.effects_of_type(ANSWER_TYPES) and not harness.dispatcher._requests
 
 
 def test_drain_rejects_new_requests_and_answers_pending_ones() -> None:
@@ -205,11 +209,11 @@
     pending = harness.submit()
     harness.step(dispatch.BeginDrain(5.0))
     rejected = harness.submit()
-    (rejection,) = harness.effects_of(ANSWER_TYPES, rejected)
+    (rejection,) = harness.effects_of_type(ANSWER_TYPES, rejected)
     assert isinstance(rejection, dispatch.RejectRequest) and 0.0 < rejection.retry_after <= 5.0
-    assert not harness.effects_of(ANSWER_TYPES, pending)
+    assert not harness.effects_of_type(ANSWER_TYPES, pending)
     harness.step(dispatch.FinishDrain(), after=5.0)
-    assert [type(a) for a in harness.effects_of(ANSWER_TYPES, pending)] == [dispatch.FailRequest]
+    assert [type(a) for a in harness.effects_of_type(ANSWER_TYPES, pending)] == [dispatch.FailRequest]
     assert harness.dispatcher.pending_count == 0
 
 
@@ -220,7 +224,7 @@
         harness.step(*[dispatch.Submit(request, 0, 3.0) for request in requests[start : start + 500]])
     assert harness.dispatcher.pending_count == 10_000
     harness.advance_to(14.0)
-    answers = harness.effects_of(ANSWER_TYPES)
+    answers = harness.effects_of_type(ANSWER_TYPES)
     assert len(answers) == 10_000 and {a.request for a in answers} == set(requests)
     assert not harness.dispatcher._requests and not harness.dispatcher.gateway.pending.requests
 
@@ -232,7 +236,7 @@
     harness.now += 100.0
     request = harness.submit()
     harness.end_attempt(request, Outcome.OK)
-    assert harness.effects_of(ANSWER_TYPES, request) == [dispatch.CompleteRequest(request, 0)]
+    assert harness.effects_of_type(ANSWER_TYPES, request) == [dispatch.CompleteRequest(request, 0)]
 
 
 def test_policy_error_fails_pending_requests_and_later_ones_are_served(
@@ -246,12 +250,12 @@
 
     monkeypatch.setattr(harness.dispatcher.gateway, "step", raise_error)
     other = harness.submit()
-    assert [type(a) for a in harness.effects_of(ANSWER_TYPES, request)] == [dispatch.FailRequest]
-    assert [type(a) for a in harness.effects_of(ANSWER_TYPES, other)] == [dispatch.FailRequest]
+    assert [type(a) for a in harness.effects_of_type(ANSWER_TYPES, request)] == [dispatch.FailRequest]
+    assert [type(a) for a in harness.effects_of_type(ANSWER_TYPES, other)] == [dispatch.FailRequest]
     assert harness.dispatcher.fault_count == 1
-    third = harness.submit()  # the new policy has received the endpoint list
+    third = harness.submit()  # the restarted policy has received the endpoint list
     harness.end_attempt(third, Outcome.OK)
-    assert harness.effects_of(ANSWER_TYPES, third) == [dispatch.CompleteRequest(third, 0)]
+    assert harness.effects_of_type(ANSWER_TYPES, third) == [dispatch.CompleteRequest(third, 0)]
 
 
 def test_policy_restarts_without_learned_state_if_snapshot_fails(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -263,13 +267,13 @@
     monkeypatch.setattr(harness.dispatcher.gateway, "step", raise_error)
     monkeypatch.setattr(harness.dispatcher.checkpointer, "snapshot_for_restart", raise_error)
     request = harness.submit()
-    assert [type(a) for a in harness.effects_of(ANSWER_TYPES, request)] == [dispatch.FailRequest]
+    assert [type(a) for a in harness.effects_of_type(ANSWER_TYPES, request)] == [dispatch.FailRequest]
     assert harness.dispatcher.fault_count == 1
     logs = [e.text for e in harness.effects if isinstance(e, api.Log)]
     assert any("learned state discarded" in text for text in logs)
     second = harness.submit()
     harness.end_attempt(second, Outcome.OK)
-    assert harness.effects_of(ANSWER_TYPES, second) == [dispatch.CompleteRequest(second, 0)]
+    assert harness.effects_of_type(ANSWER_TYPES, second) == [dispatch.CompleteRequest(second, 0)]
 
 
 def test_duplicate_request_number_raises_value_error() -> None:
@@ -410,9 +414,9 @@
     harness = Harness(make_settings(limits=limits))
     request = harness.submit(timeout=1.0)
     harness.advance_to(12.0)
-    assert len(harness.effects_of(ANSWER_TYPES, request)) == 1
-    assert harness.effects_of(dispatch.DiscardAttempt) == [dispatch.DiscardAttempt(request, 0)]
-    assert not harness.effects_of(dispatch.CancelAttempt)
+    assert len(harness.effects_of_type(ANSWER_TYPES, request)) == 1
+    assert harness.effects_of_type(dispatch.DiscardAttempt) == [dispatch.DiscardAttempt(request, 0)]
+    assert not harness.effects_of_type(dispatch.CancelAttempt)
 
 
 def test_requests_beyond_pending_limit_are_rejected() -> None:
@@ -431,7 +435,11 @@
 
 
 def test_cache_of_rendezvous_orders_is_bounded() -> None:
-    """Clients' statements name any number of groups, and the order of each was kept until the next list."""
+    """Guards against a cache without a limit.
+
+    Statements of clients may name any number of table groups, and the rendezvous order of each group was
+    cached until the next endpoint list.
+    """
     harness = Harness()
     for n in range(5_000):
         request = harness.submit(table_group=n + 1)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,7 +1,7 @@
 """A deployment in virtual time: 230 real dispatchers and 300 simulated engines, checked as a whole.
 
-The rules must hold for the sum over all gateways. Limits that are divided by the number of gateways must
-still let a class be served that each gateway rarely sees.
+The rules must hold for the sum over all gateways. A class that each gateway rarely receives must
+still be served although limits are divided by the number of gateways.
 """
 
 from __future__ import annotations
@@ -76,7 +76,7 @@
 
 @dataclass
 class ClientRequest:
-    """A request and the answers that its client got.
+    """A request and the final answers that its client received.
 
     Attributes:
         class_index: Index of its class.
@@ -104,8 +104,8 @@
         wake_times: Time of the next scheduled step of each dispatcher; infinite if there is none.
         requests: Requests by gateway and request number.
         in_flight: Threads of the attempts in flight by engine, then by gateway, request and attempt.
-        states: State of each engine, and the time since when it is listed.
-        start_times: Start time of each engine that has one.
+        states: Last listed state of each engine, and the time at which it was listed.
+        start_times: Start time of each engine that was listed with one.
         dispatches: Time and work of the dispatches to each engine.
         retries: Times of the retries by gateway.
         arrivals: Times of the arrivals by gateway.
@@ -142,7 +142,7 @@
     def step(self, gateway: int, *inputs: dispatch.Input) -> None:
         dispatcher = self.dispatchers[gateway]
         for effect in dispatcher.step(self.now, list(inputs)):
-            self.carry_out(gateway, effect)
+            self.execute_effect(gateway, effect)
         due_at = dispatcher.next_timer
         if due_at < self.wake_times[gateway]:
             self.wake_times[gateway] = due_at
@@ -186,7 +186,7 @@
 
     # --- Effects of dispatchers ---
 
-    def carry_out(self, gateway: int, effect: dispatch.Effect) -> None:
+    def execute_effect(self, gateway: int, effect: dispatch.Effect) -> None:
         if isinstance(effect, dispatch.StartAttempt):
             self.start(gateway, effect)
         elif isinstance(effect, (dispatch.CancelAttempt, dispatch.DiscardAttempt)):
--- a/tests/test_folder.py
+++ b/tests/test_folder.py
@@ -237,7 +237,7 @@
     harness.daemon = start_daemon(harness)
 
 
-def test_check_reports_damage_newer_files_and_weight_after_a_restart(
+def test_check_reports_damage_newer_files_and_the_weight_of_learned_state_after_a_restart(
     harness: GatewayHarness, folder: Path
 ) -> None:
     run_queries(harness, 20)
@@ -294,7 +294,7 @@
     assert not files_with_class_name()
 
 
-def test_forget_requests_a_purge_from_a_running_gateway_but_not_of_all_records(
+def test_forget_requests_a_purge_of_categories_but_not_of_all_records_from_a_running_gateway(
     harness: GatewayHarness, folder: Path
 ) -> None:
     run_queries(harness, 20)
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -110,13 +110,14 @@
         self.step(api.EndpointListUpdate(api.EndpointListMode.FULL, 1, entries))
 
     def list_engines(self, count: int = 3, **fields) -> None:
+        """Send the dispatcher a full endpoint list of ready engines."""
         self.update_endpoint_list(
             *(api.EngineEntry(engine_id(index), EngineState.READY, **fields) for index in range(count))
         )
 
-    def submit(self, class_index: int = 0, remaining: float = 4.0, **fields) -> int:
+    def submit(self, class_index: int = 0, timeout: float = 4.0, **fields) -> int:
         request = self.dispatcher.new_request()
-        self.step(dispatch.Submit(request, class_index, remaining, **fields))
+        self.step(dispatch.Submit(request, class_index, timeout, **fields))
         return request
 
     def complete_attempt(
@@ -164,7 +165,7 @@
 
 
 def without_stored_state(run: GatewayRun) -> GatewayRun:
-    """Return the same run with an empty state directory, in which the guarantee under test must fail."""
+    """Return a run with the same settings and start time but an empty state directory, for comparison."""
     return GatewayRun(run.settings, {}, replace(run.started_at))
 
 
@@ -296,7 +297,7 @@
 # --- ordering keys: no overlap with an attempt of an earlier run ---
 
 
-def test_ordering_key_in_flight_at_a_crash_is_held_for_the_cooldown():
+def test_ordering_key_in_flight_at_a_crash_stays_blocked_for_the_cooldown():
     settings = make_settings(classes=(ORDERED,), guarantees=api.Guarantees(ordering_cooldown=1.0))
     run = GatewayRun(settings, {})
     run.list_engines()
@@ -305,18 +306,18 @@
     stateless_run = without_stored_state(next_run)
     for each_run in (next_run, stateless_run):
         each_run.list_engines()
-    held_request, other_request, stateless_request = (
+    blocked_request, other_request, stateless_request = (
         next_run.submit(ordering_key=7),
         next_run.submit(ordering_key=8),
         stateless_run.submit(ordering_key=7),
     )
-    assert not next_run.started_attempts(held_request) and next_run.started_attempts(other_request)
+    assert not next_run.started_attempts(blocked_request) and next_run.started_attempts(other_request)
     # Without the stored state the two attempts may overlap.
     assert stateless_run.started_attempts(stateless_request)
     next_run.advance(0.9)
-    assert not next_run.started_attempts(held_request)
+    assert not next_run.started_attempts(blocked_request)
     next_run.advance(0.4)
-    assert next_run.started_attempts(held_request)
+    assert next_run.started_attempts(blocked_request)
 
 
 def test_running_cooldown_continues_after_crash_and_completed_key_is_free():
@@ -329,10 +330,10 @@
     run.advance(1.0)
     next_run = run.restart_after_crash(gap=0.5)
     next_run.list_engines()
-    held_request, free_request = next_run.submit(ordering_key=1), next_run.submit(ordering_key=2)
-    assert not next_run.started_attempts(held_request) and next_run.started_attempts(free_request)
+    blocked_request, free_request = next_run.submit(ordering_key=1), next_run.submit(ordering_key=2)
+    assert not next_run.started_attempts(blocked_request) and next_run.started_attempts(free_request)
     next_run.advance(2.0)
-    assert next_run.started_attempts(held_request)
+    assert next_run.started_attempts(blocked_request)
 
 
 # --- slow start: the limit on dispatches holds across a restart ---
@@ -366,7 +367,7 @@
     run = GatewayRun(settings, {})
     run.started_at = START
     list_with_slow_start(run)
-    # A first start cannot know earlier dispatches, so it waits for one window.
+    # At a first start, earlier dispatches are unknown, so the gateway waits for one window.
     assert count_dispatches_in_slow_start(run) == 0
     run.advance(2.1)
     full_budget = count_dispatches_in_slow_start(run)
@@ -389,7 +390,7 @@
 
 
 def test_ledgers_count_as_complete_only_after_a_short_gap_in_the_same_boot_and_directory():
-    """Otherwise an engine in slow start receives nothing for one window, as without a state directory."""
+    """With incomplete ledgers, an engine in slow start receives no requests for one window."""
     settings = make_settings(guarantees=SLOW_START)
     run = GatewayRun(settings, {})
     run.list_engines()
@@ -494,7 +495,7 @@
         )
         assert start_attempt.durability_timeout > 0.0 and key in [change.key for change in persist.changes]
     safe_request = run.submit(class_index=2)
-    # No guarantee depends on it, so it does not wait.
+    # No guarantee depends on a safe request, so its attempt does not wait for durability.
     assert find_start(safe_request)[1].durability_timeout == 0.0
     previous_count = len(run.effects)
     run.complete_attempt(safe_request, Outcome.ERROR)
@@ -554,13 +555,13 @@
         next_run = run_with_learned_estimates(0.05).restart_after_crash(gap)
         next_run.list_engines(4)
         exec_times.append(next_run.dispatcher.gateway.workload_estimates.estimators[0].exec_time())
-    seed_exec_time = (
+    initial_exec_time = (
         GatewayRun(make_settings(), {}).dispatcher.gateway.workload_estimates.estimators[0].exec_time()
     )
     assert (
         exec_times == sorted(exec_times)
         and exec_times[0] < 0.06
-        and exec_times[3] == pytest.approx(seed_exec_time)
+        and exec_times[3] == pytest.approx(initial_exec_time)
     )
 
 
@@ -698,7 +699,7 @@
         )
 
 
-def test_concurrency_limit_is_restored_after_a_crash_and_removed_with_age():
+def test_concurrency_limit_is_restored_after_a_crash_only_while_it_is_recent():
     run = run_with_learned_estimates()
     (
         run.dispatcher.gateway.concurrency_limit.limit,
@@ -803,7 +804,7 @@
 
 
 def test_state_directory_never_contains_times_of_two_clocks():
-    """Guards against a crash after a reboot and before the first endpoint list, when nothing is exported."""
+    """Guards against a crash after a reboot but before the first endpoint list, when no state is exported yet."""
     run = run_with_learned_estimates()
     rebooted_run = run.restart_after_crash(gap=3600.0, boot_id="next", monotonic_s=20.0)
     record = records.decode(records.CLASS + b"short", rebooted_run.stored_entries[records.CLASS + b"short"])
@@ -921,11 +922,11 @@
         0.05, rel=0.05
     )
     run.advance(1.7)
-    held_request, repeat = run.submit(ordering_key=5), run.submit(class_index=1, idempotency_key=b"u")
-    assert not run.started_attempts(held_request) and not run.started_attempts(repeat)
+    blocked_request, repeat = run.submit(ordering_key=5), run.submit(class_index=1, idempotency_key=b"u")
+    assert not run.started_attempts(blocked_request) and not run.started_attempts(repeat)
     run.advance(0.4)
-    assert run.started_attempts(held_request)
-    run.complete_attempt(held_request, elapsed=0.05)
+    assert run.started_attempts(blocked_request)
+    run.complete_attempt(blocked_request, elapsed=0.05)
     run.advance(1.0)
     # The state directory no longer contains the completed key.
     assert not [key for key in run.stored_entries if key.startswith(records.ORDERING)]
@@ -984,14 +985,14 @@
         ),
         after=0.5,
     )
-    repeat, held_request = (
+    repeat, blocked_request = (
         new_run.submit(class_index=0, idempotency_key=b"mine"),
         new_run.submit(class_index=1, ordering_key=3),
     )
     new_run.advance(0.5)
-    assert not new_run.started_attempts(repeat) and not new_run.started_attempts(held_request)
+    assert not new_run.started_attempts(repeat) and not new_run.started_attempts(blocked_request)
     assert dispatcher.gateway.workload_estimates.estimators[1].exec_time() == pytest.approx(0.05, rel=0.05)
-    # Persisted by the new run.
+    # The new run has persisted the attached state.
     assert {records.IDEMPOTENCY + b"mine", records.CLASS + b"ordered"} <= set(new_run.stored_entries)
 
 
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -1,7 +1,7 @@
 """Classification of attempt outcomes, against engines that misbehave in defined ways.
 
 A request that is not idempotent may be retried only after an attempt that certainly never ran, so the
-different ends of attempts must not be confused.
+different ways in which an attempt can end must not be confused.
 """
 
 from __future__ import annotations
@@ -283,7 +283,7 @@
     async def test_body() -> None:
         harness = Harness({"GetFlightInfo": send_flight_info, "DoGet": send_empty_result})
         number, _ = harness.submit()
-        # The drain is reported in the turn in which the attempt starts, so nothing may be sent.
+        # The drain is reported in the event loop turn in which the attempt starts, so nothing may be sent.
         harness.executor._step()
         entry = api.EngineEntry(b"engine", api.EngineState.DRAINING)
         harness.executor.feed(api.EndpointListUpdate(api.EndpointListMode.FULL, 2, (entry,)))
@@ -368,7 +368,7 @@
 
 
 def test_attempt_task_cancelled_before_its_first_turn_reports_its_end() -> None:
-    """Without the report, the attempt would stay in flight forever and block the key of its request."""
+    """Without the report, the attempt would stay in flight forever and block its ordering key."""
 
     async def test_body() -> None:
         harness = Harness({"GetFlightInfo": send_flight_info, "DoGet": send_empty_result})
@@ -481,7 +481,7 @@
     run(test_body)
 
 
-def test_new_connection_is_found_in_the_turn_in_which_it_is_established(
+def test_new_connection_is_found_in_the_event_loop_turn_in_which_it_is_established(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against a pool that blocks the event loop.
--- a/tests/test_random_events.py
+++ b/tests/test_random_events.py
@@ -99,7 +99,7 @@
         started_at = self.random.choice([0.0, 0.0, 0.0, self.driver.now, UNUSUAL_VALUES[0], 1e12])
         return api.EngineEntry(engine, self.states[engine], started_at, zone=engine[3] % 2)
 
-    def unusual_report(self) -> tuple[float, ...]:
+    def make_unusual_report(self) -> tuple[float, ...]:
         return tuple(self.random.choice(UNUSUAL_VALUES) for _ in range(self.random.randrange(4)))
 
     def step(self, event: api.Event) -> None:
@@ -199,7 +199,7 @@
         elapsed = self.driver.now - sent_at
         work = self.random.choice([0.0, 0.1, 5.0])
         assert arrival is None or request == arrival.request
-        report = self.unusual_report()
+        report = self.make_unusual_report()
         self.step(
             api.AttemptEnded(request, attempt, engine, outcome, elapsed, is_final, work, load_report=report)
         )
@@ -219,7 +219,7 @@
                 api.AttemptEnded(request, 0, engine, Outcome.OK, 1.0, True),
                 api.ProgressReport(request, 1, engine, api.ProgressKind.PROGRESS, 0.01),
                 api.TimerFired(10**9),
-                api.ProbeResult(engine, self.random.choice(list(Outcome)), 0.2, self.unusual_report()),
+                api.ProbeResult(engine, self.random.choice(list(Outcome)), 0.2, self.make_unusual_report()),
                 api.ProbeResult(engine_id(77), Outcome.OK, 0.2, (1.0, 2.0)),
                 api.ProgressReport(
                     request, 0, engine, api.ProgressKind.SPILLING, self.random.choice(UNUSUAL_VALUES)
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -46,23 +46,28 @@
     """Runs a store. After each operation, checks the recovery of possible crash states.
 
     A recovered map must equal the one after the last acknowledged commit or a later attempted commit.
+
+    Args:
+        files: The file system of the store.
+        seed: Seed of the random changes and crash states.
+        mixed_crash_count: Number of random crash states (mode `mixed`) that are checked after each operation.
     """
 
-    def __init__(self, files: ModelFiles, seed: int, mixed_crashes: int = 1) -> None:
-        self.files, self.rng, self.mixed_crashes = files, random.Random(seed), mixed_crashes
+    def __init__(self, files: ModelFiles, seed: int, mixed_crash_count: int = 1) -> None:
+        self.files, self.rng, self.mixed_crash_count = files, random.Random(seed), mixed_crash_count
         self.states: dict[int, MapContent] = {}
         self.acknowledged: MapContent = {}
         self.acknowledged_index = 0  # index in `history` of the last acknowledged commit
         self.history: list[MapContent] = [{}]  # map after each attempted commit
-        self.checked_states = 0
+        self.checked_state_count = 0
         self.violations: list[str] = []
         files.on_operation = self.check_crash_states
 
     def check_crash_states(self, operation: str) -> None:
-        for mode in ("all", "least", *["mixed"] * self.mixed_crashes):
-            files_after_crash = self.files.crash(self.rng, mode)
+        for mode in ("all", "least", *["mixed"] * self.mixed_crash_count):
+            files_after_crash = self.files.state_after_crash(self.rng, mode)
             recovered = as_dict(recover(ModelFiles(files_after_crash)).state)
-            self.checked_states += 1
+            self.checked_state_count += 1
             if recovered not in self.history[self.acknowledged_index :]:
                 self.violations.append(
                     f"after {operation} {self.files.operation_count} ({mode}): {sorted(recovered)}"
@@ -80,11 +85,11 @@
         store.commit(changes)
         self.acknowledged_index = len(self.history) - 1
 
-    def run(self, commits: int = 30) -> None:
+    def run(self, commit_count: int = 30) -> None:
         store = Store(self.files, SMALL_LIMITS)
         store.load()
         store.begin()
-        for _ in range(commits):
+        for _ in range(commit_count):
             self.commit(store)
             if self.rng.random() < 0.6:
                 store.compact_step()
@@ -94,13 +99,13 @@
 
 def test_every_crash_state_recovers_to_a_map_no_older_than_the_last_acknowledged_commit():
     """Covers power loss after any operation: unsynced writes and names may be lost, torn or reordered."""
-    checked_states = 0
+    checked_state_count = 0
     for seed in range(24):
-        checker = CrashChecker(ModelFiles(), seed, mixed_crashes=6)
+        checker = CrashChecker(ModelFiles(), seed, mixed_crash_count=6)
         checker.run(50)
         assert not checker.violations, f"seed {seed}: {checker.violations[:3]}"
-        checked_states += checker.checked_states
-    assert checked_states > 30_000, checked_states
+        checked_state_count += checker.checked_state_count
+    assert checked_state_count > 30_000, checked_state_count
 
 
 def test_acknowledged_commits_survive_repeated_crashes():
@@ -109,7 +114,7 @@
     A killed process may leave the last writes in the page cache only. Its successor reads them, and a later
     power loss may still drop them.
     """
-    checked_states = 0
+    checked_state_count = 0
     for seed in range(60):
         rng = random.Random(seed)
         files = ModelFiles()
@@ -123,7 +128,7 @@
             class StopRun(Exception):
                 pass
 
-            def watch(
+            def check_and_stop(
                 operation: str,
                 checker: CrashChecker = checker,
                 stop_at: int = stop_at,
@@ -133,18 +138,18 @@
                 if checker.files.operation_count >= stop_at:
                     raise stop_run
 
-            files.on_operation = watch
+            files.on_operation = check_and_stop
             with contextlib.suppress(StopRun):
                 checker.run(20)
             assert not checker.violations, f"seed {seed}, run {run_number}: {checker.violations[:3]}"
-            checked_states += checker.checked_states
+            checked_state_count += checker.checked_state_count
             mode = rng.choice(["all", "least", "mixed"])
             if mode == "all":  # The process was killed: unsynced data is readable but may still be lost.
                 files.on_operation = lambda operation: None
                 history, acknowledged_index = checker.history, checker.acknowledged_index
                 recovered = as_dict(recover(files).state)
             else:
-                files = ModelFiles(files.crash(rng, mode))
+                files = ModelFiles(files.state_after_crash(rng, mode))
                 recovered = as_dict(recover(files).state)
                 history, acknowledged_index = [recovered], 0
             assert recovered in checker.history[checker.acknowledged_index :], (
@@ -154,7 +159,7 @@
                 history = [*history, recovered]
                 # The next run starts from the recovered map. Its crash states may still be older maps, as
                 # long as no acknowledged commit is missing.
-    assert checked_states > 5_000, checked_states
+    assert checked_state_count > 5_000, checked_state_count
 
 
 MUTATIONS = {
@@ -171,7 +176,7 @@
     for seed in range(6):
         files = ModelFiles()
         files.should_skip = MUTATIONS[mutation]
-        checker = CrashChecker(files, seed, mixed_crashes=6)
+        checker = CrashChecker(files, seed, mixed_crash_count=6)
         checker.run()
         violation_count += len(checker.violations)
     assert violation_count
@@ -209,7 +214,7 @@
         monkeypatch.setattr(store_module.Store, "_write_snapshot", mutant)
         violation_count = 0
         for seed in range(6):
-            checker = CrashChecker(ModelFiles(), seed, mixed_crashes=6)
+            checker = CrashChecker(ModelFiles(), seed, mixed_crash_count=6)
             with contextlib.suppress(OSError, KeyError):  # the mutant may access files that it has removed
                 checker.run()
             violation_count += len(checker.violations)
@@ -279,7 +284,7 @@
     for _ in range(12):
         checker.commit(store)
         store.compact_step()
-    undamaged = files.crash(random.Random(0), "all")
+    undamaged = files.state_after_crash(random.Random(0), "all")
     rng = random.Random(7)
     for name, data in undamaged.items():
         for offset in range(len(data)):
@@ -426,7 +431,7 @@
 
 
 class BlockingFiles(ModelFiles):
-    """Syncs of log files block until `gate` is set, as on a disk that hangs."""
+    """A file system that blocks syncs of log files until `gate` is set, as on a disk that hangs."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -528,7 +533,7 @@
 
 
 def test_sigkill_during_commits_loses_no_acknowledged_commit(tmp_path):
-    """After SIGKILL at any moment, all acknowledged commits are recovered and no commit in part."""
+    """After SIGKILL at any moment, all acknowledged commits are recovered and no commit is partial."""
     kill_count = int(os.environ.get("SAFFRONLANE_KILLS", "12"))
     rng, last_acknowledged = random.Random(1), 0
     for _ in range(kill_count):
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -1,4 +1,4 @@
-"""Regression tests, one for each failure that was found. Each fails without the fix."""
+"""Regression tests, one for each failure that was found. Each fails without its fix."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def trained_driver(**changes: object) -> Driver:
-    """Return a driver whose estimates are 0.1 s of work and latency for each class."""
+    """Return a driver with learned estimates of 0.1 s for the work and latency of each class."""
     driver = Driver(make_settings(**changes), engines=4)
     for class_index in range(len(driver.gateway.step_context.settings.classes)):
         for _ in range(20):
@@ -161,7 +161,7 @@
     assert driver.actions_of_type(api.Cancel, request)[-1] == api.Cancel(request, 1)
 
 
-def test_lasting_congestion_is_still_detected() -> None:
+def test_congestion_is_still_detected_after_many_slow_responses() -> None:
     driver = Driver(make_settings(classes=one_class(late_priority_weight=0.5)), engines=1)
     for _ in range(40):
         driver.end_attempt(driver.submit(), Outcome.OK, work=0.1, elapsed=0.1)
@@ -184,7 +184,7 @@
     assert engine.warmup_remaining(driver.now, SLOW_START_DURATION) > 0.0
 
 
-def test_retry_that_was_not_sent_returns_its_own_budget_entry() -> None:
+def test_unsent_retry_removes_its_own_entry_from_the_retry_budget() -> None:
     guarantees = api.Guarantees(retry_budget_base=3.0, retry_budget_window=10.0)
     driver = Driver(
         make_settings(guarantees=guarantees, classes=one_class(late_priority_weight=0.5)), engines=4
@@ -254,7 +254,7 @@
 
 
 def test_slow_responses_of_an_engine_in_slow_start_are_not_congestion():
-    """Guards rolling deployments: slow responses of the newest engine lowered the limit over all engines."""
+    """During rolling deployments, slow responses of a new engine lowered the limit over all engines."""
     guarantees = api.Guarantees(
         slow_start_initial_ratio=0.25,
         slow_start_duration=10.0,
@@ -273,7 +273,7 @@
     )
 
 
-def test_engine_in_slow_start_is_preferred_only_within_its_share():
+def test_engine_in_slow_start_is_preferred_only_within_its_share_of_the_load():
     """Guards against requests that wait on an engine in slow start while others are idle."""
     guarantees = api.Guarantees(
         slow_start_initial_ratio=0.25,
@@ -310,7 +310,10 @@
 
 
 def test_response_to_a_dispatch_right_after_a_connection_loss_implies_no_restart() -> None:
-    """Guards against inferring a restart from a reset connection, which cut the load to a third."""
+    """Guards against inferring a restart from a reset connection.
+
+    The slow start that followed cut the load of the engine to a third.
+    """
     guarantees = api.Guarantees(
         slow_start_overload_factor=3.0,
         slow_start_overload_window=1.5,
@@ -331,7 +334,7 @@
 
 
 def test_requests_that_fail_on_every_engine_eject_no_engine() -> None:
-    """Guards against a client whose requests every engine answers with an error: the engines are healthy."""
+    """Guards against ejecting healthy engines because of a client whose requests fail on every engine."""
     driver = trained_driver()
     for _ in range(60):
         request = driver.submit()
