--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -804,7 +804,7 @@
 
 
 def test_state_directory_never_contains_times_of_two_clocks():
-    """Guards against a crash after a reboot but before the first endpoint list, when no state is exported yet."""
+    """Guards against a crash after a reboot but before the first endpoint list, which starts the export."""
     run = run_with_learned_estimates()
     rebooted_run = run.restart_after_crash(gap=3600.0, boot_id="next", monotonic_s=20.0)
     record = records.decode(records.CLASS + b"short", rebooted_run.stored_entries[records.CLASS + b"short"])
