--- a/saffronlane/learned_state/confidence.py
+++ b/saffronlane/learned_state/confidence.py
@@ -115,8 +115,8 @@
     return math.inf
 
 
-def remaining_seed_samples(restored_samples: float) -> float:
-    """Return how many of the seed answers remain after a restored estimate replaces some of them."""
+def remaining_prior_samples(restored_samples: float) -> float:
+    """Return how many of the prior answers remain after a restored estimate replaces some of them."""
     return max(0.0, PRIOR_ANSWERS - restored_samples)
 
 
--- a/saffronlane/learned_state/estimates.py
+++ b/saffronlane/learned_state/estimates.py
@@ -1,6 +1,7 @@
 """Adds a restored estimate to the totals of a `RunTimeEstimator`, and removes it again if it proves wrong.
 
-Seed answers are assumed answers that stand for the configured values until real answers replace them.
+Prior answers (`PRIOR_ANSWERS`) are assumed answers that stand for the configured values until real answers
+replace them.
 """
 
 from __future__ import annotations
@@ -27,8 +28,8 @@
     uncontended_work: float
 
 
-def seed_sums(class_settings: api.ClassSettings, cost: float, samples: float) -> EstimateSums:
-    """Return the contribution of a number of seed answers of the given cost."""
+def prior_sums(class_settings: api.ClassSettings, cost: float, samples: float) -> EstimateSums:
+    """Return the contribution of a number of prior answers of the given cost."""
     work = samples * class_settings.latency_objective * class_settings.threads
     return EstimateSums(
         cost=samples * cost,
@@ -50,25 +51,25 @@
 
 
 def apply_restored_estimate(estimator: RunTimeEstimator, record: ClassRecord, samples: float) -> bool:
-    """Replace seed answers by a restored estimate.
+    """Replace prior answers by a restored estimate.
 
     Args:
         estimator: The estimator to change.
         record: The restored estimate.
-        samples: Number of answers that the estimate counts as; it replaces as many seed answers.
+        samples: Number of answers that the estimate counts as; it replaces as many prior answers.
 
     Returns:
         Whether the record was plausible. If not, the estimator is unchanged.
     """
     if not _is_plausible(record):
         return False
-    seeds = confidence.remaining_seed_samples(samples)
-    estimator.prior = seed_sums(estimator.class_settings, record.mean_estimated_cost, seeds)
+    prior_samples = confidence.remaining_prior_samples(samples)
+    estimator.prior = prior_sums(estimator.class_settings, record.mean_estimated_cost, prior_samples)
     estimator.mean_estimated_cost = record.mean_estimated_cost
     estimate_sums = restored_sums(record, samples)
     totals = [
-        seed_total + restored_total
-        for seed_total, restored_total in zip(estimator.prior, estimate_sums, strict=True)
+        prior_total + restored_total
+        for prior_total, restored_total in zip(estimator.prior, estimate_sums, strict=True)
     ]
     _set_totals(estimator, EstimateSums(*totals))
     weight = samples / (samples + PRIOR_ANSWERS)
@@ -81,24 +82,24 @@
 def remove_restored_estimate(
     estimator: RunTimeEstimator, cost: float, estimate_sums: EstimateSums, new_answer_count: int
 ) -> None:
-    """Replace the remaining share of a restored estimate by seed answers; new answers are retained.
+    """Replace the remaining share of a restored estimate by prior answers; new answers are retained.
 
     Args:
         estimator: The estimator to change.
-        cost: Estimated cost of each seed answer.
+        cost: Estimated cost of each prior answer.
         estimate_sums: Contribution of the restored estimate when it was applied.
         new_answer_count: Number of answers since then.
     """
     weight = confidence.remaining_weight(1.0, new_answer_count)
-    seeds = seed_sums(estimator.class_settings, cost, PRIOR_ANSWERS)
+    new_prior = prior_sums(estimator.class_settings, cost, PRIOR_ANSWERS)
     totals = [
-        max(MIN_TOTAL, total - weight * (restored_total + prior_total)) + weight * seed_total
-        for total, restored_total, prior_total, seed_total in zip(
-            _totals(estimator), estimate_sums, estimator.prior, seeds, strict=True
+        max(MIN_TOTAL, total - weight * (restored_total + prior_total)) + weight * new_prior_total
+        for total, restored_total, prior_total, new_prior_total in zip(
+            _totals(estimator), estimate_sums, estimator.prior, new_prior, strict=True
         )
     ]
     _set_totals(estimator, EstimateSums(*totals))
-    estimator.prior = seeds
+    estimator.prior = new_prior
     estimator.baseline_inflation = 1.0
     estimator.memory_requirement = 0.0
     estimator.answer_count -= estimator.restored_answer_count
--- a/saffronlane/learned_state/export.py
+++ b/saffronlane/learned_state/export.py
@@ -53,14 +53,14 @@
 def _class_record(
     gateway: Gateway, estimator: RunTimeEstimator, restored_samples: float, log_deviation: float
 ) -> ClassRecord | None:
-    """Return one class's record, without the share of the seed answers; None if there are too few answers."""
+    """Return one class's record, without the share of the prior answers; None with too few answers."""
     new_answer_count = estimator.answer_count - estimator.restored_answer_count
-    seed_weight = confidence.remaining_weight(1.0, new_answer_count)
-    seed_costs, seed_latency, seed_work, seed_uncontended_work = estimator.prior
-    costs = estimator.estimated_costs - seed_costs * seed_weight
-    latency = estimator.latency_total - seed_latency * seed_weight
-    work = estimator.work_total - seed_work * seed_weight
-    uncontended_work = estimator.uncontended_work_total - seed_uncontended_work * seed_weight
+    prior_weight = confidence.remaining_weight(1.0, new_answer_count)
+    prior_costs, prior_latency, prior_work, prior_uncontended_work = estimator.prior
+    costs = estimator.estimated_costs - prior_costs * prior_weight
+    latency = estimator.latency_total - prior_latency * prior_weight
+    work = estimator.work_total - prior_work * prior_weight
+    uncontended_work = estimator.uncontended_work_total - prior_uncontended_work * prior_weight
     samples = confidence.remaining_weight(restored_samples, new_answer_count)
     samples += confidence.new_effective_samples(new_answer_count)
     is_empty = not costs > 0.0 or min(latency, work, uncontended_work) <= 0.0
--- a/saffronlane/learned_state/records/state_records.py
+++ b/saffronlane/learned_state/records/state_records.py
@@ -74,7 +74,8 @@
     Attributes:
         settings_digest: Digest of the settings under which the estimates were learned.
         updated_at: Time at which the record was made.
-        effective_samples: Number of answers that the estimates count as, without seed answers.
+        effective_samples: Number of answers that the estimates count as,
+            without the prior answers (`PRIOR_ANSWERS`).
         answer_count: Number of answers.
         mean_estimated_cost: Mean estimated cost of a request.
         latency_per_cost: Seconds of latency per unit of estimated cost.
--- a/saffronlane/learned_state/validation.py
+++ b/saffronlane/learned_state/validation.py
@@ -59,7 +59,8 @@
 
     Attributes:
         record: The restored record.
-        sums: Contribution of the restored estimate to the estimator's totals, without seed answers.
+        sums: Contribution of the restored estimate to the estimator's totals, without the prior
+            answers (`PRIOR_ANSWERS`).
         log_ratio_total: Sum of the log ratios of the answers so far.
         answer_count: Number of answers so far.
         first_request_at: Arrival time of the first request in seconds; infinite before it.
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -587,7 +587,7 @@
         confidence.effective_samples(initial_samples, 80.0, 1.0), rel=0.05
     )
     assert record.latency_per_cost == pytest.approx(0.05, rel=0.02)
-    for _ in range(40):  # one answer per run; seed answers are never counted as answers
+    for _ in range(40):  # one answer per run; assumed prior answers are never counted
         run = run.restart_after_crash(gap=0.2)
         run.list_engines(4)
         run.complete_attempt(run.submit(), elapsed=0.05, work=0.05)
@@ -1039,11 +1039,11 @@
     assert "gateway 0 of 1" in restorer.summary.notes[0]
 
 
-def test_restored_samples_replace_seed_answers():
+def test_restored_samples_replace_prior_answers():
     assert (
-        confidence.remaining_seed_samples(0.0) == PRIOR_ANSWERS
-        and confidence.remaining_seed_samples(1.5) == PRIOR_ANSWERS - 1.5
-        and confidence.remaining_seed_samples(9.0) == 0.0
+        confidence.remaining_prior_samples(0.0) == PRIOR_ANSWERS
+        and confidence.remaining_prior_samples(1.5) == PRIOR_ANSWERS - 1.5
+        and confidence.remaining_prior_samples(9.0) == 0.0
     )
 
 
